--- a/crates/edge/src/duty/run_report_task.rs
+++ b/crates/edge/src/duty/run_report_task.rs
@@ -1,7 +1,8 @@
-//! Tells the duty's holder what this daemon runs, so that loads of weights wait for what is busy.
+//! Tells the duty's holder what this daemon runs: loads of weights wait for what is busy, and upstreams are ordered for
+//! what is unfinished.
 
 use crate::{edge_state::EdgeState, peer_client::PeerClient};
-use pimentoslip_kernel::SharedName;
+use pimentoslip_kernel::{DaemonWork, SharedName};
 use pimentoslip_telemetry::LogLine;
 use pimentoslip_wire::peer::RunReport;
 use std::{sync::Arc, time::Duration};
@@ -18,13 +19,14 @@
     let mut told = false;
     loop {
         actix_rt::time::sleep(REPORT_PERIOD).await;
-        let runs = state.samplers().model_runs();
-        if runs.is_empty() && !told {
+        let work = state.own_work();
+        let is_idle = work == DaemonWork::default();
+        if is_idle && !told {
             continue;
         }
-        told = !runs.is_empty();
+        told = !is_idle;
         let Some(control) = holder_control(&state) else { continue };
-        let report = RunReport { daemon: state.settings.vm.clone(), runs };
+        let report = RunReport { daemon: state.settings.vm.clone(), runs: work.runs, unfinished: work.unfinished };
         if let Err(error) = peers.call::<bool>(&control, RUNS_PATH, &report, REPORT_MS).await {
             LogLine::new("runs_not_reported").field("holder", control).field("reason", error).warn();
         }
