--- a/crates/edge/src/duty/duty_task.rs
+++ b/crates/edge/src/duty/duty_task.rs
@@ -35,8 +35,6 @@
         let _ = actix_rt::time::timeout(ROUND_PERIOD, state.upstreams_changed.notified()).await;
         let now = state.now();
         if is_held(&state, &term) {
-            let work = state.own_work();
-            state.run_board().reported(state.settings.vm.clone(), work, now);
             loads.round();
             sizes.round().await;
             usage.round().await;
--- a/crates/edge/src/duty/load_duty.rs
+++ b/crates/edge/src/duty/load_duty.rs
@@ -44,7 +44,12 @@
         let now = self.state.now();
         let may_act = self.term.borrow().is_some_and(|term| term.may_act(now, ORDER_MS));
         let Some(config) = self.state.config().filter(|_| may_act) else { return };
-        let runs = self.state.run_board().total(now).runs;
+        let runs = {
+            let own = self.state.samplers().model_runs();
+            let mut board = self.state.run_board();
+            board.reported(self.state.settings.vm.clone(), own, now);
+            board.runs(now)
+        };
         for service in config.services.values().filter(|service| !service.models.is_empty()) {
             let upstreams: Vec<SamplerRecord> =
                 self.state.samplers().records().filter(|record| record.service == service.name).cloned().collect();
--- a/crates/edge/src/duty/run_report_task.rs
+++ b/crates/edge/src/duty/run_report_task.rs
@@ -1,8 +1,7 @@
-//! Tells the duty's holder what this daemon runs: loads of weights wait for what is busy, and upstreams are ordered for
-//! what is unfinished.
+//! Tells the duty's holder what this daemon runs, so that loads of weights wait for what is busy.
 
 use crate::{edge_state::EdgeState, peer_client::PeerClient};
-use pimentoslip_kernel::{DaemonWork, SharedName};
+use pimentoslip_kernel::SharedName;
 use pimentoslip_telemetry::LogLine;
 use pimentoslip_wire::peer::RunReport;
 use std::{sync::Arc, time::Duration};
@@ -19,14 +18,13 @@
     let mut told = false;
     loop {
         actix_rt::time::sleep(REPORT_PERIOD).await;
-        let work = state.own_work();
-        let is_idle = work == DaemonWork::default();
-        if is_idle && !told {
+        let runs = state.samplers().model_runs();
+        if runs.is_empty() && !told {
             continue;
         }
-        told = !is_idle;
+        told = !runs.is_empty();
         let Some(control) = holder_control(&state) else { continue };
-        let report = RunReport { daemon: state.settings.vm.clone(), runs: work.runs, unfinished: work.unfinished };
+        let report = RunReport { daemon: state.settings.vm.clone(), runs };
         if let Err(error) = peers.call::<bool>(&control, RUNS_PATH, &report, REPORT_MS).await {
             LogLine::new("runs_not_reported").field("holder", control).field("reason", error).warn();
         }
--- a/crates/edge/src/duty/size_duty.rs
+++ b/crates/edge/src/duty/size_duty.rs
@@ -42,11 +42,10 @@
     /// Gives the orders that are due.
     pub async fn round(&mut self) {
         let (Some(provider), Some(config)) = (self.provider.clone(), self.state.config()) else { return };
-        let unfinished = self.state.run_board().total(self.state.now()).unfinished;
         for service in config.services.values() {
             let Some(rule) = &service.scaling else { continue };
             let upstreams = self.upstreams(&service.name);
-            let demand = unfinished.get(&service.name).copied().unwrap_or(0);
+            let demand = self.demand(&service.name);
             let sized = self.services.entry(service.name.clone()).or_default();
             if sized.floor.is_none() && demand > 0 {
                 sized.floor = settle_floor(&self.store, &service.name, &upstreams).await;
@@ -63,6 +62,18 @@
         let samplers = self.state.samplers();
         samplers.records().filter(|record| *record.service == *service).cloned().collect()
     }
+
+    /// Items of open batch jobs whose route leads to `service`: all of a step should run at once.
+    fn demand(&self, service: &str) -> u64 {
+        let Some(config) = self.state.config() else { return 0 };
+        let jobs = self.state.jobs();
+        let open = jobs.iter().filter(|(_, view)| !view.ended && !view.settled).map(|(_, view)| &view.entry);
+        let here = open.filter(|entry| {
+            let rule = config.route(&entry.host, &entry.path);
+            rule.is_some_and(|rule| rule.targets.iter().any(|target| *target.service == *service))
+        });
+        here.map(|entry| entry.items as u64).sum()
+    }
 }
 
 /// The service's floor on record, or what runs now if there is none yet. None if that is not certain.
--- a/crates/edge/src/edge_state.rs
+++ b/crates/edge/src/edge_state.rs
@@ -3,8 +3,7 @@
 use crate::{edge_metrics::EdgeMetrics, job::JobIndex, steady_time::SteadyTime};
 use pimentoslip_client::OwnerClock;
 use pimentoslip_kernel::{
-    DaemonWork, OwnershipTable, PathChoice, RunBoard, SamplerTable, SharedName, TimePoint, TrafficConfig, UsageTally,
-    fingerprint,
+    OwnershipTable, PathChoice, RunBoard, SamplerTable, SharedName, TimePoint, TrafficConfig, UsageTally, fingerprint,
 };
 use pimentoslip_platform::ProcessSettings;
 use pimentoslip_wire::stored::DaemonEntry;
@@ -229,12 +228,6 @@
         self.duty_calls.load(Ordering::SeqCst)
     }
 
-    /// What this daemon has to do for batch jobs.
-    #[must_use]
-    pub fn own_work(&self) -> DaemonWork {
-        DaemonWork { runs: self.samplers().model_runs(), unfinished: self.jobs().unfinished() }
-    }
-
     /// Number of this process's next write of usage counts.
     #[must_use]
     pub fn next_usage_write(&self) -> u64 {
--- a/crates/edge/src/http/peer_api.rs
+++ b/crates/edge/src/http/peer_api.rs
@@ -6,7 +6,7 @@
     worker_parts::WorkerParts,
 };
 use actix_web::{HttpRequest, HttpResponse, http::StatusCode, web};
-use pimentoslip_kernel::{DaemonWork, OwnerRecord};
+use pimentoslip_kernel::OwnerRecord;
 use pimentoslip_platform::{StoreError, decode_submission};
 use pimentoslip_telemetry::LogLine;
 use pimentoslip_wire::{
@@ -68,8 +68,7 @@
     match decode::<RunReport>(&body) {
         Ok(report) => {
             let now = parts.state.now();
-            let work = DaemonWork { runs: report.runs, unfinished: report.unfinished };
-            parts.state.run_board().reported(report.daemon, work, now);
+            parts.state.run_board().reported(report.daemon, report.runs, now);
             answer(&true)
         }
         Err(error) => malformed(&error),
--- a/crates/edge/src/http/proxy.rs
+++ b/crates/edge/src/http/proxy.rs
@@ -118,7 +118,7 @@
     let room_until = context.arrived.plus_ms(rule.objective_ms / ROOM_WAIT_DIVISOR);
     let mut log = AttemptLog::default();
     while log.runs < rule.attempts_max && log.refusals <= REFUSALS_MAX && state.now() < call.deadline {
-        let picked = pick(parts, service, &log.tried);
+        let picked = pick(parts, service, &call.id, &log.tried);
         let Some(mut guard) = picked else {
             let now = state.now();
             if log.answer.is_some() || now >= room_until.min(call.deadline) {
@@ -193,15 +193,14 @@
     })
 }
 
-fn pick(parts: &WorkerParts, service: &str, tried: &[SharedName]) -> Option<SamplerGuard> {
+fn pick(parts: &WorkerParts, service: &str, id: &str, tried: &[SharedName]) -> Option<SamplerGuard> {
     let query = SamplerQuery {
         service,
         model: None,
         failure_domain: &parts.state.settings.failure_domain,
         excluded: tried,
         room: RoomNeed::Queue,
-        // One daemon's requests share few connections.
-        affinity: &parts.state.settings.vm,
+        affinity: id,
     };
     SamplerGuard::pick(&parts.state, &query)
 }
--- a/crates/edge/src/job/job_index.rs
+++ b/crates/edge/src/job/job_index.rs
@@ -46,8 +46,6 @@
     submissions: HashMap<SharedName, KeptJob>,
     /// Jobs whose state is in this process, with what was submitted once that is known.
     held: HashMap<SharedName, Option<Arc<BatchSubmission>>>,
-    /// Unfinished items of held jobs, with their service.
-    unfinished: HashMap<SharedName, (SharedName, u64)>,
     /// Results that can be read without the store.
     listed: ListedCache,
     /// Jobs with waiting items, by route: when they were submitted.
@@ -63,7 +61,6 @@
             ended: HashSet::new(),
             submissions: HashMap::new(),
             held: HashMap::new(),
-            unfinished: HashMap::new(),
             listed: ListedCache::new(results_bytes_max),
             waiting: BTreeMap::new(),
         }
@@ -189,7 +186,6 @@
     /// `job` is no longer run by this process.
     pub fn release(&mut self, job: &str) {
         self.held.remove(job);
-        self.unfinished.remove(job);
         self.waiting.retain(|(_, waiting), _| **waiting != *job);
     }
 
@@ -209,21 +205,6 @@
         };
     }
 
-    /// Notes how many items of a held job are unfinished, and at which service they run.
-    pub fn set_unfinished(&mut self, job: &SharedName, service: &SharedName, items: u64) {
-        self.unfinished.insert(job.clone(), (service.clone(), items));
-    }
-
-    /// Unfinished items of held jobs, by service.
-    #[must_use]
-    pub fn unfinished(&self) -> BTreeMap<SharedName, u64> {
-        let mut total: BTreeMap<SharedName, u64> = BTreeMap::new();
-        for (service, items) in self.unfinished.values() {
-            *total.entry(service.clone()).or_default() += items;
-        }
-        total
-    }
-
     /// Jobs that this process runs.
     #[must_use]
     pub fn held(&self) -> usize {
--- a/crates/edge/src/job/job_runner.rs
+++ b/crates/edge/src/job/job_runner.rs
@@ -266,12 +266,7 @@
 
 fn state_waiting(job: &OwnedJob, rule: &RouteRule, waits: bool) {
     let submitted = waits.then_some(job.submitted);
-    let unfinished = job.ledger.borrow().unfinished();
-    let mut jobs = job.state.jobs();
-    jobs.set_waiting(rule.name.clone(), job.id.clone(), submitted);
-    if let Some(target) = rule.targets.first() {
-        jobs.set_unfinished(&job.id, &target.service, unfinished);
-    }
+    job.state.jobs().set_waiting(rule.name.clone(), job.id.clone(), submitted);
 }
 
 /// Chooses the upstream for an item.
--- a/crates/edge/src/store/news_feed.rs
+++ b/crates/edge/src/store/news_feed.rs
@@ -78,7 +78,6 @@
             let request = NewsRequest { prefix: prefix.to_owned(), revision, wait_ms };
             match self.peers.call(&source.control, NEWS_PATH, &request, wait_ms + ANSWER_SLACK_MS).await {
                 Ok(NewsAnswer::Changes { changes, revision }) => {
-                    self.state.store_path().peer_reaches(self.state.now());
                     return Ok(WatchBatch { changes: changes.into_iter().map(store_change).collect(), revision });
                 }
                 Ok(NewsAnswer::HistoryGone) => return Err(StoreError::HistoryGone),
--- a/crates/kernel/src/batch/batch_ledger.rs
+++ b/crates/kernel/src/batch/batch_ledger.rs
@@ -363,12 +363,6 @@
         }
     }
 
-    /// Items that are not finished.
-    #[must_use]
-    pub fn unfinished(&self) -> u64 {
-        self.items.iter().filter(|item| item.phase != ItemPhase::Finished).count() as u64
-    }
-
     /// Whether every item is finished, so that no further result will join those that wait to be listed.
     #[must_use]
     pub fn is_finished(&self) -> bool {
--- a/crates/kernel/src/duty/size_planner.rs
+++ b/crates/kernel/src/duty/size_planner.rs
@@ -10,8 +10,6 @@
 /// The largest demand of this long counts, in milliseconds: several steps of training. Upstreams are given back only
 /// after it, since starts cost time and money.
 const DEMAND_WINDOW_MS: u64 = 60_000;
-/// Slots for each request that could run, as a fraction: runs that share an engine slow each other down.
-const SLOTS_PER_REQUEST: (u64, u64) = (3, 2);
 /// Added to the time from an order until its upstreams serve before they count as missing, in milliseconds.
 const STARTUP_SLACK_MS: u64 = 4_000;
 /// An order that was refused because there are none is not repeated for this long, in milliseconds.
@@ -66,8 +64,6 @@
 #[derive(Debug, Default)]
 pub struct SizePlanner {
     domains: BTreeMap<SharedName, DomainPlan>,
-    is_begun: bool,
-    /// Most upstreams that were wanted lately, and when.
     peak: u64,
     peak_at: TimePoint,
 }
@@ -83,19 +79,15 @@
         demand: u64,
         now: TimePoint,
     ) -> Vec<DomainOrder> {
+        if demand >= self.peak || now >= self.peak_at.plus_ms(DEMAND_WINDOW_MS) {
+            self.peak = demand;
+            self.peak_at = now;
+        }
         let slots = upstreams.iter().map(|record| record.slots).max().unwrap_or(0);
         if slots == 0 {
             return Vec::new();
         }
-        let wanted = (demand * SLOTS_PER_REQUEST.0).div_ceil(slots * SLOTS_PER_REQUEST.1);
-        // Who takes the duty gives back nothing that it has not seen unused for long.
-        let known = if self.is_begun { 0 } else { ready(upstreams) };
-        self.is_begun = true;
-        if wanted.max(known) >= self.peak || now >= self.peak_at.plus_ms(DEMAND_WINDOW_MS) {
-            self.peak = wanted.max(known);
-            self.peak_at = now;
-        }
-        let targets = domain_targets(rule, self.peak);
+        let targets = domain_targets(rule, self.peak.div_ceil(slots));
         let mut orders = Vec::new();
         for (failure_domain, target) in targets {
             let here = |reclaimable: bool| {
@@ -155,10 +147,6 @@
     }
 }
 
-fn ready(upstreams: &[SamplerRecord]) -> u64 {
-    upstreams.iter().filter(|record| record.state == SamplerState::Ready).count() as u64
-}
-
 /// Standing upstreams of a service in each failure domain.
 #[must_use]
 pub fn standing_floor(upstreams: &[SamplerRecord]) -> BTreeMap<SharedName, u64> {
--- a/crates/kernel/src/ownership_table.rs
+++ b/crates/kernel/src/ownership_table.rs
@@ -8,7 +8,7 @@
 /// The former owner's chance to claim again after its lease lapsed.
 const REJOIN_MS: u64 = 300;
 /// The same where all leases lapsed because the store was away: daemons find it back one after the other.
-const OUTAGE_REJOIN_MS: u64 = 2_000;
+const OUTAGE_REJOIN_MS: u64 = 1_300;
 
 /// A job that another daemon gave to this one comes with all that is known of it; only after this it is read from the
 /// record, in milliseconds.
--- a/crates/kernel/src/path_choice.rs
+++ b/crates/kernel/src/path_choice.rs
@@ -47,8 +47,6 @@
     direct_after: TimePoint,
     away_after: TimePoint,
     is_probing: bool,
-    /// Until then a peer's success says nothing new.
-    hinted_until: TimePoint,
     peer_failures: u32,
     peers_after: TimePoint,
     resting_peers: BTreeMap<SharedName, TimePoint>,
@@ -98,15 +96,6 @@
         regained
     }
 
-    /// A peer was heard to reach the service: the straight way may work too, and is tried with the next call, once in
-    /// a while.
-    pub fn peer_reaches(&mut self, now: TimePoint) {
-        if self.direct_failures > 0 && now >= self.hinted_until {
-            self.hinted_until = now.plus_ms(AWAY_PAUSE_MS_MAX);
-            self.direct_after = now;
-        }
-    }
-
     /// A call that began at `began` did not get through. True if the straight way worked before.
     pub fn failed(&mut self, path: &ServicePath, began: TimePoint, now: TimePoint) -> bool {
         match path {
--- a/crates/wire/src/peer/run_report.rs
+++ b/crates/wire/src/peer/run_report.rs
@@ -1,4 +1,4 @@
-//! What a daemon runs, for the one that orders upstreams and loads of weights.
+//! What a daemon runs, for the one that orders loads of weights.
 
 use pimentoslip_kernel::SharedName;
 use serde::{Deserialize, Serialize};
@@ -11,6 +11,4 @@
     pub daemon: SharedName,
     /// Its runs at each upstream; idle ones are left out.
     pub runs: BTreeMap<SharedName, u64>,
-    /// Unfinished items of its batch jobs, by service.
-    pub unfinished: BTreeMap<SharedName, u64>,
 }
