--- a/crates/edge/src/duty/duty_task.rs
+++ b/crates/edge/src/duty/duty_task.rs
@@ -3,7 +3,7 @@
 use super::{load_duty::LoadDuty, retire_duty::RetireDuty, size_duty::SizeDuty, usage_duty::UsageDuty};
 use crate::{edge_metrics::EdgeMetrics, edge_state::EdgeState, store::StoreAccess};
 use awc::Client;
-use pimentoslip_kernel::{DutyHistory, DutyTerm, LeaseStanding, TimePoint, fingerprint};
+use pimentoslip_kernel::{DutyHistory, DutyTerm, LeaseStatus, TimePoint, fingerprint};
 use pimentoslip_platform::{CommitOutcome, StoreCommit, StoreItem};
 use pimentoslip_telemetry::LogLine;
 use pimentoslip_wire::{
@@ -70,7 +70,7 @@
     let standing = {
         let view = state.lease();
         let recorded = view.duty.as_ref().map(|(revision, _)| *revision);
-        LeaseStanding { lease: view.lease, ends_at: view.ends_at, recorded }
+        LeaseStatus { lease: view.lease, expires_at: view.ends_at, duty_revision: recorded }
     };
     let mut term = term.borrow_mut();
     let Some(current) = term.as_mut() else { return false };
@@ -111,9 +111,9 @@
         }
     };
     let unix_ms = state.unix_ms();
-    let wait_ms = history.wait_ms(&state.settings.vm, unix_ms, state.settings.handover_ms);
-    let last = history.last().map_or_else(|| "nobody".into(), Clone::clone);
-    let record = match encode(&DutyEntry::from(&history.taken(state.settings.vm.clone(), unix_ms))) {
+    let wait_ms = history.handover_wait_ms(&state.settings.vm, unix_ms, state.settings.handover_ms);
+    let last = history.last_holder().map_or_else(|| "nobody".into(), Clone::clone);
+    let record = match encode(&DutyEntry::from(&history.with_acquisition(state.settings.vm.clone(), unix_ms))) {
         Ok(record) => record,
         Err(error) => {
             LogLine::new("duty_not_taken").field("reason", error).warn();
@@ -143,7 +143,7 @@
     let now = state.now();
     LogLine::new("duty_taken").field("fencing_token", revision).field("after", last).field("waits_ms", wait_ms).info();
     EdgeMetrics::global().duty_held.set(1);
-    *term.borrow_mut() = Some(DutyTerm::begin(revision, lease, now, ends_at, wait_ms));
+    *term.borrow_mut() = Some(DutyTerm::start(revision, lease, now, ends_at, wait_ms));
     state.lease().duty_known(revision, state.signature());
 }
 
--- a/crates/edge/src/duty/load_duty.rs
+++ b/crates/edge/src/duty/load_duty.rs
@@ -5,7 +5,9 @@
 use awc::Client;
 use bytes::Bytes;
 use pimentoslip_client::DeadlineBody;
-use pimentoslip_kernel::{LoadOrder, LoadView, ModelDemand, OrderOutcome, SamplerRecord, SharedName, VersionPlanner};
+use pimentoslip_kernel::{
+    LoadOrder, LoadOutcome, ModelDemand, SamplerRecord, ServiceSnapshot, SharedName, VersionPlanner,
+};
 use pimentoslip_platform::{ORDER_PATH, OrderMessage, REPORT_PATH, decode_report, encode_order, header};
 use pimentoslip_telemetry::LogLine;
 use pimentoslip_wire::stored::JobEntry;
@@ -45,16 +47,16 @@
         let may_act = self.term.borrow().is_some_and(|term| term.may_act(now, ORDER_MS));
         let Some(config) = self.state.config().filter(|_| may_act) else { return };
         let runs = {
-            let own = self.state.samplers().model_runs();
+            let own = self.state.samplers().model_requests();
             let mut board = self.state.run_board();
-            board.reported(self.state.settings.vm.clone(), own, now);
-            board.runs(now)
+            board.runs_reported(self.state.settings.vm.clone(), own, now);
+            board.runs_by_upstream(now)
         };
         for service in config.services.values().filter(|service| !service.models.is_empty()) {
             let upstreams: Vec<SamplerRecord> =
                 self.state.samplers().records().filter(|record| record.service == service.name).cloned().collect();
             let models = model_demands(&self.state, &service.models);
-            let view = LoadView { upstreams: &upstreams, models: &models, runs: &runs };
+            let view = ServiceSnapshot { upstreams: &upstreams, models: &models, runs: &runs };
             let orders = self.planner.borrow_mut().plan(&view, now);
             for order in orders {
                 let keep_runs = !single_version(&config, &service.name);
@@ -82,8 +84,8 @@
         steps.truncate(RECENT_STEPS);
         let tokens: u64 = steps.iter().map(|entry| entry.tokens).sum();
         ModelDemand {
-            named: named.get(model).copied().unwrap_or(0),
-            oldest_usable: steps.first().map_or(0, |entry| entry.oldest_version),
+            newest_version: named.get(model).copied().unwrap_or(0),
+            oldest_usable_version: steps.first().map_or(0, |entry| entry.oldest_version),
             work: tokens / (steps.len().max(1) as u64),
         }
     };
@@ -93,8 +95,8 @@
 /// Whether texts of `service` must come from one version, so that runs finish before a load.
 fn single_version(config: &pimentoslip_kernel::TrafficConfig, service: &str) -> bool {
     let names: BTreeSet<&SharedName> = config
-        .rules()
-        .filter(|rule| rule.batch().is_some_and(|batch| batch.single_version))
+        .routes()
+        .filter(|rule| rule.batch_rule().is_some_and(|batch| batch.single_version))
         .flat_map(|rule| rule.targets.iter().map(|target| &target.service))
         .collect();
     names.iter().any(|name| ***name == *service)
@@ -117,7 +119,7 @@
         .field("accepted_before", order.accepted_before.map_or_else(|| "unknown".to_owned(), |count| count.to_string()))
         .field("result", reason)
         .info();
-    planner.borrow_mut().ordered(&order, outcome, state.now());
+    planner.borrow_mut().order_answered(&order, outcome, state.now());
 }
 
 async fn give(
@@ -126,16 +128,16 @@
     term: &SharedTerm,
     order: &mut LoadOrder,
     keep_runs: bool,
-) -> (OrderOutcome, String) {
+) -> (LoadOutcome, String) {
     if order.accepted_before.is_none() {
         match accepted(upstreams, order).await {
             Ok(count) => order.accepted_before = Some(count),
-            Err(reason) => return (OrderOutcome::Conflict, reason),
+            Err(reason) => return (LoadOutcome::Conflict, reason),
         }
     }
     let now = state.now();
     let Some(held) = term.borrow().filter(|term| term.may_act(now, ORDER_MS)) else {
-        return (OrderOutcome::Conflict, "duty_lost".to_owned());
+        return (LoadOutcome::Conflict, "duty_lost".to_owned());
     };
     let _counted = state.begin_duty_call();
     let message = OrderMessage {
@@ -146,7 +148,7 @@
         fencing_token: held.fencing_token,
         accepted_before: order.accepted_before,
     };
-    let Ok(body) = encode_order(&message) else { return (OrderOutcome::Refused, "unencodable".to_owned()) };
+    let Ok(body) = encode_order(&message) else { return (LoadOutcome::Refused, "unencodable".to_owned()) };
     // A process that is frozen here must not deliver the order when it wakes.
     let last = state.clock.now().plus_ms(ORDER_MS);
     let body = DeadlineBody::new(state.clock.clone(), last, Bytes::from(body));
@@ -159,14 +161,14 @@
         Ok(answer) => {
             let status = answer.status().as_u16();
             let outcome = match status {
-                202 => OrderOutcome::Accepted,
-                200 => OrderOutcome::Held,
-                409 => OrderOutcome::Conflict,
-                _ => OrderOutcome::Refused,
+                202 => LoadOutcome::Accepted,
+                200 => LoadOutcome::AlreadyLoaded,
+                409 => LoadOutcome::Conflict,
+                _ => LoadOutcome::Refused,
             };
             (outcome, status.to_string())
         }
-        Err(error) => (OrderOutcome::Unanswered, error.to_string()),
+        Err(error) => (LoadOutcome::Unanswered, error.to_string()),
     }
 }
 
--- a/crates/edge/src/duty/size_duty.rs
+++ b/crates/edge/src/duty/size_duty.rs
@@ -2,7 +2,7 @@
 
 use super::duty_task::SharedTerm;
 use crate::{edge_state::EdgeState, store::StoreAccess};
-use pimentoslip_kernel::{DomainOrder, SamplerRecord, SharedName, SizeOutcome, SizePlanner, standing_floor};
+use pimentoslip_kernel::{SamplerRecord, ScalingOrder, ScalingOutcome, ScalingPlanner, SharedName, standing_counts};
 use pimentoslip_platform::{CommitOutcome, DutyCall, DutyClient, DutyOutcome, SizeOrder, StoreCommit};
 use pimentoslip_telemetry::LogLine;
 use pimentoslip_wire::{
@@ -26,7 +26,7 @@
 /// What the holder knows of one service.
 #[derive(Debug, Default)]
 struct SizedService {
-    planner: SizePlanner,
+    planner: ScalingPlanner,
     /// Standing upstreams that stay in each failure domain, once that is known.
     floor: Option<BTreeMap<SharedName, u64>>,
 }
@@ -53,7 +53,7 @@
             let Some(floor) = &sized.floor else { continue };
             for order in sized.planner.plan(rule, &upstreams, floor, demand, self.state.now()) {
                 let outcome = give(&self.state, &provider, &self.term, &service.name, &order, demand).await;
-                sized.planner.ordered(&order, outcome, rule.startup_ms, self.state.now());
+                sized.planner.order_answered(&order, outcome, rule.startup_ms, self.state.now());
             }
         }
     }
@@ -83,7 +83,7 @@
     upstreams: &[SamplerRecord],
 ) -> Option<BTreeMap<SharedName, u64>> {
     let key = KeyLayout::floor(service);
-    let own = FloorEntry { standing: standing_floor(upstreams) };
+    let own = FloorEntry { standing: standing_counts(upstreams) };
     let settled = async {
         if let Some(item) = store.get(&key).await? {
             return Ok(decode::<FloorEntry>(&item.value)?);
@@ -108,12 +108,12 @@
     provider: &DutyClient,
     term: &SharedTerm,
     service: &SharedName,
-    order: &DomainOrder,
+    order: &ScalingOrder,
     demand: u64,
-) -> SizeOutcome {
+) -> ScalingOutcome {
     let now = state.now();
     let held = term.borrow().filter(|term| term.may_act(now, DutyClient::CALL_MS));
-    let Some(held) = held else { return SizeOutcome::Failed };
+    let Some(held) = held else { return ScalingOutcome::Failed };
     let _counted = state.begin_duty_call();
     let duty = DutyCall { holder: &state.settings.vm, fencing_token: held.fencing_token };
     let message = SizeOrder {
@@ -133,8 +133,8 @@
         .field("result", format!("{outcome:?}").to_lowercase())
         .info();
     match outcome {
-        DutyOutcome::Accepted => SizeOutcome::Accepted,
-        DutyOutcome::Refused(NONE_AVAILABLE) => SizeOutcome::Unavailable,
-        DutyOutcome::Refused(_) | DutyOutcome::Unanswered => SizeOutcome::Failed,
+        DutyOutcome::Accepted => ScalingOutcome::Accepted,
+        DutyOutcome::Refused(NONE_AVAILABLE) => ScalingOutcome::Unavailable,
+        DutyOutcome::Refused(_) | DutyOutcome::Unanswered => ScalingOutcome::Failed,
     }
 }
--- a/crates/edge/src/duty/usage_count_task.rs
+++ b/crates/edge/src/duty/usage_count_task.rs
@@ -19,7 +19,7 @@
     loop {
         actix_rt::time::sleep(LOOK_PERIOD).await;
         let before = state.unix_ms().saturating_sub(LATE_MS);
-        let batches = state.usage().close_ended(before);
+        let batches = state.usage().close_ended_windows(before);
         for batch in batches {
             record(&state, &store, &peers, batch).await;
         }
@@ -28,7 +28,7 @@
 
 /// Records what was counted so far, before the process ends.
 pub async fn record_usage_now(state: &EdgeState, store: &StoreAccess, peers: &PeerClient) {
-    let batches = state.usage().close_ended(u64::MAX);
+    let batches = state.usage().close_ended_windows(u64::MAX);
     for batch in batches {
         record(state, store, peers, batch).await;
     }
@@ -39,7 +39,7 @@
     let part = UsagePart { daemon: state.settings.vm.clone(), incarnation: state.incarnation, number, counts };
     let push = UsagePush { window, part };
     if collect(state, peers, &push).await || write_parts(state, store, &[(window, vec![push.part])]).await {
-        state.usage().recorded(number);
+        state.usage().batch_stored(number);
     }
 }
 
--- a/crates/edge/src/duty/usage_duty.rs
+++ b/crates/edge/src/duty/usage_duty.rs
@@ -54,7 +54,7 @@
             self.unreported.clear();
         }
         let Some(next) = self.begin().await else { return };
-        let due = self.state.usage().end_unix_ms(next) + SEAL_DELAY_MS;
+        let due = self.state.usage().window_end_unix_ms(next) + SEAL_DELAY_MS;
         if self.state.unix_ms() >= due && self.seal(next).await {
             self.next = Some(next + 1);
         }
@@ -73,7 +73,7 @@
                 return None;
             }
         };
-        let current = self.state.usage().window(self.state.unix_ms());
+        let current = self.state.usage().window_at(self.state.unix_ms());
         let mut last = None;
         for item in page.items {
             let Some(window) = KeyLayout::sealed_window(&item.key) else { continue };
@@ -101,7 +101,7 @@
         };
         let parts = unique_parts(&page);
         let daemons = parts.len();
-        let counts = UsageTally::sum(parts.into_values());
+        let counts = UsageTally::sum_counts(parts.into_values());
         let value = match encode(&UsageEntry { counts: counts.clone() }) {
             Ok(value) => value,
             Err(error) => {
--- a/crates/edge/src/edge_state.rs
+++ b/crates/edge/src/edge_state.rs
@@ -3,7 +3,7 @@
 use crate::{edge_metrics::EdgeMetrics, job::JobIndex, steady_time::SteadyTime};
 use pimentoslip_client::OwnerClock;
 use pimentoslip_kernel::{
-    OwnershipTable, PathChoice, RunBoard, SamplerTable, SharedName, TimePoint, TrafficConfig, UsageTally, fingerprint,
+    OwnershipTable, PathChoice, RunReports, SamplerTable, SharedName, TimePoint, TrafficConfig, UsageTally, fingerprint,
 };
 use pimentoslip_platform::ProcessSettings;
 use pimentoslip_wire::stored::DaemonEntry;
@@ -49,7 +49,7 @@
     store_path: Mutex<PathChoice>,
     store_regained_at: Mutex<Option<TimePoint>>,
     usage_writes: AtomicU64,
-    run_board: Mutex<RunBoard>,
+    run_board: Mutex<RunReports>,
     duty_calls: AtomicUsize,
 }
 
@@ -211,7 +211,7 @@
     }
 
     /// What other daemons run.
-    pub fn run_board(&self) -> MutexGuard<'_, RunBoard> {
+    pub fn run_board(&self) -> MutexGuard<'_, RunReports> {
         lock(&self.run_board)
     }
 
--- a/crates/edge/src/http/batch_api.rs
+++ b/crates/edge/src/http/batch_api.rs
@@ -37,7 +37,7 @@
     if request.method() != Method::POST || context.id.is_empty() {
         return Err(ApiRefusal::Malformed);
     }
-    let grant = if rule.open { None } else { context.grant(request)? };
+    let grant = if rule.allows_anonymous { None } else { context.grant(request)? };
     let organisation = grant.map_or_else(|| "".into(), |grant| grant.organisation);
     let body = read_body(parts, context, payload).await?;
     let submission = decode_submission(&body).map_err(|error| {
--- a/crates/edge/src/http/front_app.rs
+++ b/crates/edge/src/http/front_app.rs
@@ -63,7 +63,7 @@
         return batch_api::item(parts, context, request, job).await;
     }
     let rule = context.config.route(&context.host, &context.path).ok_or(ApiRefusal::RouteUnknown)?.clone();
-    if rule.batch().is_some() {
+    if rule.batch_rule().is_some() {
         return batch_api::submit(parts, context, request, payload, &rule).await;
     }
     proxy::proxy(parts, context, request, payload, &rule).await
--- a/crates/edge/src/http/peer_api.rs
+++ b/crates/edge/src/http/peer_api.rs
@@ -68,7 +68,7 @@
     match decode::<RunReport>(&body) {
         Ok(report) => {
             let now = parts.state.now();
-            parts.state.run_board().reported(report.daemon, report.runs, now);
+            parts.state.run_board().runs_reported(report.daemon, report.runs, now);
             answer(&true)
         }
         Err(error) => malformed(&error),
--- a/crates/edge/src/http/proxy.rs
+++ b/crates/edge/src/http/proxy.rs
@@ -15,7 +15,7 @@
 use actix_web::{HttpRequest, HttpResponse, web};
 use bytes::Bytes;
 use pimentoslip_kernel::{
-    RoomNeed, RouteKind, RouteRule, SamplerOutcome, SamplerQuery, SharedName, TimePoint, fingerprint,
+    CapacityNeed, RouteKind, RouteRule, SamplerOutcome, SamplerQuery, SharedName, TimePoint, fingerprint,
 };
 use pimentoslip_platform::header;
 use pimentoslip_telemetry::LogLine;
@@ -54,10 +54,10 @@
     payload: web::Payload,
     rule: &RouteRule,
 ) -> Result<HttpResponse, ApiRefusal> {
-    let grant = if rule.open { None } else { context.grant(request)? };
+    let grant = if rule.allows_anonymous { None } else { context.grant(request)? };
     let body = read_body(parts, context, payload).await?;
     let draw = fingerprint(&[context.id.as_bytes()]);
-    let service = rule.service(draw).ok_or(ApiRefusal::NoUpstream)?.clone();
+    let service = rule.service_for_draw(draw).ok_or(ApiRefusal::NoUpstream)?.clone();
     let query = request.uri().path_and_query().map_or_else(|| context.path.clone(), ToString::to_string);
     let call = UpstreamCall {
         id: context.id.clone(),
@@ -115,7 +115,7 @@
     rule: &RouteRule,
 ) -> Result<WholeAnswer, ApiRefusal> {
     let state = &parts.state;
-    let room_until = context.arrived.plus_ms(rule.objective_ms / ROOM_WAIT_DIVISOR);
+    let room_until = context.arrived.plus_ms(rule.latency_objective_ms / ROOM_WAIT_DIVISOR);
     let mut log = AttemptLog::default();
     while log.runs < rule.attempts_max && log.refusals <= REFUSALS_MAX && state.now() < call.deadline {
         let picked = pick(parts, service, &call.id, &log.tried);
@@ -199,7 +199,7 @@
         model: None,
         failure_domain: &parts.state.settings.failure_domain,
         excluded: tried,
-        room: RoomNeed::Queue,
+        capacity: CapacityNeed::Queue,
         affinity: id,
     };
     SamplerGuard::pick(&parts.state, &query)
@@ -210,5 +210,5 @@
     let Some(organisation) = &call.organisation else { return };
     let state = &parts.state;
     let unix_ms = state.unix_ms().saturating_sub(state.now().since_ms(sent));
-    state.usage().count(organisation, unix_ms);
+    state.usage().count_request(organisation, unix_ms);
 }
--- a/crates/edge/src/http/request_context.rs
+++ b/crates/edge/src/http/request_context.rs
@@ -56,7 +56,7 @@
 
     /// What the request's key grants; none where the operators use no organisations.
     pub fn grant(&self, request: &HttpRequest) -> Result<Option<KeyGrant>, ApiRefusal> {
-        if !self.config.keyed {
+        if !self.config.requires_key {
             return Ok(None);
         }
         let mut values = request.headers().get_all("authorization");
--- a/crates/edge/src/job/item_run.rs
+++ b/crates/edge/src/job/item_run.rs
@@ -11,7 +11,8 @@
 };
 use futures_util::StreamExt;
 use pimentoslip_kernel::{
-    EventVerdict, FIRST_EVENT, ItemWork, RoomNeed, RunEnd, RunPace, SamplerOutcome, SamplerQuery, SharedName, TimePoint,
+    CapacityNeed, EventOutcome, FIRST_EVENT_NUMBER, RunAssignment, RunMonitor, RunOutcome, SamplerOutcome,
+    SamplerQuery, SharedName, TimePoint,
 };
 use pimentoslip_platform::{EventReader, header};
 use pimentoslip_telemetry::LogLine;
@@ -24,14 +25,14 @@
 
 /// How a run ended, for the log and the upstream's standing.
 struct RunReport {
-    end: RunEnd,
+    end: RunOutcome,
     reason: &'static str,
     outcome: SamplerOutcome,
 }
 
 impl RunReport {
     fn of(failure: AttemptFailure) -> Self {
-        let end = if failure.may_have_run() { RunEnd::Broken } else { RunEnd::NotRun };
+        let end = if failure.may_have_run() { RunOutcome::Interrupted } else { RunOutcome::NotRun };
         let outcome = match failure {
             // These concern the item's model only.
             AttemptFailure::Refused | AttemptFailure::Misdirected => SamplerOutcome::Answered(None),
@@ -42,16 +43,22 @@
 }
 
 /// Runs an item and enters what came of it into the job's ledger.
-pub async fn run_item(job: OwnedJob, work: ItemWork, mut guard: SamplerGuard, priority: u32, give_up_at: TimePoint) {
+pub async fn run_item(
+    job: OwnedJob,
+    work: RunAssignment,
+    mut guard: SamplerGuard,
+    priority: u32,
+    give_up_at: TimePoint,
+) {
     let state = job.state.clone();
     let began = state.now();
-    let mut pace = RunPace::new(began);
+    let mut pace = RunMonitor::new(began);
     let report = stream_item(&job, work, &guard, priority, give_up_at, &mut pace).await;
-    let events = job.ledger.borrow().events(work.index);
+    let events = job.ledger.borrow().event_count(work.index);
     let took_ms = state.now().since_ms(began);
-    let fresh = events.saturating_sub(work.resume_after.map_or(0, |last| last + 1 - FIRST_EVENT));
+    let fresh = events.saturating_sub(work.resume_after.map_or(0, |last| last + 1 - FIRST_EVENT_NUMBER));
     guard.end(match report.outcome {
-        SamplerOutcome::Answered(_) => SamplerOutcome::Answered(pace.pace_ms()),
+        SamplerOutcome::Answered(_) => SamplerOutcome::Answered(pace.event_interval_ms()),
         outcome => outcome,
     });
     EdgeMetrics::count(&EdgeMetrics::global().runs, report.reason);
@@ -65,7 +72,7 @@
         .field("took_ms", took_ms)
         .field("result", report.reason)
         .info();
-    if report.end == RunEnd::NotRun
+    if report.end == RunOutcome::NotRun
         && let Some(model) = model(&job, work.index)
     {
         state.samplers().model_refused(&guard.record.id, &model, state.now());
@@ -81,7 +88,7 @@
     version.unwrap_or(0)
 }
 
-fn item_call(job: &OwnedJob, work: ItemWork, priority: u32, deadline: TimePoint) -> UpstreamCall {
+fn item_call(job: &OwnedJob, work: RunAssignment, priority: u32, deadline: TimePoint) -> UpstreamCall {
     let item = &job.submission.items[work.index];
     let mut headers = HeaderMap::new();
     for (name, value) in &item.headers {
@@ -106,11 +113,11 @@
 
 async fn stream_item(
     job: &OwnedJob,
-    work: ItemWork,
+    work: RunAssignment,
     guard: &SamplerGuard,
     priority: u32,
     give_up_at: TimePoint,
-    pace: &mut RunPace,
+    pace: &mut RunMonitor,
 ) -> RunReport {
     let state = &job.state;
     let now = state.now();
@@ -125,14 +132,14 @@
         status if status.is_success() => {}
         StatusCode::UNPROCESSABLE_ENTITY => {
             return RunReport {
-                end: RunEnd::Impossible,
+                end: RunOutcome::Unrunnable,
                 reason: "impossible",
                 outcome: SamplerOutcome::Answered(None),
             };
         }
         StatusCode::INTERNAL_SERVER_ERROR => {
             return RunReport {
-                end: RunEnd::Failed,
+                end: RunOutcome::Failed,
                 reason: "upstream_failed",
                 outcome: SamplerOutcome::Answered(None),
             };
@@ -148,10 +155,14 @@
     let mut events = EventReader::default();
     loop {
         let elsewhere_ms = pace_elsewhere(job, work.index, guard);
-        if elsewhere_ms.is_some_and(|ms| pace.is_slow(ms)) {
-            return RunReport { end: RunEnd::Broken, reason: "moved_slow", outcome: SamplerOutcome::Answered(None) };
+        if elsewhere_ms.is_some_and(|ms| pace.is_slower_than(ms)) {
+            return RunReport {
+                end: RunOutcome::Interrupted,
+                reason: "moved_slow",
+                outcome: SamplerOutcome::Answered(None),
+            };
         }
-        let silence = Duration::from_millis(pace.silent_at(elsewhere_ms).since_ms(state.now()));
+        let silence = Duration::from_millis(pace.unresponsive_at(elsewhere_ms).since_ms(state.now()));
         let chunk = match actix_rt::time::timeout(silence, answer.next()).await {
             Ok(Some(Ok(chunk))) => chunk,
             Ok(None) => return whole(&events),
@@ -160,22 +171,22 @@
             Err(_) => return RunReport::of(AttemptFailure::TimedOut),
         };
         let arrived = events.feed(&chunk);
-        pace.events(arrived.len() as u64, state.now());
+        pace.events_received(arrived.len() as u64, state.now());
         for event in arrived {
             version = event.version.or(version);
             // An event of unknown version cannot be kept.
             let Some(version) = version else { return RunReport::of(AttemptFailure::Spoilt) };
-            let verdict = job.ledger.borrow_mut().event(work.index, event.number, version, &event.data);
+            let verdict = job.ledger.borrow_mut().event_received(work.index, event.number, version, &event.data);
             match verdict {
-                EventVerdict::Taken => {}
-                EventVerdict::Restart => {
+                EventOutcome::Accepted => {}
+                EventOutcome::Restart => {
                     return RunReport {
-                        end: RunEnd::Broken,
+                        end: RunOutcome::Interrupted,
                         reason: "stale_version",
                         outcome: SamplerOutcome::Abandoned,
                     };
                 }
-                EventVerdict::Mismatch => return RunReport::of(AttemptFailure::Mismatch),
+                EventOutcome::Mismatch => return RunReport::of(AttemptFailure::Mismatch),
             }
         }
         if events.is_malformed() {
@@ -192,17 +203,17 @@
         model: model.as_deref().map(|model| (model, job.submission.oldest_version)),
         failure_domain: &job.state.settings.failure_domain,
         excluded: &[],
-        room: RoomNeed::FreeSlot,
+        capacity: CapacityNeed::FreeSlot,
         affinity: "",
     };
-    job.state.samplers().pace_elsewhere(&query, &guard.record.id, job.state.now())
+    job.state.samplers().fastest_other_latency_ms(&query, &guard.record.id, job.state.now())
 }
 
 fn whole(events: &EventReader) -> RunReport {
     if !events.is_between_events() {
         return RunReport::of(AttemptFailure::Spoilt);
     }
-    RunReport { end: RunEnd::Whole, reason: "whole", outcome: SamplerOutcome::Answered(None) }
+    RunReport { end: RunOutcome::Completed, reason: "whole", outcome: SamplerOutcome::Answered(None) }
 }
 
 /// Model that an item asks for: its own header's, or its batch job's.
--- a/crates/edge/src/job/job_runner.rs
+++ b/crates/edge/src/job/job_runner.rs
@@ -15,8 +15,8 @@
 };
 use awc::Client;
 use pimentoslip_kernel::{
-    BatchLedger, BatchTerms, ItemSpec, ItemWork, RoomNeed, RouteRule, SamplerQuery, SharedName, TextCheckpoint,
-    TimePoint,
+    BatchLedger, BatchOptions, CapacityNeed, ItemSpec, RouteRule, RunAssignment, SamplerQuery, SharedName,
+    TextCheckpoint, TimePoint,
 };
 use pimentoslip_platform::{BatchItem, BatchSubmission, StoreError};
 use pimentoslip_telemetry::LogLine;
@@ -46,8 +46,8 @@
         EdgeMetrics::global().batch_time.observe(ms as f64 / 1_000.0);
         LogLine::new("job_left")
             .field("job", &id)
-            .field("listed", ledger.listed())
-            .field("items", ledger.total())
+            .field("listed", ledger.listed_count())
+            .field("items", ledger.item_count())
             .field("ended", ledger.is_ended())
             .field("age_ms", ms)
             .info();
@@ -128,7 +128,7 @@
     if let Some(former) = former {
         ledger.restore(former);
     }
-    ledger.replay(&texts);
+    ledger.replay_checkpoints(&texts);
     LogLine::new("job_begun")
         .field("job", id)
         .field("step", submission.step)
@@ -157,19 +157,19 @@
     })
 }
 
-fn terms(rule: Option<&RouteRule>, submission: &BatchSubmission, submitted: TimePoint) -> BatchTerms {
-    let batch = rule.and_then(RouteRule::batch);
-    BatchTerms {
+fn terms(rule: Option<&RouteRule>, submission: &BatchSubmission, submitted: TimePoint) -> BatchOptions {
+    let batch = rule.and_then(RouteRule::batch_rule);
+    BatchOptions {
         attempts_max: rule.map_or(1, |rule| rule.attempts_max),
         oldest_version: submission.oldest_version,
         single_version: batch.is_some_and(|batch| batch.single_version),
-        give_up_at: submitted.plus_ms(batch.map_or(u64::MAX, |batch| batch.retention_ms)),
+        retention_ends_at: submitted.plus_ms(batch.map_or(u64::MAX, |batch| batch.retention_ms)),
         groups_awaited: submission.groups_awaited,
     }
 }
 
 fn item_spec(item: &BatchItem) -> ItemSpec {
-    ItemSpec { group: item.group.clone(), expected_tokens: item.expected_tokens(), scored: item.scorer.is_some() }
+    ItemSpec { group: item.group.clone(), expected_tokens: item.expected_tokens(), needs_score: item.scorer.is_some() }
 }
 
 /// Hands an unfinished job to another daemon.
@@ -182,7 +182,7 @@
         body: job.body.clone(),
         submission: job.submission.clone(),
     };
-    let ledger = job.ledger.borrow().state();
+    let ledger = job.ledger.borrow().handover_state();
     let parts = WorkerParts::new(job.state.clone());
     hand_over(&parts, &new, job.revision.get(), ledger).await;
 }
@@ -223,25 +223,25 @@
     let Some(rule) = job.route() else {
         if job.state.config().is_some() {
             LogLine::new("job_route_gone").field("job", &job.id).warn();
-            job.ledger.borrow_mut().abandon();
+            job.ledger.borrow_mut().terminate_unfinished();
         }
         return;
     };
-    let Some(batch) = rule.batch() else { return };
-    job.ledger.borrow_mut().expire(now);
+    let Some(batch) = rule.batch_rule() else { return };
+    job.ledger.borrow_mut().expire_items(now);
     let give_up_at = job.submitted.plus_ms(batch.retention_ms);
-    let waits = job.ledger.borrow().waiting() > 0;
+    let waits = job.ledger.borrow().waiting_count() > 0;
     state_waiting(job, &rule, waits);
     while waits && job.state.jobs().is_first(&rule.name, &job.id, job.submitted) {
-        let next = job.ledger.borrow_mut().next_run(now);
+        let next = job.ledger.borrow_mut().start_next_run(now);
         let Some(work) = next else { break };
         let Some(guard) = place(job, &rule, work) else {
-            job.ledger.borrow_mut().put_back(work.index);
+            job.ledger.borrow_mut().requeue_run(work.index);
             break;
         };
         runs.spawn_local(run_item(job.clone(), work, guard, rule.priority, give_up_at));
     }
-    let waits = job.ledger.borrow().waiting() > 0;
+    let waits = job.ledger.borrow().waiting_count() > 0;
     state_waiting(job, &rule, waits);
     deal_scores(job, runs, now);
 }
@@ -249,12 +249,12 @@
 /// Starts as many scorers' calls as there is room for.
 fn deal_scores(job: &OwnedJob, runs: &mut JoinSet<()>, now: TimePoint) {
     loop {
-        let next = job.ledger.borrow_mut().next_score(now);
+        let next = job.ledger.borrow_mut().start_next_scoring(now);
         let Some(index) = next else { return };
         match place_score(job, index) {
             Ok(placed) => runs.spawn_local(score_item(job.clone(), index, placed)),
             Err(hindrance) => {
-                job.ledger.borrow_mut().put_back_score(index);
+                job.ledger.borrow_mut().requeue_scoring(index);
                 if hindrance == ScoreHindrance::NoRoute {
                     LogLine::new("scorer_unroutable").field("job", &job.id).field("index", index).warn();
                 }
@@ -270,16 +270,16 @@
 }
 
 /// Chooses the upstream for an item.
-fn place(job: &OwnedJob, rule: &RouteRule, work: ItemWork) -> Option<SamplerGuard> {
+fn place(job: &OwnedJob, rule: &RouteRule, work: RunAssignment) -> Option<SamplerGuard> {
     let item = &job.submission.items[work.index];
     let model = model(job, work.index);
-    let service = rule.service(pimentoslip_kernel::fingerprint(&[item.id.as_bytes()]))?;
+    let service = rule.service_for_draw(pimentoslip_kernel::fingerprint(&[item.id.as_bytes()]))?;
     let query = SamplerQuery {
         service,
         model: model.as_deref().map(|model| (model, job.submission.oldest_version)),
         failure_domain: &job.state.settings.failure_domain,
         excluded: &[],
-        room: RoomNeed::FreeSlot,
+        capacity: CapacityNeed::FreeSlot,
         affinity: &item.group,
     };
     SamplerGuard::pick(&job.state, &query)
--- a/crates/edge/src/job/ledger_writer.rs
+++ b/crates/edge/src/job/ledger_writer.rs
@@ -60,7 +60,7 @@
     pub async fn round(&mut self, job: &OwnedJob, now: TimePoint) -> WriteOutcome {
         let due = {
             let ledger = job.ledger.borrow();
-            now >= self.results_at || ledger.is_finished() || ledger.is_urgent()
+            now >= self.results_at || ledger.all_items_finished() || ledger.is_listing_urgent()
         };
         let results = if due { results_write(job) } else { None };
         let texts = if results.is_some() || now >= self.texts_at { texts_write(job) } else { None };
@@ -77,7 +77,7 @@
 
 fn results_write(job: &OwnedJob) -> Option<ResultsWrite> {
     let mut ledger = job.ledger.borrow_mut();
-    let chunk = ledger.chunk(CHUNK_BYTES_MAX)?;
+    let chunk = ledger.next_chunk(CHUNK_BYTES_MAX)?;
     let entry = ResultsEntry::of(chunk, |index| job.submission.items[index].id.clone());
     let value = encoded(job, encode(&entry))?;
     Some(ResultsWrite { key: KeyLayout::chunk(&job.id, entry.first), entry, value })
@@ -85,7 +85,7 @@
 
 fn texts_write(job: &OwnedJob) -> Option<TextsWrite> {
     let mut ledger = job.ledger.borrow_mut();
-    let (number, checkpoint) = ledger.checkpoint(TEXT_BYTES_MAX)?;
+    let (number, checkpoint) = ledger.next_checkpoint(TEXT_BYTES_MAX)?;
     let value = encoded(job, encode(&TextsEntry::from(checkpoint)))?;
     Some(TextsWrite { key: KeyLayout::text(&job.id, number), number, value })
 }
@@ -142,7 +142,7 @@
             saved(job, texts, item.revision);
         } else {
             LogLine::new("texts_conflict").field("job", &job.id).field("number", texts.number).warn();
-            job.ledger.borrow_mut().checkpoint_taken(texts.number);
+            job.ledger.borrow_mut().checkpoint_conflicted(texts.number);
         }
     }
     let Some(results) = results else { return WriteOutcome::Continue };
@@ -164,7 +164,7 @@
         .field("next", entry.next())
         .field("revision", revision)
         .info();
-    job.ledger.borrow_mut().chunk_listed(entry.first);
+    job.ledger.borrow_mut().chunk_stored(entry.first);
     {
         let mut jobs = job.state.jobs();
         jobs.chunk_known(&job.id, entry.first, entry.next());
@@ -180,5 +180,5 @@
         .field("bytes", texts.value.len())
         .field("revision", revision)
         .info();
-    job.ledger.borrow_mut().checkpoint_saved(texts.number);
+    job.ledger.borrow_mut().checkpoint_stored(texts.number);
 }
--- a/crates/edge/src/job/score_run.rs
+++ b/crates/edge/src/job/score_run.rs
@@ -6,7 +6,7 @@
     relay::{SamplerGuard, UpstreamCall, attempt_whole},
 };
 use actix_web::http::{Method, StatusCode, header::HeaderMap};
-use pimentoslip_kernel::{RoomNeed, RouteRule, SamplerOutcome, SamplerQuery, ScoreEnd, fingerprint};
+use pimentoslip_kernel::{CapacityNeed, RouteRule, SamplerOutcome, SamplerQuery, ScoreOutcome, fingerprint};
 use pimentoslip_platform::{ScorerCall, header};
 use pimentoslip_telemetry::LogLine;
 use std::sync::Arc;
@@ -38,13 +38,13 @@
     let state = &job.state;
     let scorer = job.submission.items[index].scorer.as_ref().ok_or(ScoreHindrance::NoRoute)?;
     let rule = scorer_rule(job, scorer).ok_or(ScoreHindrance::NoRoute)?;
-    let service = rule.service(fingerprint(&[scorer.id.as_bytes()])).ok_or(ScoreHindrance::NoRoute)?;
+    let service = rule.service_for_draw(fingerprint(&[scorer.id.as_bytes()])).ok_or(ScoreHindrance::NoRoute)?;
     let query = SamplerQuery {
         service,
         model: None,
         failure_domain: &state.settings.failure_domain,
         excluded: &[],
-        room: RoomNeed::SpareSlot,
+        capacity: CapacityNeed::SpareSlot,
         affinity: &scorer.id,
     };
     let guard = SamplerGuard::pick(state, &query).ok_or(ScoreHindrance::NoRoom)?;
@@ -79,7 +79,7 @@
             .warn();
     }
     let now = job.state.now();
-    job.ledger.borrow_mut().score_ended(index, end, failures_max(&job, index), now);
+    job.ledger.borrow_mut().scoring_ended(index, end, failures_max(&job, index), now);
     job.changed.notify_one();
 }
 
@@ -90,21 +90,21 @@
     own.max(scorer.and_then(|scorer| scorer_rule(job, scorer)).map_or(1, |rule| rule.attempts_max))
 }
 
-async fn score(job: &OwnedJob, placed: ScoreCall) -> (ScoreEnd, &'static str) {
+async fn score(job: &OwnedJob, placed: ScoreCall) -> (ScoreOutcome, &'static str) {
     let ScoreCall { call, mut guard } = placed;
     let now = job.state.now();
     let answer = match attempt_whole(&job.upstreams, &call, &guard, now, ANSWER_BYTES_MAX).await {
         Ok(answer) => answer,
         Err(failure) => {
             guard.end(failure.outcome());
-            return (ScoreEnd::Broken, failure.as_str());
+            return (ScoreOutcome::Interrupted, failure.as_str());
         }
     };
     guard.end(SamplerOutcome::Answered(Some(job.state.now().since_ms(now))));
     let signature = answer.headers.get(header::SIGNATURE).and_then(|value| value.to_str().ok());
     match (answer.status, signature) {
-        (status, Some(signature)) if status.is_success() => (ScoreEnd::Signed(signature.to_owned()), SIGNED),
-        (StatusCode::INTERNAL_SERVER_ERROR, _) => (ScoreEnd::Failed, "scorer_failed"),
-        _ => (ScoreEnd::Broken, "scorer_refused"),
+        (status, Some(signature)) if status.is_success() => (ScoreOutcome::Signed(signature.to_owned()), SIGNED),
+        (StatusCode::INTERNAL_SERVER_ERROR, _) => (ScoreOutcome::Failed, "scorer_failed"),
+        _ => (ScoreOutcome::Interrupted, "scorer_refused"),
     }
 }
--- a/crates/edge/src/relay/sampler_guard.rs
+++ b/crates/edge/src/relay/sampler_guard.rs
@@ -35,6 +35,6 @@
 impl Drop for SamplerGuard {
     fn drop(&mut self) {
         let now = self.state.now();
-        self.state.samplers().ended(&self.record.id, self.outcome, now);
+        self.state.samplers().request_ended(&self.record.id, self.outcome, now);
     }
 }
--- a/crates/kernel/src/batch/batch_ledger.rs
+++ b/crates/kernel/src/batch/batch_ledger.rs
@@ -1,8 +1,8 @@
 //! A batch job at its owner: which items run next, what their runs brought, what may be listed.
 
 use super::{
-    BatchTerms, EventVerdict, ItemResult, ItemSpec, ItemState, ItemWork, LedgerState, PartialItem, ResultChunk, RunEnd,
-    SampleText, ScoreEnd, TextCheckpoint,
+    BatchOptions, EventOutcome, ItemResult, ItemSpec, ItemState, LedgerState, ResultChunk, RunAssignment, RunOutcome,
+    SampleText, ScoreOutcome, TextCheckpoint, UnfinishedItem,
 };
 use crate::{SharedName, TimePoint};
 use std::collections::{BTreeMap, BTreeSet};
@@ -34,7 +34,7 @@
 /// The ledger of one batch job.
 #[derive(Debug)]
 pub struct BatchLedger {
-    terms: BatchTerms,
+    terms: BatchOptions,
     items: Vec<ItemEntry>,
     /// Waiting items; longest first.
     queue: BTreeSet<(std::cmp::Reverse<u64>, usize)>,
@@ -55,7 +55,7 @@
 impl BatchLedger {
     /// Opens the ledger; `listed` are the indexes of the items already listed, in order.
     #[must_use]
-    pub fn new(terms: BatchTerms, specs: Vec<ItemSpec>, listed: &[usize]) -> Self {
+    pub fn new(terms: BatchOptions, specs: Vec<ItemSpec>, listed: &[usize]) -> Self {
         let mut items: Vec<ItemEntry> = specs
             .into_iter()
             .map(|spec| ItemEntry {
@@ -96,13 +96,13 @@
 
     /// What the next owner needs beyond the record.
     #[must_use]
-    pub fn state(&self) -> LedgerState {
+    pub fn handover_state(&self) -> LedgerState {
         let pending = self.chunk.iter().flat_map(|chunk| &chunk.results);
         let unfinished = self.items.iter().enumerate().filter(|(_, item)| item.phase != ItemPhase::Finished);
-        let partial = unfinished.map(|(index, item)| PartialItem {
+        let partial = unfinished.map(|(index, item)| UnfinishedItem {
             index,
             text: item.text.clone(),
-            whole: matches!(item.phase, ItemPhase::ScoreDue { .. } | ItemPhase::Scoring),
+            is_complete: matches!(item.phase, ItemPhase::ScoreDue { .. } | ItemPhase::Scoring),
             run_failures: item.run_failures,
             score_failures: item.score_failures,
         });
@@ -118,14 +118,14 @@
         self.checkpoints = self.checkpoints.max(state.checkpoints);
         for part in state.items {
             let Some(item) = self.items.get_mut(part.index) else { continue };
-            let untouched = matches!(item.phase, ItemPhase::Waiting { .. }) && item.text.last().is_none();
+            let untouched = matches!(item.phase, ItemPhase::Waiting { .. }) && item.text.last_event().is_none();
             if !untouched {
                 continue;
             }
             item.text = part.text;
             item.run_failures = part.run_failures;
             item.score_failures = part.score_failures;
-            if part.whole && item.text.last().is_some() {
+            if part.is_complete && item.text.last_event().is_some() {
                 item.phase = ItemPhase::ScoreDue { until: TimePoint(0) };
                 self.queue.remove(&(std::cmp::Reverse(item.spec.expected_tokens), part.index));
                 self.score_due.insert(part.index);
@@ -139,20 +139,20 @@
     }
 
     /// Takes over the texts on record, in the order of their checkpoints.
-    pub fn replay(&mut self, checkpoints: &[TextCheckpoint]) {
+    pub fn replay_checkpoints(&mut self, checkpoints: &[TextCheckpoint]) {
         self.checkpoints = self.checkpoints.max(checkpoints.len());
         for part in checkpoints.iter().flat_map(|checkpoint| &checkpoint.parts) {
             if let Some(item) = self.items.get_mut(part.index)
                 && matches!(item.phase, ItemPhase::Waiting { .. })
             {
-                item.text.replay(part);
+                item.text.replay_part(part);
             }
         }
     }
 
     /// Texts to be put on record next, with the number of their checkpoint. The same ones are returned until they are
     /// on record.
-    pub fn checkpoint(&mut self, bytes_max: usize) -> Option<(usize, &TextCheckpoint)> {
+    pub fn next_checkpoint(&mut self, bytes_max: usize) -> Option<(usize, &TextCheckpoint)> {
         if self.ended {
             return None;
         }
@@ -161,8 +161,8 @@
             let mut parts = Vec::new();
             let unfinished = self.items.iter_mut().enumerate().filter(|(_, item)| item.phase != ItemPhase::Finished);
             for (index, item) in unfinished {
-                if bytes < bytes_max && item.text.unsaved() >= CHECKPOINT_EVENTS_MIN {
-                    let part = item.text.take_unsaved(index);
+                if bytes < bytes_max && item.text.unsaved_count() >= CHECKPOINT_EVENTS_MIN {
+                    let part = item.text.take_unsaved_part(index);
                     bytes += part.as_ref().map_or(0, |part| part.text.len());
                     parts.extend(part);
                 }
@@ -173,7 +173,7 @@
     }
 
     /// The checkpoint `number` is on record.
-    pub fn checkpoint_saved(&mut self, number: usize) {
+    pub fn checkpoint_stored(&mut self, number: usize) {
         if self.checkpoint.is_some() && self.checkpoints == number {
             self.checkpoint = None;
             self.checkpoints += 1;
@@ -181,38 +181,38 @@
     }
 
     /// Something else stands under `number`: what is on record is not known, and every text is put on record anew.
-    pub fn checkpoint_taken(&mut self, number: usize) {
+    pub fn checkpoint_conflicted(&mut self, number: usize) {
         if self.checkpoints != number {
             return;
         }
         self.checkpoint = None;
         self.checkpoints += 1;
         for item in &mut self.items {
-            item.text.forget_saved();
+            item.text.clear_saved();
         }
     }
 
     /// Whether the submitter waits for a result that is not listed yet, so that listing should not wait for more.
     #[must_use]
-    pub fn is_urgent(&self) -> bool {
+    pub fn is_listing_urgent(&self) -> bool {
         self.urgent
     }
 
     /// Items that wait to be run.
     #[must_use]
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         self.queue.len()
     }
 
     /// Number of items.
     #[must_use]
-    pub fn total(&self) -> usize {
+    pub fn item_count(&self) -> usize {
         self.items.len()
     }
 
     /// Number of results that are listed.
     #[must_use]
-    pub fn listed(&self) -> usize {
+    pub fn listed_count(&self) -> usize {
         self.listed
     }
 
@@ -236,7 +236,7 @@
     }
 
     /// The next item to run, which counts as running from now on.
-    pub fn next_run(&mut self, now: TimePoint) -> Option<ItemWork> {
+    pub fn start_next_run(&mut self, now: TimePoint) -> Option<RunAssignment> {
         let ready = |entry: &&(std::cmp::Reverse<u64>, usize)| match self.items[entry.1].phase {
             ItemPhase::Waiting { until } => until <= now,
             _ => false,
@@ -245,11 +245,11 @@
         self.queue.remove(&entry);
         let item = &mut self.items[entry.1];
         item.phase = ItemPhase::Running;
-        Some(ItemWork { index: entry.1, resume_after: item.text.last() })
+        Some(RunAssignment { index: entry.1, resume_after: item.text.last_event() })
     }
 
     /// The next item to score, which counts as being scored from now on.
-    pub fn next_score(&mut self, now: TimePoint) -> Option<usize> {
+    pub fn start_next_scoring(&mut self, now: TimePoint) -> Option<usize> {
         let ready = |index: &&usize| match self.items[**index].phase {
             ItemPhase::ScoreDue { until } => until <= now,
             _ => false,
@@ -261,52 +261,52 @@
     }
 
     /// A run brought an event.
-    pub fn event(&mut self, index: usize, number: u64, version: u64, data: &str) -> EventVerdict {
+    pub fn event_received(&mut self, index: usize, number: u64, version: u64, data: &str) -> EventOutcome {
         let terms = self.terms;
-        let Some(item) = self.items.get_mut(index) else { return EventVerdict::Mismatch };
+        let Some(item) = self.items.get_mut(index) else { return EventOutcome::Mismatch };
         if self.ended || item.phase != ItemPhase::Running {
-            return EventVerdict::Mismatch;
+            return EventOutcome::Mismatch;
         }
         let mixed = terms.single_version && item.text.versions().iter().any(|known| *known != version);
         if version < terms.oldest_version || mixed {
             item.text = SampleText::default();
-            return EventVerdict::Restart;
+            return EventOutcome::Restart;
         }
-        if item.text.push(number, version, data) { EventVerdict::Taken } else { EventVerdict::Mismatch }
+        if item.text.push_event(number, version, data) { EventOutcome::Accepted } else { EventOutcome::Mismatch }
     }
 
     /// A run ended.
-    pub fn run_ended(&mut self, index: usize, end: RunEnd, now: TimePoint) {
+    pub fn run_ended(&mut self, index: usize, end: RunOutcome, now: TimePoint) {
         let attempts_max = self.terms.attempts_max;
         let Some(item) = self.items.get_mut(index) else { return };
         if self.ended || item.phase != ItemPhase::Running {
             return;
         }
         match end {
-            RunEnd::Whole if item.text.last().is_some() && item.spec.scored => {
+            RunOutcome::Completed if item.text.last_event().is_some() && item.spec.needs_score => {
                 item.phase = ItemPhase::ScoreDue { until: now };
                 self.score_due.insert(index);
             }
-            RunEnd::Whole if item.text.last().is_some() => self.finish(index, None),
-            RunEnd::Whole | RunEnd::Broken | RunEnd::NotRun => self.requeue(index, now),
-            RunEnd::Failed => {
+            RunOutcome::Completed if item.text.last_event().is_some() => self.finish(index, None),
+            RunOutcome::Completed | RunOutcome::Interrupted | RunOutcome::NotRun => self.requeue(index, now),
+            RunOutcome::Failed => {
                 item.run_failures += 1;
                 if item.run_failures >= attempts_max { self.give_up(index) } else { self.requeue(index, now) }
             }
-            RunEnd::Impossible => self.give_up(index),
+            RunOutcome::Unrunnable => self.give_up(index),
         }
     }
 
     /// A scoring ended. The item is given up after `failures_max` failures of its scorer.
-    pub fn score_ended(&mut self, index: usize, end: ScoreEnd, failures_max: u32, now: TimePoint) {
+    pub fn scoring_ended(&mut self, index: usize, end: ScoreOutcome, failures_max: u32, now: TimePoint) {
         let Some(item) = self.items.get_mut(index) else { return };
         if self.ended || item.phase != ItemPhase::Scoring {
             return;
         }
         match end {
-            ScoreEnd::Signed(signature) => return self.finish(index, Some(signature)),
-            ScoreEnd::Failed => item.score_failures += 1,
-            ScoreEnd::Broken => {}
+            ScoreOutcome::Signed(signature) => return self.finish(index, Some(signature)),
+            ScoreOutcome::Failed => item.score_failures += 1,
+            ScoreOutcome::Interrupted => {}
         }
         if item.score_failures >= failures_max.max(1) {
             return self.give_up(index);
@@ -316,8 +316,8 @@
     }
 
     /// Gives up what is past its retention. Running items are given up too; their runs must end.
-    pub fn expire(&mut self, now: TimePoint) {
-        if self.ended || now < self.terms.give_up_at {
+    pub fn expire_items(&mut self, now: TimePoint) {
+        if self.ended || now < self.terms.retention_ends_at {
             return;
         }
         for index in 0..self.items.len() {
@@ -328,34 +328,34 @@
     }
 
     /// Gives up all that is left, because the job's route is gone.
-    pub fn abandon(&mut self) {
-        self.terms.give_up_at = TimePoint(0);
-        self.expire(TimePoint(0));
+    pub fn terminate_unfinished(&mut self) {
+        self.terms.retention_ends_at = TimePoint(0);
+        self.expire_items(TimePoint(0));
     }
 
     /// Results to be listed next, at most `bytes_max` of them unless the first alone is larger. The same
     /// chunk is returned until it is listed.
-    pub fn chunk(&mut self, bytes_max: usize) -> Option<&ResultChunk> {
+    pub fn next_chunk(&mut self, bytes_max: usize) -> Option<&ResultChunk> {
         if self.ended {
             return None;
         }
         if self.chunk.is_none() && !self.unlisted.is_empty() {
             let mut bytes = 0;
             let fits = self.unlisted.iter().take_while(|result| {
-                bytes += result.size();
+                bytes += result.stored_bytes();
                 bytes <= bytes_max
             });
             let count = fits.count().max(1);
             let results = self.unlisted.drain(..count).collect();
             self.urgent &= !self.unlisted.is_empty();
-            self.chunk = Some(ResultChunk { first: self.listed, results });
+            self.chunk = Some(ResultChunk { first_position: self.listed, results });
         }
         self.chunk.as_ref()
     }
 
     /// The chunk at `first` is stored, so its results are listed.
-    pub fn chunk_listed(&mut self, first: usize) {
-        if self.chunk.as_ref().is_none_or(|chunk| chunk.first != first) {
+    pub fn chunk_stored(&mut self, first: usize) {
+        if self.chunk.as_ref().is_none_or(|chunk| chunk.first_position != first) {
             return;
         }
         if let Some(chunk) = self.chunk.take() {
@@ -365,18 +365,18 @@
 
     /// Whether every item is finished, so that no further result will join those that wait to be listed.
     #[must_use]
-    pub fn is_finished(&self) -> bool {
+    pub fn all_items_finished(&self) -> bool {
         self.items.iter().all(|item| item.phase == ItemPhase::Finished)
     }
 
     /// Events of the item's text so far.
     #[must_use]
-    pub fn events(&self, index: usize) -> u64 {
-        self.items.get(index).map_or(0, |item| item.text.events())
+    pub fn event_count(&self, index: usize) -> u64 {
+        self.items.get(index).map_or(0, |item| item.text.event_count())
     }
 
-    /// No upstream has room for an item that [`Self::next_run`] returned.
-    pub fn put_back(&mut self, index: usize) {
+    /// No upstream has room for an item that [`Self::start_next_run`] returned.
+    pub fn requeue_run(&mut self, index: usize) {
         let Some(item) = self.items.get_mut(index) else { return };
         if item.phase == ItemPhase::Running {
             item.phase = ItemPhase::Waiting { until: TimePoint(0) };
@@ -384,8 +384,8 @@
         }
     }
 
-    /// No upstream has room to score the item that [`Self::next_score`] returned.
-    pub fn put_back_score(&mut self, index: usize) {
+    /// No upstream has room to score the item that [`Self::start_next_scoring`] returned.
+    pub fn requeue_scoring(&mut self, index: usize) {
         let Some(item) = self.items.get_mut(index) else { return };
         if item.phase == ItemPhase::Scoring {
             item.phase = ItemPhase::ScoreDue { until: TimePoint(0) };
--- a/crates/kernel/src/batch/batch_terms.rs
+++ b/crates/kernel/src/batch/batch_options.rs
@@ -10,12 +10,12 @@
     /// Expected length, in tokens; longer items run first.
     pub expected_tokens: u64,
     /// Whether a score is wanted.
-    pub scored: bool,
+    pub needs_score: bool,
 }
 
 /// Terms of a batch job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BatchTerms {
+pub struct BatchOptions {
     /// Failed runs after which an item is given up.
     pub attempts_max: u32,
     /// Oldest version whose events count.
@@ -23,14 +23,14 @@
     /// Whether a text must come from one version.
     pub single_version: bool,
     /// When items may be given up.
-    pub give_up_at: TimePoint,
+    pub retention_ends_at: TimePoint,
     /// Whole groups that the submitter waits for.
     pub groups_awaited: u64,
 }
 
 /// An item to be run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ItemWork {
+pub struct RunAssignment {
     /// Index of the item.
     pub index: usize,
     /// Number of the last event that is already known.
@@ -39,9 +39,9 @@
 
 /// Whether a run may go on after an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EventVerdict {
+pub enum EventOutcome {
     /// It was taken in.
-    Taken,
+    Accepted,
     /// The text is void and starts anew; the run must end.
     Restart,
     /// The run doesn't continue the text; the run must end.
@@ -50,26 +50,26 @@
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RunEnd {
+pub enum RunOutcome {
     /// With the last event.
-    Whole,
+    Completed,
     /// In the middle, or without an answer.
-    Broken,
+    Interrupted,
     /// The upstream refused to run it.
     NotRun,
     /// The upstream ran it and failed.
     Failed,
     /// The item can never be run.
-    Impossible,
+    Unrunnable,
 }
 
 /// How a scoring ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ScoreEnd {
+pub enum ScoreOutcome {
     /// With the scorer's signature.
     Signed(String),
     /// The scorer failed.
     Failed,
     /// Without an answer, or refused.
-    Broken,
+    Interrupted,
 }
--- a/crates/kernel/src/batch/item_result.rs
+++ b/crates/kernel/src/batch/item_result.rs
@@ -29,7 +29,7 @@
 impl ItemResult {
     /// Bytes that the result takes in storage, roughly.
     #[must_use]
-    pub fn size(&self) -> usize {
+    pub fn stored_bytes(&self) -> usize {
         const FIELDS_BYTES: usize = 200;
         self.text.len() + FIELDS_BYTES
     }
--- a/crates/kernel/src/batch/ledger_state.rs
+++ b/crates/kernel/src/batch/ledger_state.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResultChunk {
     /// Position of the first result.
-    pub first: usize,
+    pub first_position: usize,
     /// Results in order.
     pub results: Vec<ItemResult>,
 }
@@ -18,7 +18,7 @@
     /// Finished items that may not be listed yet, in order.
     pub unlisted: Vec<ItemResult>,
     /// Texts of unfinished items.
-    pub items: Vec<PartialItem>,
+    pub items: Vec<UnfinishedItem>,
     /// Checkpoints that are on record or may be.
     #[serde(default)]
     pub checkpoints: usize,
@@ -26,13 +26,14 @@
 
 /// An unfinished item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PartialItem {
+pub struct UnfinishedItem {
     /// Index of the item.
     pub index: usize,
     /// Events so far.
     pub text: SampleText,
     /// Whether the text is whole and only the score is missing.
-    pub whole: bool,
+    #[serde(rename = "whole")]
+    pub is_complete: bool,
     /// Failed runs.
     pub run_failures: u32,
     /// Failures of the scorer.
--- a/crates/kernel/src/batch/mod.rs
+++ b/crates/kernel/src/batch/mod.rs
@@ -1,17 +1,17 @@
 //! Batch jobs: which items run, which are finished, which are listed.
 
 mod batch_ledger;
-mod batch_terms;
+mod batch_options;
 mod item_result;
 mod ledger_state;
-mod run_pace;
+mod run_monitor;
 mod sample_text;
 mod text_checkpoint;
 
 pub use batch_ledger::BatchLedger;
-pub use batch_terms::{BatchTerms, EventVerdict, ItemSpec, ItemWork, RunEnd, ScoreEnd};
+pub use batch_options::{BatchOptions, EventOutcome, ItemSpec, RunAssignment, RunOutcome, ScoreOutcome};
 pub use item_result::{ItemResult, ItemState};
-pub use ledger_state::{LedgerState, PartialItem, ResultChunk};
-pub use run_pace::RunPace;
-pub use sample_text::{FIRST_EVENT, SampleText};
+pub use ledger_state::{LedgerState, ResultChunk, UnfinishedItem};
+pub use run_monitor::RunMonitor;
+pub use sample_text::{FIRST_EVENT_NUMBER, SampleText};
 pub use text_checkpoint::{TextCheckpoint, TextPart};
--- a/crates/kernel/src/batch/run_pace.rs
+++ b/crates/kernel/src/batch/run_monitor.rs
@@ -17,13 +17,13 @@
 
 /// The pace of one run.
 #[derive(Clone, Copy, Debug)]
-pub struct RunPace {
+pub struct RunMonitor {
     last: TimePoint,
     events: u64,
     gap_us: u64,
 }
 
-impl RunPace {
+impl RunMonitor {
     /// Starts at the moment at which the run was sent.
     #[must_use]
     pub fn new(now: TimePoint) -> Self {
@@ -31,7 +31,7 @@
     }
 
     /// `count` events arrived together.
-    pub fn events(&mut self, count: u64, now: TimePoint) {
+    pub fn events_received(&mut self, count: u64, now: TimePoint) {
         if count == 0 {
             return;
         }
@@ -48,19 +48,19 @@
 
     /// Moving average of the time between two events in milliseconds, once it says something.
     #[must_use]
-    pub fn pace_ms(&self) -> Option<u64> {
+    pub fn event_interval_ms(&self) -> Option<u64> {
         (self.events >= EVENTS_MIN).then_some(self.gap_us / 1_000)
     }
 
     /// Whether a run elsewhere, at `best_ms` an event, would be faster by far.
     #[must_use]
-    pub fn is_slow(&self, best_ms: u64) -> bool {
-        self.pace_ms().is_some_and(|pace_ms| pace_ms > best_ms.max(1) * SLOW_FACTOR)
+    pub fn is_slower_than(&self, best_ms: u64) -> bool {
+        self.event_interval_ms().is_some_and(|pace_ms| pace_ms > best_ms.max(1) * SLOW_FACTOR)
     }
 
     /// When the run counts as silent unless an event arrives. `best_ms` is the time of an event elsewhere, if known.
     #[must_use]
-    pub fn silent_at(&self, best_ms: Option<u64>) -> TimePoint {
+    pub fn unresponsive_at(&self, best_ms: Option<u64>) -> TimePoint {
         let limit_ms = best_ms.map_or(SILENCE_MS_MAX, |ms| (ms * SILENT_EVENTS).clamp(SILENCE_MS_MIN, SILENCE_MS_MAX));
         self.last.plus_ms(limit_ms)
     }
--- a/crates/kernel/src/batch/sample_text.rs
+++ b/crates/kernel/src/batch/sample_text.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Number of a text's first event.
-pub const FIRST_EVENT: u64 = 1;
+pub const FIRST_EVENT_NUMBER: u64 = 1;
 
 /// Events received so far, from one or several runs that follow each other without a gap.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -27,20 +27,20 @@
 impl SampleText {
     /// Number of the last event, if there is one.
     #[must_use]
-    pub fn last(&self) -> Option<u64> {
+    pub fn last_event(&self) -> Option<u64> {
         self.last
     }
 
     /// Number of events.
     #[must_use]
-    pub fn events(&self) -> u64 {
-        self.last.map_or(0, |last| last + 1 - FIRST_EVENT)
+    pub fn event_count(&self) -> u64 {
+        self.last.map_or(0, |last| last + 1 - FIRST_EVENT_NUMBER)
     }
 
     /// Events that no checkpoint holds.
     #[must_use]
-    pub fn unsaved(&self) -> u64 {
-        self.events() - self.saved.events
+    pub fn unsaved_count(&self) -> u64 {
+        self.event_count() - self.saved.events
     }
 
     /// Versions that generated the text, ascending.
@@ -50,8 +50,8 @@
     }
 
     /// Appends an event. False if its number doesn't follow the last one's, or isn't the first one's.
-    pub fn push(&mut self, number: u64, version: u64, data: &str) -> bool {
-        if number != self.last.map_or(FIRST_EVENT, |last| last + 1) {
+    pub fn push_event(&mut self, number: u64, version: u64, data: &str) -> bool {
+        if number != self.last.map_or(FIRST_EVENT_NUMBER, |last| last + 1) {
             return false;
         }
         self.append(number, data, &[version]);
@@ -59,32 +59,32 @@
     }
 
     /// The events that no checkpoint holds, which count as saved from now on.
-    pub fn take_unsaved(&mut self, index: usize) -> Option<TextPart> {
+    pub fn take_unsaved_part(&mut self, index: usize) -> Option<TextPart> {
         let last = self.last?;
-        if self.unsaved() == 0 {
+        if self.unsaved_count() == 0 {
             return None;
         }
-        let first = FIRST_EVENT + self.saved.events;
+        let first = FIRST_EVENT_NUMBER + self.saved.events;
         let separator = usize::from(self.saved.events > 0);
         let text = self.text[self.saved.bytes + separator..].to_owned();
-        self.saved = SavedMark { events: self.events(), bytes: self.text.len() };
-        Some(TextPart { index, first, last, text, versions: self.versions.clone() })
+        self.saved = SavedMark { events: self.event_count(), bytes: self.text.len() };
+        Some(TextPart { index, first_event: first, last_event: last, text, versions: self.versions.clone() })
     }
 
     /// Forgets that anything is on record.
-    pub fn forget_saved(&mut self) {
+    pub fn clear_saved(&mut self) {
         self.saved = SavedMark::default();
     }
 
     /// Takes over a part from the record. A part that leaves a gap is passed over.
-    pub fn replay(&mut self, part: &TextPart) {
-        if part.first == FIRST_EVENT {
+    pub fn replay_part(&mut self, part: &TextPart) {
+        if part.first_event == FIRST_EVENT_NUMBER {
             *self = Self::default();
-        } else if self.last.is_none_or(|last| part.first != last + 1) {
+        } else if self.last.is_none_or(|last| part.first_event != last + 1) {
             return;
         }
-        self.append(part.last, &part.text, &part.versions);
-        self.saved = SavedMark { events: self.events(), bytes: self.text.len() };
+        self.append(part.last_event, &part.text, &part.versions);
+        self.saved = SavedMark { events: self.event_count(), bytes: self.text.len() };
     }
 
     /// The text and its versions.
--- a/crates/kernel/src/batch/text_checkpoint.rs
+++ b/crates/kernel/src/batch/text_checkpoint.rs
@@ -6,9 +6,9 @@
     /// Index of the item.
     pub index: usize,
     /// Number of the part's first event. A part that begins with the text's first event replaces what was before.
-    pub first: u64,
+    pub first_event: u64,
     /// Number of its last event.
-    pub last: u64,
+    pub last_event: u64,
     /// Data of its events, separated by line feeds.
     pub text: String,
     /// Versions that generated the text up to here.
--- a/crates/kernel/src/duty/duty_history.rs
+++ b/crates/kernel/src/duty/duty_history.rs
@@ -9,44 +9,44 @@
 
 /// When a daemon took the duty.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct DutyTaker {
+pub struct DutyAcquisition {
     /// Daemon.
     pub daemon: SharedName,
     /// When it took it, in milliseconds since the Unix epoch.
-    pub taken_unix_ms: u64,
+    pub acquired_unix_ms: u64,
 }
 
 /// Former holders.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DutyHistory {
     /// Holders, newest last.
-    pub takers: Vec<DutyTaker>,
+    pub acquisitions: Vec<DutyAcquisition>,
 }
 
 impl DutyHistory {
     /// The last holder.
     #[must_use]
-    pub fn last(&self) -> Option<&SharedName> {
-        self.takers.last().map(|taker| &taker.daemon)
+    pub fn last_holder(&self) -> Option<&SharedName> {
+        self.acquisitions.last().map(|taker| &taker.daemon)
     }
 
     /// How long `daemon` waits after it took the duty, if it takes it now. A holder acts only under its lease, and the
     /// next one takes the duty after that lease; so only one whose own last term is still within `handover_ms` could
     /// act in turn with another.
     #[must_use]
-    pub fn wait_ms(&self, daemon: &str, unix_ms: u64, handover_ms: u64) -> u64 {
-        let own = self.takers.iter().rposition(|taker| *taker.daemon == *daemon);
-        let Some(successor) = own.and_then(|own| self.takers.get(own + 1)) else { return 0 };
-        let since_ms = unix_ms.checked_sub(successor.taken_unix_ms);
+    pub fn handover_wait_ms(&self, daemon: &str, unix_ms: u64, handover_ms: u64) -> u64 {
+        let own = self.acquisitions.iter().rposition(|taker| *taker.daemon == *daemon);
+        let Some(successor) = own.and_then(|own| self.acquisitions.get(own + 1)) else { return 0 };
+        let since_ms = unix_ms.checked_sub(successor.acquired_unix_ms);
         if since_ms.is_some_and(|ms| ms > handover_ms + CLOCK_ERROR_MS) { 0 } else { handover_ms }
     }
 
     /// Adds the holder that takes the duty now.
     #[must_use]
-    pub fn taken(mut self, daemon: SharedName, unix_ms: u64) -> Self {
-        self.takers.push(DutyTaker { daemon, taken_unix_ms: unix_ms });
-        let over = self.takers.len().saturating_sub(HOLDERS_MAX);
-        self.takers.drain(..over);
+    pub fn with_acquisition(mut self, daemon: SharedName, unix_ms: u64) -> Self {
+        self.acquisitions.push(DutyAcquisition { daemon, acquired_unix_ms: unix_ms });
+        let over = self.acquisitions.len().saturating_sub(HOLDERS_MAX);
+        self.acquisitions.drain(..over);
         self
     }
 }
--- a/crates/kernel/src/duty/duty_term.rs
+++ b/crates/kernel/src/duty/duty_term.rs
@@ -4,13 +4,13 @@
 
 /// The lease under which this process holds things, as known now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LeaseStanding {
+pub struct LeaseStatus {
     /// The lease, while it is not known to have ended.
     pub lease: Option<u64>,
     /// The end of the lease unless it is renewed.
-    pub ends_at: TimePoint,
+    pub expires_at: TimePoint,
     /// Revision of the duty's record, if there is one.
-    pub recorded: Option<u64>,
+    pub duty_revision: Option<u64>,
 }
 
 /// What a holder may do: act from one point in time to another, under one fencing token.
@@ -29,18 +29,18 @@
 impl DutyTerm {
     /// Begins a term under `lease`, which ends at `ends_at`. The holder waits for `wait_ms` before it acts.
     #[must_use]
-    pub fn begin(fencing_token: u64, lease: u64, granted: TimePoint, ends_at: TimePoint, wait_ms: u64) -> Self {
+    pub fn start(fencing_token: u64, lease: u64, granted: TimePoint, ends_at: TimePoint, wait_ms: u64) -> Self {
         Self { fencing_token, lease, acts_from: granted.plus_ms(wait_ms), ends_at }
     }
 
     /// Brings the term up to date. False if it is over for good. A lease that could not be renewed in time is no
     /// end: if a later renewal succeeds, the lease and the record on it never ended.
-    pub fn refresh(&mut self, standing: LeaseStanding) -> bool {
-        let replaced = standing.recorded.is_some_and(|revision| revision != self.fencing_token);
+    pub fn refresh(&mut self, standing: LeaseStatus) -> bool {
+        let replaced = standing.duty_revision.is_some_and(|revision| revision != self.fencing_token);
         if standing.lease != Some(self.lease) || replaced {
             return false;
         }
-        self.ends_at = self.ends_at.max(standing.ends_at);
+        self.ends_at = self.ends_at.max(standing.expires_at);
         true
     }
 
--- a/crates/kernel/src/duty/mod.rs
+++ b/crates/kernel/src/duty/mod.rs
@@ -2,14 +2,14 @@
 
 mod duty_history;
 mod duty_term;
-mod run_board;
-mod size_planner;
+mod run_reports;
+mod scaling_planner;
 mod usage_tally;
 mod version_planner;
 
-pub use duty_history::{DutyHistory, DutyTaker};
-pub use duty_term::{DutyTerm, LeaseStanding};
-pub use run_board::RunBoard;
-pub use size_planner::{DomainOrder, SizeOutcome, SizePlanner, standing_floor};
+pub use duty_history::{DutyAcquisition, DutyHistory};
+pub use duty_term::{DutyTerm, LeaseStatus};
+pub use run_reports::RunReports;
+pub use scaling_planner::{ScalingOrder, ScalingOutcome, ScalingPlanner, standing_counts};
 pub use usage_tally::{UsageBatch, UsageTally};
-pub use version_planner::{LoadOrder, LoadView, ModelDemand, OrderOutcome, VersionPlanner};
+pub use version_planner::{LoadOrder, LoadOutcome, ModelDemand, ServiceSnapshot, VersionPlanner};
--- a/crates/kernel/src/duty/run_board.rs
+++ b/crates/kernel/src/duty/run_reports.rs
@@ -8,18 +8,18 @@
 
 /// Runs by daemon and upstream.
 #[derive(Debug, Default)]
-pub struct RunBoard {
+pub struct RunReports {
     reports: BTreeMap<SharedName, (TimePoint, BTreeMap<SharedName, u64>)>,
 }
 
-impl RunBoard {
+impl RunReports {
     /// `daemon` runs this much at each upstream.
-    pub fn reported(&mut self, daemon: SharedName, runs: BTreeMap<SharedName, u64>, now: TimePoint) {
+    pub fn runs_reported(&mut self, daemon: SharedName, runs: BTreeMap<SharedName, u64>, now: TimePoint) {
         self.reports.insert(daemon, (now.plus_ms(REPORT_LIFE_MS), runs));
     }
 
     /// Runs of all daemons at each upstream.
-    pub fn runs(&mut self, now: TimePoint) -> BTreeMap<SharedName, u64> {
+    pub fn runs_by_upstream(&mut self, now: TimePoint) -> BTreeMap<SharedName, u64> {
         self.reports.retain(|_, (until, _)| *until > now);
         let mut total: BTreeMap<SharedName, u64> = BTreeMap::new();
         for (upstream, runs) in self.reports.values().flat_map(|(_, runs)| runs) {
--- a/crates/kernel/src/duty/size_planner.rs
+++ b/crates/kernel/src/duty/scaling_planner.rs
@@ -19,7 +19,7 @@
 
 /// What became of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SizeOutcome {
+pub enum ScalingOutcome {
     /// It was accepted.
     Accepted,
     /// There are none of that kind at the moment.
@@ -30,7 +30,7 @@
 
 /// An order for upstreams of one kind in one failure domain.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct DomainOrder {
+pub struct ScalingOrder {
     /// Failure domain.
     pub failure_domain: SharedName,
     /// Whether reclaimable ones are meant.
@@ -62,13 +62,13 @@
 
 /// Plans the size of one service.
 #[derive(Debug, Default)]
-pub struct SizePlanner {
+pub struct ScalingPlanner {
     domains: BTreeMap<SharedName, DomainPlan>,
     peak: u64,
     peak_at: TimePoint,
 }
 
-impl SizePlanner {
+impl ScalingPlanner {
     /// Orders to be given now. `floor` is the number of standing upstreams that stay in each failure domain, `demand`
     /// the number of requests that could run at once.
     pub fn plan(
@@ -78,7 +78,7 @@
         floor: &BTreeMap<SharedName, u64>,
         demand: u64,
         now: TimePoint,
-    ) -> Vec<DomainOrder> {
+    ) -> Vec<ScalingOrder> {
         if demand >= self.peak || now >= self.peak_at.plus_ms(DEMAND_WINDOW_MS) {
             self.peak = demand;
             self.peak_at = now;
@@ -99,7 +99,7 @@
                 upstreams.iter().filter(of_kind).count() as u64
             };
             let (standing, reclaimable) = (here(false), here(true));
-            let floor = floor.get(&failure_domain).copied().unwrap_or(0).clamp(rule.least, rule.most);
+            let floor = floor.get(&failure_domain).copied().unwrap_or(0).clamp(rule.upstreams_min, rule.upstreams_max);
             let plan = self.domains.entry(failure_domain.clone()).or_default();
             let extra = target.saturating_sub(floor);
             let wants_reclaimable = rule.reclaimable_price.is_some() && plan.reclaimable.unavailable_until <= now;
@@ -113,7 +113,7 @@
             {
                 if plan.kind(kind).is_due(desired, present, now) {
                     let failure_domain = failure_domain.clone();
-                    orders.push(DomainOrder { failure_domain, reclaimable: kind, desired });
+                    orders.push(ScalingOrder { failure_domain, reclaimable: kind, desired });
                 }
             }
         }
@@ -121,14 +121,16 @@
     }
 
     /// An order was answered, or not.
-    pub fn ordered(&mut self, order: &DomainOrder, outcome: SizeOutcome, startup_ms: u64, now: TimePoint) {
+    pub fn order_answered(&mut self, order: &ScalingOrder, outcome: ScalingOutcome, startup_ms: u64, now: TimePoint) {
         let Some(plan) = self.domains.get_mut(&order.failure_domain) else { return };
         let kind = plan.kind(order.reclaimable);
         kind.next_at = now.plus_ms(RETRY_MS);
         match outcome {
-            SizeOutcome::Accepted => kind.ordered = Some((order.desired, now.plus_ms(startup_ms + STARTUP_SLACK_MS))),
-            SizeOutcome::Unavailable => kind.unavailable_until = now.plus_ms(UNAVAILABLE_MS),
-            SizeOutcome::Failed => kind.ordered = None,
+            ScalingOutcome::Accepted => {
+                kind.ordered = Some((order.desired, now.plus_ms(startup_ms + STARTUP_SLACK_MS)))
+            }
+            ScalingOutcome::Unavailable => kind.unavailable_until = now.plus_ms(UNAVAILABLE_MS),
+            ScalingOutcome::Failed => kind.ordered = None,
         }
     }
 }
@@ -149,7 +151,7 @@
 
 /// Standing upstreams of a service in each failure domain.
 #[must_use]
-pub fn standing_floor(upstreams: &[SamplerRecord]) -> BTreeMap<SharedName, u64> {
+pub fn standing_counts(upstreams: &[SamplerRecord]) -> BTreeMap<SharedName, u64> {
     let mut floor: BTreeMap<SharedName, u64> = BTreeMap::new();
     let standing = upstreams.iter().filter(|record| !record.reclaimable && record.state == SamplerState::Ready);
     for record in standing {
@@ -161,17 +163,17 @@
 /// Upstreams of a service in each failure domain: as even as it gets, the cheapest ones first for what is left.
 fn domain_targets(rule: &ScalingRule, wanted: u64) -> BTreeMap<SharedName, u64> {
     let mut targets: BTreeMap<SharedName, u64> =
-        rule.domain_prices.keys().map(|domain| (domain.clone(), rule.least)).collect();
+        rule.domain_prices.keys().map(|domain| (domain.clone(), rule.upstreams_min)).collect();
     let mut by_price: Vec<(&u64, &SharedName)> =
         rule.domain_prices.iter().map(|(domain, price)| (price, domain)).collect();
     by_price.sort();
     let mut left = wanted.saturating_sub(targets.values().sum());
     while left > 0 {
         let before = left;
-        let fewest = targets.values().copied().min().unwrap_or(rule.most);
+        let fewest = targets.values().copied().min().unwrap_or(rule.upstreams_max);
         for (_, domain) in &by_price {
             let target = targets.entry((*domain).clone()).or_default();
-            if left > 0 && *target == fewest && *target < rule.most {
+            if left > 0 && *target == fewest && *target < rule.upstreams_max {
                 *target += 1;
                 left -= 1;
             }
--- a/crates/kernel/src/duty/usage_tally.rs
+++ b/crates/kernel/src/duty/usage_tally.rs
@@ -36,19 +36,19 @@
 
     /// The window at `unix_ms`.
     #[must_use]
-    pub fn window(&self, unix_ms: u64) -> u64 {
+    pub fn window_at(&self, unix_ms: u64) -> u64 {
         unix_ms / self.window_ms
     }
 
     /// When `window` ends, in milliseconds since the Unix epoch.
     #[must_use]
-    pub fn end_unix_ms(&self, window: u64) -> u64 {
+    pub fn window_end_unix_ms(&self, window: u64) -> u64 {
         (window + 1) * self.window_ms
     }
 
     /// A request of `organisation` began at `unix_ms`.
-    pub fn count(&mut self, organisation: &SharedName, unix_ms: u64) {
-        let window = self.window(unix_ms);
+    pub fn count_request(&mut self, organisation: &SharedName, unix_ms: u64) {
+        let window = self.window_at(unix_ms);
         *self.counts.entry(window).or_default().entry(organisation.clone()).or_default() += 1;
         while self.counts.len() > WINDOWS_MAX {
             self.counts.pop_first();
@@ -57,8 +57,8 @@
 
     /// Closes the windows that ended before `unix_ms`, and returns what is not on record. A batch never changes, so that
     /// a repeated write counts it once.
-    pub fn close_ended(&mut self, unix_ms: u64) -> Vec<UsageBatch> {
-        let open = self.counts.split_off(&self.window(unix_ms));
+    pub fn close_ended_windows(&mut self, unix_ms: u64) -> Vec<UsageBatch> {
+        let open = self.counts.split_off(&self.window_at(unix_ms));
         for (window, counts) in std::mem::replace(&mut self.counts, open) {
             let number = self.next_number;
             self.next_number += 1;
@@ -71,13 +71,13 @@
     }
 
     /// The batch `number` is on record.
-    pub fn recorded(&mut self, number: u64) {
+    pub fn batch_stored(&mut self, number: u64) {
         self.closed.remove(&number);
     }
 
     /// Adds the counts of several daemons.
     #[must_use]
-    pub fn sum(parts: impl IntoIterator<Item = BTreeMap<SharedName, u64>>) -> BTreeMap<SharedName, u64> {
+    pub fn sum_counts(parts: impl IntoIterator<Item = BTreeMap<SharedName, u64>>) -> BTreeMap<SharedName, u64> {
         let mut total: BTreeMap<SharedName, u64> = BTreeMap::new();
         for (organisation, count) in parts.into_iter().flatten() {
             *total.entry(organisation).or_default() += count;
--- a/crates/kernel/src/duty/version_planner.rs
+++ b/crates/kernel/src/duty/version_planner.rs
@@ -39,11 +39,11 @@
 
 /// What became of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OrderOutcome {
+pub enum LoadOutcome {
     /// The upstream carries it out.
     Accepted,
     /// The upstream had that version already.
-    Held,
+    AlreadyLoaded,
     /// Another order is in progress, or the number of orders accepted differs.
     Conflict,
     /// The upstream refused it, or is another one.
@@ -56,16 +56,16 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ModelDemand {
     /// Newest version that its trainer named.
-    pub named: u64,
+    pub newest_version: u64,
     /// Oldest version that the newest step allows; 0 if there is none.
-    pub oldest_usable: u64,
+    pub oldest_usable_version: u64,
     /// Work of its recent steps, in any unit that all models share.
     pub work: u64,
 }
 
 /// What the planner sees of one service.
 #[derive(Clone, Copy, Debug)]
-pub struct LoadView<'a> {
+pub struct ServiceSnapshot<'a> {
     /// Its upstreams.
     pub upstreams: &'a [SamplerRecord],
     /// Models that its upstreams serve.
@@ -107,7 +107,7 @@
 
 impl VersionPlanner {
     /// Orders to be given now.
-    pub fn plan(&mut self, view: &LoadView<'_>, now: TimePoint) -> Vec<LoadOrder> {
+    pub fn plan(&mut self, view: &ServiceSnapshot<'_>, now: TimePoint) -> Vec<LoadOrder> {
         self.sync(view.upstreams);
         self.note(view.models, now);
         let ready: Vec<&SamplerRecord> =
@@ -122,7 +122,7 @@
                 if room == 0 {
                     return orders;
                 }
-                orders.push(self.order(record, &model, view.models[&model].named, now));
+                orders.push(self.order(record, &model, view.models[&model].newest_version, now));
                 room -= 1;
             }
         }
@@ -130,15 +130,15 @@
     }
 
     /// An order was answered, or not.
-    pub fn ordered(&mut self, order: &LoadOrder, outcome: OrderOutcome, now: TimePoint) {
+    pub fn order_answered(&mut self, order: &LoadOrder, outcome: LoadOutcome, now: TimePoint) {
         let Some(plan) = self.plans.get_mut(&order.upstream) else { return };
         match outcome {
-            OrderOutcome::Accepted => {
+            LoadOutcome::Accepted => {
                 plan.accepted = order.accepted_before.map(|count| count + 1);
                 plan.loading_until = now.plus_ms(LOAD_LOST_MS);
             }
-            OrderOutcome::Held => plan.loading_until = now,
-            OrderOutcome::Conflict | OrderOutcome::Refused | OrderOutcome::Unanswered => {
+            LoadOutcome::AlreadyLoaded => plan.loading_until = now,
+            LoadOutcome::Conflict | LoadOutcome::Refused | LoadOutcome::Unanswered => {
                 plan.accepted = None;
                 plan.loading_until = now;
                 plan.next_at = now.plus_ms(RETRY_PAUSE_MS);
@@ -148,7 +148,7 @@
 
     /// Model that `upstream` is dealt to.
     #[must_use]
-    pub fn model(&self, upstream: &str) -> Option<&SharedName> {
+    pub fn assigned_model(&self, upstream: &str) -> Option<&SharedName> {
         self.plans.get(upstream)?.model.as_ref()
     }
 
@@ -173,9 +173,9 @@
 
     fn note(&mut self, models: &BTreeMap<SharedName, ModelDemand>, now: TimePoint) {
         for (model, demand) in models {
-            let seen = self.seen.entry(model.clone()).or_insert((demand.named, now));
-            if seen.0 < demand.named {
-                *seen = (demand.named, now);
+            let seen = self.seen.entry(model.clone()).or_insert((demand.newest_version, now));
+            if seen.0 < demand.newest_version {
+                *seen = (demand.newest_version, now);
             }
         }
     }
@@ -201,7 +201,7 @@
             // Of the models that lack upstreams, the one whose newest version is nearest to what it has.
             let lacking = self.quotas.iter().filter(|(model, quota)| counts[*model] < **quota);
             let lag = |model: &SharedName| {
-                models[model].named.saturating_sub(record.versions.get(model).copied().unwrap_or(0))
+                models[model].newest_version.saturating_sub(record.versions.get(model).copied().unwrap_or(0))
             };
             let Some(model) = lacking.map(|(model, _)| model).min_by_key(|model| lag(model)).cloned() else { continue };
             *counts.entry(model.clone()).or_default() += 1;
@@ -213,7 +213,7 @@
 
     /// Keeps the quotas unless the number of upstreams or models has changed, or a model's share is off by a whole one.
     fn set_quotas(&mut self, upstreams: u64, models: &BTreeMap<SharedName, ModelDemand>) {
-        let trained = models.iter().filter(|(_, demand)| demand.named > 0);
+        let trained = models.iter().filter(|(_, demand)| demand.newest_version > 0);
         let trained: Vec<(&SharedName, &ModelDemand)> = trained.collect();
         let dealt = if trained.is_empty() { models.iter().collect() } else { trained };
         let shares = shares(upstreams, &dealt);
@@ -235,13 +235,13 @@
         now: TimePoint,
     ) -> Vec<SharedName> {
         let mut names: Vec<SharedName> = self.quotas.keys().cloned().collect();
-        names.sort_by_key(|model| self.at_newest(ready, model, models[model].named, now));
+        names.sort_by_key(|model| self.at_newest(ready, model, models[model].newest_version, now));
         names
     }
 
     /// Upstreams of `model` that have `version` or load it.
     fn at_newest(&self, ready: &[&SamplerRecord], model: &SharedName, version: u64, now: TimePoint) -> usize {
-        let dealt = ready.iter().filter(|record| self.model(&record.id) == Some(model));
+        let dealt = ready.iter().filter(|record| self.assigned_model(&record.id) == Some(model));
         dealt
             .filter(|record| {
                 let loads = |plan: &UpstreamPlan| plan.loading_until > now && plan.loading_version >= version;
@@ -256,22 +256,24 @@
         &self,
         ready: &[&'a SamplerRecord],
         model: &SharedName,
-        view: &LoadView<'_>,
+        view: &ServiceSnapshot<'_>,
         now: TimePoint,
     ) -> Vec<&'a SamplerRecord> {
         let demand = view.models[model];
         let settled = self.seen.get(model).is_some_and(|(_, since)| now >= since.plus_ms(LOAD_DELAY_MS));
-        let dealt: Vec<&&SamplerRecord> = ready.iter().filter(|record| self.model(&record.id) == Some(model)).collect();
-        let mut wanted = dealt.len().div_ceil(2).saturating_sub(self.at_newest(ready, model, demand.named, now));
+        let dealt: Vec<&&SamplerRecord> =
+            ready.iter().filter(|record| self.assigned_model(&record.id) == Some(model)).collect();
+        let mut wanted =
+            dealt.len().div_ceil(2).saturating_sub(self.at_newest(ready, model, demand.newest_version, now));
         let mut candidates: Vec<(LoadClass, u64, &'a SamplerRecord)> = Vec::new();
         for record in dealt {
             let Some(held) = record.versions.get(model).copied() else { continue };
             let free = self.plans.get(&record.id).is_some_and(|plan| plan.loading_until <= now && plan.next_at <= now);
-            if held >= demand.named || !free {
+            if held >= demand.newest_version || !free {
                 continue;
             }
             let runs = view.runs.get(&record.id).copied().unwrap_or(0);
-            let class = match (held < demand.oldest_usable, runs) {
+            let class = match (held < demand.oldest_usable_version, runs) {
                 (true, _) => LoadClass::Unusable,
                 (false, 0) => LoadClass::Idle,
                 (false, _) => LoadClass::Busy,
--- a/crates/kernel/src/sampler/mod.rs
+++ b/crates/kernel/src/sampler/mod.rs
@@ -4,4 +4,4 @@
 mod sampler_table;
 
 pub use sampler_record::{SamplerRecord, SamplerState};
-pub use sampler_table::{RoomNeed, SamplerOutcome, SamplerQuery, SamplerTable};
+pub use sampler_table::{CapacityNeed, SamplerOutcome, SamplerQuery, SamplerTable};
--- a/crates/kernel/src/sampler/sampler_table.rs
+++ b/crates/kernel/src/sampler/sampler_table.rs
@@ -38,7 +38,7 @@
 
 /// How much room a request needs at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RoomNeed {
+pub enum CapacityNeed {
     /// None: it may wait there.
     Queue,
     /// A free slot.
@@ -48,7 +48,7 @@
     SpareSlot,
 }
 
-impl RoomNeed {
+impl CapacityNeed {
     fn is_met(self, load: u64, slots: u64) -> bool {
         match self {
             Self::Queue => true,
@@ -70,7 +70,7 @@
     /// Ids of upstreams already tried.
     pub excluded: &'a [SharedName],
     /// How much room an upstream must have.
-    pub room: RoomNeed,
+    pub capacity: CapacityNeed,
     /// Spreads equal choices; requests with one key prefer one upstream.
     pub affinity: &'a str,
 }
@@ -149,7 +149,7 @@
     }
 
     /// Replaces the whole list.
-    pub fn replace(&mut self, records: Vec<SamplerRecord>) {
+    pub fn replace_all(&mut self, records: Vec<SamplerRecord>) {
         self.entries.retain(|id, _| records.iter().any(|record| record.id == *id));
         for record in records {
             self.upsert(record);
@@ -169,7 +169,7 @@
 
     /// Requests of this daemon at each upstream that serves models; idle ones are left out.
     #[must_use]
-    pub fn model_runs(&self) -> BTreeMap<SharedName, u64> {
+    pub fn model_requests(&self) -> BTreeMap<SharedName, u64> {
         let running = self.entries.values().filter(|entry| entry.inflight > 0 && !entry.record.versions.is_empty());
         running.map(|entry| (entry.record.id.clone(), entry.inflight)).collect()
     }
@@ -188,7 +188,7 @@
         let candidates = serving()
             .filter(|entry| !query.excluded.contains(&entry.record.id))
             .filter(|entry| entry.is_open(query, now))
-            .filter(|entry| query.room.is_met(entry.load(now), entry.record.slots));
+            .filter(|entry| query.capacity.is_met(entry.load(now), entry.record.slots));
         candidates
             .min_by_key(|entry| {
                 let away = *entry.record.failure_domain != *query.failure_domain;
@@ -202,14 +202,14 @@
 
     /// Pace in milliseconds of the fastest upstream other than `id` that has room for the query.
     #[must_use]
-    pub fn pace_elsewhere(&self, query: &SamplerQuery<'_>, id: &str, now: TimePoint) -> Option<u64> {
+    pub fn fastest_other_latency_ms(&self, query: &SamplerQuery<'_>, id: &str, now: TimePoint) -> Option<u64> {
         let others = self.entries.values().filter(|entry| entry.serves(query) && *entry.record.id != *id);
         let free = others.filter(|entry| entry.is_open(query, now) && entry.load(now) < entry.record.slots);
         free.filter_map(|entry| entry.pace_ms).min()
     }
 
     /// A request on `id` ended.
-    pub fn ended(&mut self, id: &str, outcome: SamplerOutcome, now: TimePoint) {
+    pub fn request_ended(&mut self, id: &str, outcome: SamplerOutcome, now: TimePoint) {
         let Some(entry) = self.entries.get_mut(id) else { return };
         entry.inflight = entry.inflight.saturating_sub(1);
         match outcome {
--- a/crates/kernel/src/traffic/route_rule.rs
+++ b/crates/kernel/src/traffic/route_rule.rs
@@ -47,7 +47,7 @@
     /// Longest time in milliseconds that a caller is kept waiting.
     pub timeout_ms: u64,
     /// Latency objective in milliseconds.
-    pub objective_ms: u64,
+    pub latency_objective_ms: u64,
     /// Rank, 0 first.
     pub priority: u32,
     /// Services, at least one.
@@ -55,13 +55,13 @@
     /// Upstreams that one request may be sent to.
     pub attempts_max: u32,
     /// Whether callers need no key.
-    pub open: bool,
+    pub allows_anonymous: bool,
 }
 
 impl RouteRule {
     /// The service for a request, by weight; `draw` is any evenly spread number.
     #[must_use]
-    pub fn service(&self, draw: u64) -> Option<&SharedName> {
+    pub fn service_for_draw(&self, draw: u64) -> Option<&SharedName> {
         let total: u64 = self.targets.iter().map(|target| u64::from(target.weight)).sum();
         let mut left = draw.checked_rem(total).unwrap_or(0);
         for target in &self.targets {
@@ -76,7 +76,7 @@
 
     /// Terms of batch jobs, if the route carries them.
     #[must_use]
-    pub fn batch(&self) -> Option<BatchRule> {
+    pub fn batch_rule(&self) -> Option<BatchRule> {
         match self.kind {
             RouteKind::Batch(rule) => Some(rule),
             RouteKind::Idempotent | RouteKind::Once => None,
--- a/crates/kernel/src/traffic/service_rule.rs
+++ b/crates/kernel/src/traffic/service_rule.rs
@@ -7,9 +7,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScalingRule {
     /// Fewest in a failure domain, of both kinds together.
-    pub least: u64,
+    pub upstreams_min: u64,
     /// Most in a failure domain, of both kinds together.
-    pub most: u64,
+    pub upstreams_max: u64,
     /// Time in milliseconds from an order until its upstreams serve.
     pub startup_ms: u64,
     /// Price of a reclaimable upstream, in thousandths of that of a standing one; none if there are none.
--- a/crates/kernel/src/traffic/traffic_config.rs
+++ b/crates/kernel/src/traffic/traffic_config.rs
@@ -30,7 +30,7 @@
     /// Bounds on clients.
     pub limits: ClientLimits,
     /// Whether requests on routes that are not open need a key.
-    pub keyed: bool,
+    pub requires_key: bool,
 }
 
 impl TrafficConfig {
@@ -52,7 +52,7 @@
         }
         let services = services.into_iter().map(|service| (service.name.clone(), service)).collect();
         let keyed = keys.is_some();
-        Self { version, routes, services, keys: keys.unwrap_or_default(), limits, keyed }
+        Self { version, routes, services, keys: keys.unwrap_or_default(), limits, requires_key: keyed }
     }
 
     /// The route of a request: the longest prefix of `path` among the routes of `host`.
@@ -68,7 +68,7 @@
     }
 
     /// All routes.
-    pub fn rules(&self) -> impl Iterator<Item = &Arc<RouteRule>> {
+    pub fn routes(&self) -> impl Iterator<Item = &Arc<RouteRule>> {
         self.routes.values().flatten()
     }
 }
--- a/crates/kernel/tests/machines/batches.rs
+++ b/crates/kernel/tests/machines/batches.rs
@@ -2,8 +2,8 @@
 
 use crate::sequence;
 use pimentoslip_kernel::{
-    BatchLedger, BatchTerms, EventVerdict, FIRST_EVENT, ItemResult, ItemSpec, ItemState, ItemWork, RunEnd, ScoreEnd,
-    TextCheckpoint, TimePoint,
+    BatchLedger, BatchOptions, EventOutcome, FIRST_EVENT_NUMBER, ItemResult, ItemSpec, ItemState, RunAssignment,
+    RunOutcome, ScoreOutcome, TextCheckpoint, TimePoint,
 };
 use quickcheck::{Arbitrary, Gen};
 use std::collections::{BTreeMap, BTreeSet};
@@ -64,11 +64,11 @@
 }
 
 fn text(index: usize) -> String {
-    (FIRST_EVENT..=length(index)).map(|number| data(index, number)).collect::<Vec<_>>().join("\n")
+    (FIRST_EVENT_NUMBER..=length(index)).map(|number| data(index, number)).collect::<Vec<_>>().join("\n")
 }
 
 struct Run {
-    work: ItemWork,
+    work: RunAssignment,
     next: u64,
 }
 
@@ -94,7 +94,7 @@
 }
 
 struct World {
-    terms: BatchTerms,
+    terms: BatchOptions,
     ledger: BatchLedger,
     runs: Vec<Run>,
     truth: Truth,
@@ -103,16 +103,24 @@
 }
 
 fn specs() -> Vec<ItemSpec> {
-    let spec =
-        |index: usize| ItemSpec { group: "g".into(), expected_tokens: length(index), scored: index.is_multiple_of(2) };
+    let spec = |index: usize| ItemSpec {
+        group: "g".into(),
+        expected_tokens: length(index),
+        needs_score: index.is_multiple_of(2),
+    };
     (0..ITEMS).map(spec).collect()
 }
 
 impl World {
     fn new(single_version: bool) -> Self {
         let give_up_at = TimePoint(GIVE_UP_MS);
-        let terms =
-            BatchTerms { attempts_max: ATTEMPTS_MAX, oldest_version: 2, single_version, give_up_at, groups_awaited: 1 };
+        let terms = BatchOptions {
+            attempts_max: ATTEMPTS_MAX,
+            oldest_version: 2,
+            single_version,
+            retention_ends_at: give_up_at,
+            groups_awaited: 1,
+        };
         let truth = Truth {
             kept: vec![Vec::new(); ITEMS],
             failures: vec![0; ITEMS],
@@ -132,11 +140,11 @@
     fn step(&mut self, command: &Command) -> Result<(), String> {
         match *command {
             Command::Run => {
-                while let Some(work) = self.ledger.next_run(self.now) {
+                while let Some(work) = self.ledger.start_next_run(self.now) {
                     if self.runs.iter().any(|run| run.work.index == work.index) {
                         return Err(format!("item {} runs twice at one owner", work.index));
                     }
-                    self.runs.push(Run { work, next: work.resume_after.map_or(FIRST_EVENT, |last| last + 1) });
+                    self.runs.push(Run { work, next: work.resume_after.map_or(FIRST_EVENT_NUMBER, |last| last + 1) });
                 }
             }
             Command::Event { run, skip } => self.event(run, skip)?,
@@ -148,7 +156,7 @@
             Command::Change { handed } => self.change(handed),
             Command::Wait { ms } => {
                 self.now = self.now.plus_ms(u64::from(ms));
-                self.ledger.expire(self.now);
+                self.ledger.expire_items(self.now);
                 self.runs.retain(|run| self.ledger.is_running(run.work.index));
             }
         }
@@ -164,29 +172,29 @@
         if number > length(index) {
             return Ok(());
         }
-        let before = FIRST_EVENT + self.truth.kept[index].len() as u64;
-        let verdict = self.ledger.event(index, number, self.version, &data(index, number));
+        let before = FIRST_EVENT_NUMBER + self.truth.kept[index].len() as u64;
+        let verdict = self.ledger.event_received(index, number, self.version, &data(index, number));
         let kept = &mut self.truth.kept[index];
         let fits = number == before;
         match verdict {
-            EventVerdict::Taken if !fits => {
+            EventOutcome::Accepted if !fits => {
                 return Err(format!("event {number} of item {index} was taken out of turn"));
             }
-            EventVerdict::Taken if self.version < self.terms.oldest_version => {
+            EventOutcome::Accepted if self.version < self.terms.oldest_version => {
                 return Err(format!("an event of version {} was taken", self.version));
             }
-            EventVerdict::Taken => {
+            EventOutcome::Accepted => {
                 kept.push(self.version);
                 self.runs[at].next = number + 1;
             }
-            EventVerdict::Restart => {
+            EventOutcome::Restart => {
                 kept.clear();
                 self.runs.remove(at);
-                self.ledger.run_ended(index, RunEnd::Broken, self.now);
+                self.ledger.run_ended(index, RunOutcome::Interrupted, self.now);
             }
-            EventVerdict::Mismatch => {
+            EventOutcome::Mismatch => {
                 self.runs.remove(at);
-                self.ledger.run_ended(index, RunEnd::Broken, self.now);
+                self.ledger.run_ended(index, RunOutcome::Interrupted, self.now);
             }
         }
         Ok(())
@@ -200,15 +208,15 @@
         let index = self.runs[at].work.index;
         let whole = self.runs[at].next > length(index);
         let end = match how % 12 {
-            _ if whole && !how.is_multiple_of(8) => RunEnd::Whole,
-            0..=5 => RunEnd::Broken,
-            6..=7 => RunEnd::NotRun,
-            8..=10 => RunEnd::Failed,
-            _ => RunEnd::Impossible,
+            _ if whole && !how.is_multiple_of(8) => RunOutcome::Completed,
+            0..=5 => RunOutcome::Interrupted,
+            6..=7 => RunOutcome::NotRun,
+            8..=10 => RunOutcome::Failed,
+            _ => RunOutcome::Unrunnable,
         };
         match end {
-            RunEnd::Failed => self.truth.failures[index] += 1,
-            RunEnd::Impossible => {
+            RunOutcome::Failed => self.truth.failures[index] += 1,
+            RunOutcome::Unrunnable => {
                 self.truth.impossible.insert(index);
             }
             _ => {}
@@ -218,40 +226,42 @@
     }
 
     fn score(&mut self, how: u8) {
-        while let Some(index) = self.ledger.next_score(self.now) {
+        while let Some(index) = self.ledger.start_next_scoring(self.now) {
             let end = match how % 4 {
                 0 => {
                     self.truth.scorer_failures[index] += 1;
-                    ScoreEnd::Failed
+                    ScoreOutcome::Failed
                 }
-                1 => ScoreEnd::Broken,
-                _ => ScoreEnd::Signed(format!("s{index}")),
+                1 => ScoreOutcome::Interrupted,
+                _ => ScoreOutcome::Signed(format!("s{index}")),
             };
-            self.ledger.score_ended(index, end, SCORER_FAILURES_MAX, self.now);
+            self.ledger.scoring_ended(index, end, SCORER_FAILURES_MAX, self.now);
         }
     }
 
     /// The store takes a chunk at its position once; a repeat finds its own chunk there.
     fn list(&mut self, lost: bool) -> Result<(), String> {
-        let Some(chunk) = self.ledger.chunk(CHUNK_BYTES).cloned() else { return Ok(()) };
+        let Some(chunk) = self.ledger.next_chunk(CHUNK_BYTES).cloned() else { return Ok(()) };
         let stored = &mut self.truth.listed;
-        if chunk.first == stored.len() {
+        if chunk.first_position == stored.len() {
             stored.extend(chunk.results.iter().cloned());
-        } else if stored.get(chunk.first..chunk.first + chunk.results.len()) != Some(&chunk.results[..]) {
-            return Err(format!("position {} would hold other results than before", chunk.first));
+        } else if stored.get(chunk.first_position..chunk.first_position + chunk.results.len())
+            != Some(&chunk.results[..])
+        {
+            return Err(format!("position {} would hold other results than before", chunk.first_position));
         }
         if !lost {
-            self.ledger.chunk_listed(chunk.first);
+            self.ledger.chunk_stored(chunk.first_position);
         }
         self.check()
     }
 
     /// The store takes a checkpoint under its number once.
     fn save(&mut self, written: bool, answered: bool) -> Result<(), String> {
-        let Some((number, checkpoint)) = self.ledger.checkpoint(CHECKPOINT_BYTES) else { return Ok(()) };
+        let Some((number, checkpoint)) = self.ledger.next_checkpoint(CHECKPOINT_BYTES) else { return Ok(()) };
         let checkpoint = checkpoint.clone();
         let versions = |part: &pimentoslip_kernel::TextPart| {
-            let length = usize::try_from(part.last + 1 - FIRST_EVENT).unwrap_or(usize::MAX);
+            let length = usize::try_from(part.last_event + 1 - FIRST_EVENT_NUMBER).unwrap_or(usize::MAX);
             (part.index, self.truth.kept[part.index].iter().copied().take(length).collect())
         };
         let made = match &self.truth.written {
@@ -260,9 +270,13 @@
             _ => SavedTexts { versions: checkpoint.parts.iter().map(versions).collect(), checkpoint },
         };
         for part in &made.checkpoint.parts {
-            let data: Vec<String> = (part.first..=part.last).map(|number| data(part.index, number)).collect();
+            let data: Vec<String> =
+                (part.first_event..=part.last_event).map(|number| data(part.index, number)).collect();
             if part.text != data.join("\n") {
-                return Err(format!("the part of item {} from event {} is {:?}", part.index, part.first, part.text));
+                return Err(format!(
+                    "the part of item {} from event {} is {:?}",
+                    part.index, part.first_event, part.text
+                ));
             }
         }
         self.truth.written = Some((number, made.clone()));
@@ -272,15 +286,15 @@
         let stored = self.truth.record.entry(number).or_insert_with(|| made.clone()).clone();
         match (answered, stored == made) {
             (false, _) => {}
-            (true, true) => self.ledger.checkpoint_saved(number),
-            (true, false) => self.ledger.checkpoint_taken(number),
+            (true, true) => self.ledger.checkpoint_stored(number),
+            (true, false) => self.ledger.checkpoint_conflicted(number),
         }
         Ok(())
     }
 
     /// Another owner reads the record, and gets the former one's state if that could hand it over.
     fn change(&mut self, handed: bool) {
-        let state = self.ledger.state();
+        let state = self.ledger.handover_state();
         let listed: Vec<usize> = self.truth.listed.iter().map(|result| result.index).collect();
         self.runs.clear();
         self.ledger = BatchLedger::new(self.terms, specs(), &listed);
@@ -289,7 +303,7 @@
             return;
         }
         let record: Vec<TextCheckpoint> = self.truth.record.values().map(|texts| texts.checkpoint.clone()).collect();
-        self.ledger.replay(&record);
+        self.ledger.replay_checkpoints(&record);
         for index in (0..ITEMS).filter(|index| !listed.contains(index)) {
             let saved = self.truth.record.values().rev().find_map(|texts| texts.versions.get(&index));
             self.truth.kept[index] = saved.cloned().unwrap_or_default();
@@ -325,7 +339,7 @@
         if self.terms.single_version && made.len() != 1 {
             return Err(format!("item {index} mixes versions {made:?}"));
         }
-        let scored = specs()[index].scored;
+        let scored = specs()[index].needs_score;
         if result.score != scored.then(|| format!("s{index}")) {
             return Err(format!("item {index} has the score {:?}", result.score));
         }
@@ -337,7 +351,7 @@
         let reason = truth.impossible.contains(&index)
             || truth.failures[index] >= ATTEMPTS_MAX
             || truth.scorer_failures[index] >= SCORER_FAILURES_MAX
-            || self.now >= self.terms.give_up_at;
+            || self.now >= self.terms.retention_ends_at;
         if reason { Ok(()) } else { Err(format!("item {index} was given up for no reason")) }
     }
 }
@@ -354,7 +368,8 @@
         let runs = world.runs.len();
         for run in (0..runs).rev() {
             // A run that mixes versions ends; its item runs again in the next round.
-            let Some(left) = world.runs.get(run).map(|run| length(run.work.index) + FIRST_EVENT - run.next) else {
+            let Some(left) = world.runs.get(run).map(|run| length(run.work.index) + FIRST_EVENT_NUMBER - run.next)
+            else {
                 continue;
             };
             for _ in 0..left {
@@ -390,44 +405,44 @@
     world.version = 2;
     world.step(&Command::Run).unwrap();
     world.ledger.end();
-    assert_eq!(world.ledger.event(0, FIRST_EVENT, 2, "0:1"), EventVerdict::Mismatch);
-    assert_eq!(world.ledger.next_run(TimePoint(1)), None);
-    assert!(world.ledger.chunk(CHUNK_BYTES).is_none());
+    assert_eq!(world.ledger.event_received(0, FIRST_EVENT_NUMBER, 2, "0:1"), EventOutcome::Mismatch);
+    assert_eq!(world.ledger.start_next_run(TimePoint(1)), None);
+    assert!(world.ledger.next_chunk(CHUNK_BYTES).is_none());
     assert!(world.ledger.is_settled());
 }
 
 #[test]
 fn the_longest_item_runs_first_and_a_refused_one_keeps_its_place() {
     let mut world = World::new(false);
-    let first = world.ledger.next_run(TimePoint(0)).unwrap();
+    let first = world.ledger.start_next_run(TimePoint(0)).unwrap();
     assert_eq!(first.index, ITEMS - 1);
-    world.ledger.put_back(first.index);
-    assert_eq!(world.ledger.next_run(TimePoint(0)).unwrap().index, ITEMS - 1);
+    world.ledger.requeue_run(first.index);
+    assert_eq!(world.ledger.start_next_run(TimePoint(0)).unwrap().index, ITEMS - 1);
 }
 
 /// Plays the loss of an owner in the middle of a text of `events` events, of which a checkpoint was written after
 /// `saved`; returns the event after which the next owner goes on.
 fn resumed_after(saved: u64, events: u64) -> Option<u64> {
-    let spec = ItemSpec { group: "g".into(), expected_tokens: 1, scored: false };
-    let terms = BatchTerms {
+    let spec = ItemSpec { group: "g".into(), expected_tokens: 1, needs_score: false };
+    let terms = BatchOptions {
         attempts_max: 1,
         oldest_version: 1,
         single_version: false,
-        give_up_at: TimePoint(GIVE_UP_MS),
+        retention_ends_at: TimePoint(GIVE_UP_MS),
         groups_awaited: 1,
     };
     let mut first = BatchLedger::new(terms, vec![spec.clone()], &[]);
-    first.next_run(TimePoint(0)).unwrap();
+    first.start_next_run(TimePoint(0)).unwrap();
     let mut record = Vec::new();
-    for number in FIRST_EVENT..FIRST_EVENT + events {
-        first.event(0, number, 1, &data(0, number));
+    for number in FIRST_EVENT_NUMBER..FIRST_EVENT_NUMBER + events {
+        first.event_received(0, number, 1, &data(0, number));
         if number == saved {
-            record.extend(first.checkpoint(1 << 20).map(|(_, checkpoint)| checkpoint.clone()));
+            record.extend(first.next_checkpoint(1 << 20).map(|(_, checkpoint)| checkpoint.clone()));
         }
     }
     let mut second = BatchLedger::new(terms, vec![spec], &[]);
-    second.replay(&record);
-    second.next_run(TimePoint(0)).unwrap().resume_after
+    second.replay_checkpoints(&record);
+    second.start_next_run(TimePoint(0)).unwrap().resume_after
 }
 
 #[test]
@@ -440,22 +455,22 @@
 #[test]
 fn the_group_that_a_submitter_waits_for_is_listed_without_delay() {
     let groups = ["a", "a", "b", "b", "c"];
-    let specs = groups.map(|group| ItemSpec { group: group.into(), expected_tokens: 1, scored: false });
-    let terms = BatchTerms {
+    let specs = groups.map(|group| ItemSpec { group: group.into(), expected_tokens: 1, needs_score: false });
+    let terms = BatchOptions {
         attempts_max: 1,
         oldest_version: 1,
         single_version: false,
-        give_up_at: TimePoint(GIVE_UP_MS),
+        retention_ends_at: TimePoint(GIVE_UP_MS),
         groups_awaited: 2,
     };
     let mut ledger = BatchLedger::new(terms, specs.into(), &[]);
-    while ledger.next_run(TimePoint(0)).is_some() {}
+    while ledger.start_next_run(TimePoint(0)).is_some() {}
     for (index, urgent) in [(0, false), (2, false), (1, false), (3, true)] {
-        ledger.event(index, FIRST_EVENT, 1, "x");
-        ledger.run_ended(index, RunEnd::Whole, TimePoint(0));
-        assert_eq!(ledger.is_urgent(), urgent, "after item {index}");
+        ledger.event_received(index, FIRST_EVENT_NUMBER, 1, "x");
+        ledger.run_ended(index, RunOutcome::Completed, TimePoint(0));
+        assert_eq!(ledger.is_listing_urgent(), urgent, "after item {index}");
     }
-    let first = ledger.chunk(1 << 20).unwrap().first;
-    ledger.chunk_listed(first);
-    assert!(!ledger.is_urgent());
+    let first = ledger.next_chunk(1 << 20).unwrap().first_position;
+    ledger.chunk_stored(first);
+    assert!(!ledger.is_listing_urgent());
 }
--- a/crates/kernel/tests/machines/fleet_laws.rs
+++ b/crates/kernel/tests/machines/fleet_laws.rs
@@ -1,7 +1,7 @@
 //! Small laws of placing, pacing, ways to the store, usage windows and clocks, in tables.
 
 use pimentoslip_kernel::{
-    PathChoice, RoomNeed, RunPace, SamplerOutcome, SamplerQuery, SamplerRecord, SamplerState, SamplerTable,
+    CapacityNeed, PathChoice, RunMonitor, SamplerOutcome, SamplerQuery, SamplerRecord, SamplerState, SamplerTable,
     ServicePath, SharedName, TimePoint, UsageTally, WallOffset,
 };
 use std::collections::BTreeMap;
@@ -26,7 +26,7 @@
         model: Some(("m", 2)),
         failure_domain: "a",
         excluded,
-        room: RoomNeed::FreeSlot,
+        capacity: CapacityNeed::FreeSlot,
         affinity: "",
     }
 }
@@ -49,7 +49,7 @@
     assert_eq!(pick(&mut table, 0).as_deref(), Some("good"));
     assert_eq!(pick(&mut table, 0).as_deref(), Some("good"));
     assert_eq!(pick(&mut table, 0), None, "its two slots are taken");
-    table.ended("good", SamplerOutcome::Answered(None), TimePoint(0));
+    table.request_ended("good", SamplerOutcome::Answered(None), TimePoint(0));
     assert_eq!(pick(&mut table, 0).as_deref(), Some("good"));
 }
 
@@ -66,10 +66,10 @@
     for pause_ms in [250, 500, 1_000, 2_000, 4_000, 4_000] {
         let now = table_free_at(&mut table);
         assert!(table.pick(&query(&[]), now).is_some());
-        table.ended("u", SamplerOutcome::Failed, now);
+        table.request_ended("u", SamplerOutcome::Failed, now);
         assert!(table.pick(&query(&[]), now.plus_ms(pause_ms - 1)).is_none(), "rests {pause_ms} ms");
         assert!(table.pick(&query(&[]), now.plus_ms(pause_ms)).is_some());
-        table.ended("u", SamplerOutcome::Abandoned, now.plus_ms(pause_ms));
+        table.request_ended("u", SamplerOutcome::Abandoned, now.plus_ms(pause_ms));
     }
 }
 
@@ -79,7 +79,7 @@
     while table.pick(&query(&[]), now).is_none() {
         now = now.plus_ms(1);
     }
-    table.ended("u", SamplerOutcome::Abandoned, now);
+    table.request_ended("u", SamplerOutcome::Abandoned, now);
     now
 }
 
@@ -99,7 +99,7 @@
 fn a_new_incarnation_under_an_old_id_starts_without_history() {
     let mut table = table(&[record("u", "a", 2)]);
     assert!(pick(&mut table, 0).is_some());
-    table.ended("u", SamplerOutcome::Failed, TimePoint(0));
+    table.request_ended("u", SamplerOutcome::Failed, TimePoint(0));
     table.upsert(SamplerRecord { started_unix_ms: 2, ..record("u", "a", 2) });
     assert_eq!(pick(&mut table, 0).as_deref(), Some("u"));
 }
@@ -108,13 +108,13 @@
 fn a_slow_upstream_gets_less() {
     let mut table = table(&[record("fast", "a", 2), record("slow", "a", 2)]);
     for (id, pace_ms) in [("fast", 10), ("slow", 50)] {
-        table.ended(id, SamplerOutcome::Answered(Some(pace_ms)), TimePoint(0));
+        table.request_ended(id, SamplerOutcome::Answered(Some(pace_ms)), TimePoint(0));
     }
     assert_eq!(pick(&mut table, 0).as_deref(), Some("fast"));
     assert_eq!(pick(&mut table, 0).as_deref(), Some("fast"));
-    assert_eq!(table.pace_elsewhere(&query(&[]), "slow", TimePoint(0)), None, "the fast one is full");
-    table.ended("fast", SamplerOutcome::Abandoned, TimePoint(0));
-    assert_eq!(table.pace_elsewhere(&query(&[]), "slow", TimePoint(0)), Some(10));
+    assert_eq!(table.fastest_other_latency_ms(&query(&[]), "slow", TimePoint(0)), None, "the fast one is full");
+    table.request_ended("fast", SamplerOutcome::Abandoned, TimePoint(0));
+    assert_eq!(table.fastest_other_latency_ms(&query(&[]), "slow", TimePoint(0)), Some(10));
 }
 
 #[test]
@@ -123,18 +123,18 @@
     let cases =
         [(40, 20, 38, false), (140, 20, 38, true), (140, 3, 38, false), (77, 20, 38, true), (76, 20, 38, false)];
     for (gap_ms, events, best_ms, slow) in cases {
-        let mut pace = RunPace::new(TimePoint(0));
-        (1..=events).for_each(|event| pace.events(1, TimePoint(event * gap_ms)));
-        assert_eq!(pace.is_slow(best_ms), slow, "{gap_ms} ms, {events} events");
+        let mut pace = RunMonitor::new(TimePoint(0));
+        (1..=events).for_each(|event| pace.events_received(1, TimePoint(event * gap_ms)));
+        assert_eq!(pace.is_slower_than(best_ms), slow, "{gap_ms} ms, {events} events");
     }
 }
 
 #[test]
 fn a_silence_is_waited_for_longer_where_events_are_slow() {
-    let pace = RunPace::new(TimePoint(100));
+    let pace = RunMonitor::new(TimePoint(100));
     // pace elsewhere, moment of silence
     for (best_ms, at) in [(None, 2_600), (Some(1), 700), (Some(100), 1_300), (Some(1_000), 2_600)] {
-        assert_eq!(pace.silent_at(best_ms), TimePoint(at), "{best_ms:?}");
+        assert_eq!(pace.unresponsive_at(best_ms), TimePoint(at), "{best_ms:?}");
     }
 }
 
@@ -221,14 +221,14 @@
     let (a, b): (SharedName, SharedName) = ("a".into(), "b".into());
     let mut tally = UsageTally::new(5_000);
     for (organisation, unix_ms) in [(&a, 4_999), (&a, 5_000), (&b, 9_999), (&a, 10_000)] {
-        tally.count(organisation, unix_ms);
+        tally.count_request(organisation, unix_ms);
     }
-    let closed = tally.close_ended(10_500);
+    let closed = tally.close_ended_windows(10_500);
     assert_eq!(closed.len(), 2);
     assert_eq!((closed[0].window, &closed[0].counts), (0, &BTreeMap::from([(a.clone(), 1)])));
     assert_eq!((closed[1].window, &closed[1].counts), (1, &BTreeMap::from([(a.clone(), 1), (b.clone(), 1)])));
-    tally.count(&b, 9_000);
-    let late = tally.close_ended(10_500);
+    tally.count_request(&b, 9_000);
+    let late = tally.close_ended_windows(10_500);
     assert_eq!(late[..2], closed, "what is not on record is returned as it was");
     assert_eq!(
         (late[2].window, &late[2].counts),
@@ -236,10 +236,10 @@
         "a late count is one more batch"
     );
     assert_ne!(late[2].number, closed[1].number);
-    late.iter().for_each(|batch| tally.recorded(batch.number));
-    assert!(tally.close_ended(10_500).is_empty());
-    assert_eq!(tally.close_ended(15_000).len(), 1);
-    let total = UsageTally::sum(late.into_iter().map(|batch| batch.counts));
+    late.iter().for_each(|batch| tally.batch_stored(batch.number));
+    assert!(tally.close_ended_windows(10_500).is_empty());
+    assert_eq!(tally.close_ended_windows(15_000).len(), 1);
+    let total = UsageTally::sum_counts(late.into_iter().map(|batch| batch.counts));
     assert_eq!(total, BTreeMap::from([(a, 2), (b, 2)]));
 }
 
--- a/crates/kernel/tests/machines/sizes.rs
+++ b/crates/kernel/tests/machines/sizes.rs
@@ -3,8 +3,8 @@
 
 use crate::sequence;
 use pimentoslip_kernel::{
-    DomainOrder, SamplerRecord, SamplerState, ScalingRule, SharedName, SizeOutcome, SizePlanner, TimePoint,
-    standing_floor,
+    SamplerRecord, SamplerState, ScalingOrder, ScalingOutcome, ScalingPlanner, ScalingRule, SharedName, TimePoint,
+    standing_counts,
 };
 use quickcheck::{Arbitrary, Gen};
 use std::collections::BTreeMap;
@@ -47,7 +47,7 @@
 }
 
 struct World {
-    planner: SizePlanner,
+    planner: ScalingPlanner,
     floor: BTreeMap<SharedName, u64>,
     /// Running upstreams by failure domain and kind, and what the platform was told to run.
     running: BTreeMap<(SharedName, bool), u64>,
@@ -62,8 +62,8 @@
 
 fn rule() -> ScalingRule {
     ScalingRule {
-        least: LEAST,
-        most: MOST,
+        upstreams_min: LEAST,
+        upstreams_max: MOST,
         startup_ms: STARTUP_MS,
         reclaimable_price: Some(150),
         domain_prices: DOMAINS.iter().map(|(domain, price)| ((*domain).into(), *price)).collect(),
@@ -75,7 +75,7 @@
         let running: BTreeMap<(SharedName, bool), u64> =
             DOMAINS.iter().map(|(domain, _)| (((*domain).into(), false), FLOOR)).collect();
         let mut world = Self {
-            planner: SizePlanner::default(),
+            planner: ScalingPlanner::default(),
             floor: BTreeMap::new(),
             ordered: running.clone(),
             running,
@@ -84,7 +84,7 @@
             peak: (0, TimePoint(0)),
             now: TimePoint(0),
         };
-        world.floor = standing_floor(&world.records());
+        world.floor = standing_counts(&world.records());
         world
     }
 
@@ -118,25 +118,25 @@
         let orders = self.planner.plan(&rule(), &self.records(), &self.floor, self.demand, self.now);
         for order in orders {
             self.check(&order)?;
-            let outcome = if lost { SizeOutcome::Failed } else { self.carry_out(&order) };
-            self.planner.ordered(&order, outcome, STARTUP_MS, self.now);
+            let outcome = if lost { ScalingOutcome::Failed } else { self.carry_out(&order) };
+            self.planner.order_answered(&order, outcome, STARTUP_MS, self.now);
         }
         Ok(())
     }
 
     /// The platform's part: what is ordered runs at once.
-    fn carry_out(&mut self, order: &DomainOrder) -> SizeOutcome {
+    fn carry_out(&mut self, order: &ScalingOrder) -> ScalingOutcome {
         let key = (order.failure_domain.clone(), order.reclaimable);
         let more = order.desired > self.running.get(&key).copied().unwrap_or(0);
         if order.reclaimable && more && self.dry.as_ref() == Some(&order.failure_domain) {
-            return SizeOutcome::Unavailable;
+            return ScalingOutcome::Unavailable;
         }
         self.running.insert(key.clone(), order.desired);
         self.ordered.insert(key, order.desired);
-        SizeOutcome::Accepted
+        ScalingOutcome::Accepted
     }
 
-    fn check(&self, order: &DomainOrder) -> Result<(), String> {
+    fn check(&self, order: &ScalingOrder) -> Result<(), String> {
         let floor = self.floor[&order.failure_domain];
         if !order.reclaimable && order.desired < floor {
             return Err(format!("{order:?} goes under the floor of {floor}"));
--- a/crates/kernel/tests/machines/terms.rs
+++ b/crates/kernel/tests/machines/terms.rs
@@ -1,7 +1,7 @@
 //! The duty's term: no two holders act in turn within the handover time, and tokens never fall.
 
 use crate::sequence;
-use pimentoslip_kernel::{DutyHistory, DutyTerm, LeaseStanding, SharedName, TimePoint};
+use pimentoslip_kernel::{DutyHistory, DutyTerm, LeaseStatus, SharedName, TimePoint};
 use quickcheck::{Arbitrary, Gen};
 
 const DAEMONS: usize = 3;
@@ -96,7 +96,7 @@
     fn act(&mut self, at: usize, fresh: bool) -> Result<(), String> {
         let now = self.now;
         let daemon = &mut self.daemons[at];
-        let standing = LeaseStanding { lease: daemon.lease, ends_at: daemon.ends_at, recorded: daemon.recorded };
+        let standing = LeaseStatus { lease: daemon.lease, expires_at: daemon.ends_at, duty_revision: daemon.recorded };
         if fresh && daemon.term.as_mut().is_some_and(|term| !term.refresh(standing)) {
             daemon.term = None;
         }
@@ -158,11 +158,11 @@
                     self.revision += 1;
                     self.duty = Some((self.revision, lease));
                     let unix_ms = UNIX_MS + self.now.0 + self.clocks_ahead_ms[at];
-                    let wait_ms = self.history.wait_ms(&name(at), unix_ms, HANDOVER_MS);
-                    self.history = std::mem::take(&mut self.history).taken(name(at), unix_ms);
+                    let wait_ms = self.history.handover_wait_ms(&name(at), unix_ms, HANDOVER_MS);
+                    self.history = std::mem::take(&mut self.history).with_acquisition(name(at), unix_ms);
                     let daemon = &mut self.daemons[at];
                     daemon.recorded = Some(self.revision);
-                    daemon.term = Some(DutyTerm::begin(self.revision, lease, self.now, daemon.ends_at, wait_ms));
+                    daemon.term = Some(DutyTerm::start(self.revision, lease, self.now, daemon.ends_at, wait_ms));
                 }
             }
             Command::Act { daemon, fresh } => self.act(usize::from(daemon) % DAEMONS, fresh)?,
@@ -184,21 +184,21 @@
 
 #[test]
 fn a_new_lease_of_the_same_process_is_no_part_of_the_term() {
-    let mut term = DutyTerm::begin(5, 1, TimePoint(0), TimePoint(3_000), 0);
-    let renewed = LeaseStanding { lease: Some(1), ends_at: TimePoint(4_000), recorded: Some(5) };
+    let mut term = DutyTerm::start(5, 1, TimePoint(0), TimePoint(3_000), 0);
+    let renewed = LeaseStatus { lease: Some(1), expires_at: TimePoint(4_000), duty_revision: Some(5) };
     assert!(term.refresh(renewed));
-    let replaced = LeaseStanding { lease: Some(2), ends_at: TimePoint(9_000), recorded: Some(5) };
+    let replaced = LeaseStatus { lease: Some(2), expires_at: TimePoint(9_000), duty_revision: Some(5) };
     assert!(!term.refresh(replaced));
 }
 
 #[test]
 fn a_holder_whose_renewal_came_late_goes_on_and_no_other_takes_turns_with_it() {
-    let mut term = DutyTerm::begin(5, 1, TimePoint(0), TimePoint(3_000), 0);
-    let unrenewed = LeaseStanding { lease: Some(1), ends_at: TimePoint(3_000), recorded: Some(5) };
+    let mut term = DutyTerm::start(5, 1, TimePoint(0), TimePoint(3_000), 0);
+    let unrenewed = LeaseStatus { lease: Some(1), expires_at: TimePoint(3_000), duty_revision: Some(5) };
     assert!(term.refresh(unrenewed), "the record still hangs on a lease that may live");
     assert!(!term.may_act(TimePoint(2_500), CALL_MS));
     assert!(!term.may_act(TimePoint(9_000), CALL_MS));
-    let renewed = LeaseStanding { lease: Some(1), ends_at: TimePoint(12_000), recorded: Some(5) };
+    let renewed = LeaseStatus { lease: Some(1), expires_at: TimePoint(12_000), duty_revision: Some(5) };
     assert!(term.refresh(renewed));
     assert!(term.may_act(TimePoint(9_500), CALL_MS));
 }
@@ -219,8 +219,8 @@
     for (holders, taker, wait_ms) in cases {
         let seconds = |second: u64| UNIX_MS + second * 1_000;
         let history = holders.iter().fold(DutyHistory::default(), |history, (daemon, second)| {
-            history.taken((*daemon).into(), seconds(*second))
+            history.with_acquisition((*daemon).into(), seconds(*second))
         });
-        assert_eq!(history.wait_ms(taker, seconds(100), HANDOVER_MS), wait_ms, "{holders:?}");
+        assert_eq!(history.handover_wait_ms(taker, seconds(100), HANDOVER_MS), wait_ms, "{holders:?}");
     }
 }
--- a/crates/kernel/tests/machines/versions.rs
+++ b/crates/kernel/tests/machines/versions.rs
@@ -2,7 +2,8 @@
 
 use crate::sequence;
 use pimentoslip_kernel::{
-    LoadOrder, LoadView, ModelDemand, OrderOutcome, SamplerRecord, SamplerState, SharedName, TimePoint, VersionPlanner,
+    LoadOrder, LoadOutcome, ModelDemand, SamplerRecord, SamplerState, ServiceSnapshot, SharedName, TimePoint,
+    VersionPlanner,
 };
 use quickcheck::{Arbitrary, Gen};
 use std::collections::BTreeMap;
@@ -112,32 +113,32 @@
     }
 
     /// What the upstream does with an order, whenever it arrives.
-    fn arrive(&mut self, order: &LoadOrder) -> OrderOutcome {
+    fn arrive(&mut self, order: &LoadOrder) -> LoadOutcome {
         let Some(upstream) = self.upstreams.iter_mut().find(|upstream| upstream.record.id == order.upstream) else {
-            return OrderOutcome::Refused;
+            return LoadOutcome::Refused;
         };
         if upstream.record.versions[&order.model] == order.version && upstream.loading.is_none() {
-            return OrderOutcome::Held;
+            return LoadOutcome::AlreadyLoaded;
         }
         if upstream.loading.is_some() || order.accepted_before != Some(upstream.accepted) {
-            return OrderOutcome::Conflict;
+            return LoadOutcome::Conflict;
         }
         upstream.accepted += 1;
         upstream.loading = Some(order.clone());
-        OrderOutcome::Accepted
+        LoadOutcome::Accepted
     }
 
     fn round(&mut self, lost: bool, late: bool) -> Result<(), String> {
         let records: Vec<SamplerRecord> = self.upstreams.iter().map(|upstream| upstream.record.clone()).collect();
         let demand = |model: &SharedName| {
             let named = self.named[model];
-            ModelDemand { named, oldest_usable: named - 1, work: 0 }
+            ModelDemand { newest_version: named, oldest_usable_version: named - 1, work: 0 }
         };
         let models: BTreeMap<SharedName, ModelDemand> =
             self.models.iter().map(|model| (model.clone(), demand(model))).collect();
         let runs: BTreeMap<SharedName, u64> =
             self.upstreams.iter().map(|upstream| (upstream.record.id.clone(), upstream.runs)).collect();
-        let view = LoadView { upstreams: &records, models: &models, runs: &runs };
+        let view = ServiceSnapshot { upstreams: &records, models: &models, runs: &runs };
         let orders = self.planner.plan(&view, self.now);
         if orders.len() > records.len().div_ceil(5).max(1) {
             return Err(format!("{} of {} upstreams load at once", orders.len(), records.len()));
@@ -152,12 +153,12 @@
             order.accepted_before = order.accepted_before.or(accepted);
             let outcome = if lost && late {
                 self.late.push(order.clone());
-                OrderOutcome::Unanswered
+                LoadOutcome::Unanswered
             } else {
                 let outcome = self.arrive(&order);
-                if lost { OrderOutcome::Unanswered } else { outcome }
+                if lost { LoadOutcome::Unanswered } else { outcome }
             };
-            self.planner.ordered(&order, outcome, self.now);
+            self.planner.order_answered(&order, outcome, self.now);
         }
         self.check()
     }
@@ -177,7 +178,10 @@
     /// Models are dealt evenly.
     fn check(&self) -> Result<(), String> {
         let dealt = |model: &SharedName| {
-            self.upstreams.iter().filter(|upstream| self.planner.model(&upstream.record.id) == Some(model)).count()
+            self.upstreams
+                .iter()
+                .filter(|upstream| self.planner.assigned_model(&upstream.record.id) == Some(model))
+                .count()
         };
         let counts: Vec<usize> = self.models.iter().map(dealt).collect();
         let (least, most) = (counts.iter().min().unwrap_or(&0), counts.iter().max().unwrap_or(&0));
@@ -187,7 +191,7 @@
     /// An upstream without a model, or without its model's newest version.
     fn behind(&self) -> Option<&SamplerRecord> {
         let current = |record: &SamplerRecord| {
-            self.planner.model(&record.id).is_some_and(|model| record.versions[model] == self.named[model])
+            self.planner.assigned_model(&record.id).is_some_and(|model| record.versions[model] == self.named[model])
         };
         self.upstreams.iter().map(|upstream| &upstream.record).find(|record| !current(record))
     }
@@ -253,9 +257,9 @@
         version,
         accepted_before,
     };
-    assert_eq!(world.arrive(&order(3, Some(0))), OrderOutcome::Accepted);
+    assert_eq!(world.arrive(&order(3, Some(0))), LoadOutcome::Accepted);
     world.load().unwrap();
-    assert_eq!(world.arrive(&order(2, Some(0))), OrderOutcome::Conflict);
+    assert_eq!(world.arrive(&order(2, Some(0))), LoadOutcome::Conflict);
 }
 
 /// Upstreams of one model at the given versions, each with its number of runs.
@@ -281,15 +285,15 @@
 /// Upstreams that load, in order, when version 5 was named `age_ms` ago and steps need 4 or newer.
 fn loading(held: &[(u64, u64)], age_ms: u64) -> Vec<String> {
     let (mut upstreams, runs) = view_of(held);
-    let models = BTreeMap::from([("m".into(), ModelDemand { named: 5, oldest_usable: 4, work: 1 })]);
+    let models = BTreeMap::from([("m".into(), ModelDemand { newest_version: 5, oldest_usable_version: 4, work: 1 })]);
     let mut planner = VersionPlanner::default();
     let mut loading = Vec::new();
-    planner.plan(&LoadView { upstreams: &[], models: &models, runs: &runs }, TimePoint(0));
+    planner.plan(&ServiceSnapshot { upstreams: &[], models: &models, runs: &runs }, TimePoint(0));
     // Each load ends before the next round.
     for _ in 0..held.len() {
-        let view = LoadView { upstreams: &upstreams, models: &models, runs: &runs };
+        let view = ServiceSnapshot { upstreams: &upstreams, models: &models, runs: &runs };
         for order in planner.plan(&view, TimePoint(age_ms)) {
-            planner.ordered(&order, OrderOutcome::Accepted, TimePoint(age_ms));
+            planner.order_answered(&order, LoadOutcome::Accepted, TimePoint(age_ms));
             loading.push(order.upstream.to_string());
             let loaded = upstreams.iter_mut().find(|record| record.id == order.upstream);
             loaded.unwrap().versions.insert("m".into(), 5);
@@ -320,11 +324,11 @@
     let names: Vec<SharedName> = (0..work.len()).map(|at| format!("m{at}").into()).collect();
     let (mut records, runs) = view_of(&vec![(1, 0); upstreams]);
     records.iter_mut().for_each(|record| record.versions = names.iter().map(|name| (name.clone(), 1)).collect());
-    let demand = |work: &u64| ModelDemand { named: 2, oldest_usable: 1, work: *work };
+    let demand = |work: &u64| ModelDemand { newest_version: 2, oldest_usable_version: 1, work: *work };
     let models = names.iter().cloned().zip(work.iter().map(demand)).collect();
     let mut planner = VersionPlanner::default();
-    planner.plan(&LoadView { upstreams: &records, models: &models, runs: &runs }, TimePoint(0));
-    let count = |name| records.iter().filter(|record| planner.model(&record.id) == Some(name)).count();
+    planner.plan(&ServiceSnapshot { upstreams: &records, models: &models, runs: &runs }, TimePoint(0));
+    let count = |name| records.iter().filter(|record| planner.assigned_model(&record.id) == Some(name)).count();
     names.iter().map(count).collect()
 }
 
--- a/crates/wire/src/stored/duty_entry.rs
+++ b/crates/wire/src/stored/duty_entry.rs
@@ -1,6 +1,6 @@
 //! Who held the duty.
 
-use pimentoslip_kernel::{DutyHistory, DutyTaker, SharedName};
+use pimentoslip_kernel::{DutyAcquisition, DutyHistory, SharedName};
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -19,14 +19,17 @@
 
 impl From<&DutyHistory> for DutyEntry {
     fn from(history: &DutyHistory) -> Self {
-        let entry = |taker: &DutyTaker| TakerEntry { daemon: taker.daemon.clone(), taken_unix_ms: taker.taken_unix_ms };
-        Self { takers: history.takers.iter().map(entry).collect() }
+        let entry = |taker: &DutyAcquisition| TakerEntry {
+            daemon: taker.daemon.clone(),
+            taken_unix_ms: taker.acquired_unix_ms,
+        };
+        Self { takers: history.acquisitions.iter().map(entry).collect() }
     }
 }
 
 impl From<DutyEntry> for DutyHistory {
     fn from(stored: DutyEntry) -> Self {
-        let taker = |entry: TakerEntry| DutyTaker { daemon: entry.daemon, taken_unix_ms: entry.taken_unix_ms };
-        Self { takers: stored.takers.into_iter().map(taker).collect() }
+        let taker = |entry: TakerEntry| DutyAcquisition { daemon: entry.daemon, acquired_unix_ms: entry.taken_unix_ms };
+        Self { acquisitions: stored.takers.into_iter().map(taker).collect() }
     }
 }
--- a/crates/wire/src/stored/result_entry.rs
+++ b/crates/wire/src/stored/result_entry.rs
@@ -41,7 +41,7 @@
             versions: result.versions.clone(),
             score: result.score.clone(),
         };
-        Self { first: chunk.first, results: chunk.results.iter().map(entry).collect() }
+        Self { first: chunk.first_position, results: chunk.results.iter().map(entry).collect() }
     }
 
     /// Position after the last result.
--- a/crates/wire/src/stored/texts_entry.rs
+++ b/crates/wire/src/stored/texts_entry.rs
@@ -28,8 +28,8 @@
     fn from(checkpoint: &TextCheckpoint) -> Self {
         let entry = |part: &TextPart| TextEntry {
             index: part.index,
-            first: part.first,
-            last: part.last,
+            first: part.first_event,
+            last: part.last_event,
             text: part.text.clone(),
             versions: part.versions.clone(),
         };
@@ -41,8 +41,8 @@
     fn from(stored: TextsEntry) -> Self {
         let part = |entry: TextEntry| TextPart {
             index: entry.index,
-            first: entry.first,
-            last: entry.last,
+            first_event: entry.first,
+            last_event: entry.last,
             text: entry.text,
             versions: entry.versions,
         };
