--- a/crates/cli/benches/site/service.rs
+++ b/crates/cli/benches/site/service.rs
@@ -220,7 +220,7 @@
 }
 
 async fn other_key(site: &Site, organisation: &str) -> KeySecret {
-    let secret = KeySecret::draw(&mut ChaCha8Rng::seed_from_u64(99));
+    let secret = KeySecret::generate(&mut ChaCha8Rng::seed_from_u64(99));
     let request = KeyRequest {
         change: "other".into(),
         organisation: organisation.into(),
--- a/crates/cli/src/cmd/key.rs
+++ b/crates/cli/src/cmd/key.rs
@@ -40,7 +40,7 @@
 }
 
 async fn create(client: &AdminClient, organisation: &str, json: bool) -> CliResult<()> {
-    let secret = KeySecret::draw(&mut rand::rng());
+    let secret = KeySecret::generate(&mut rand::rng());
     let request = KeyRequest {
         change: util::change_id(),
         organisation: organisation.into(),
--- a/crates/cli/src/demo/scenes.rs
+++ b/crates/cli/src/demo/scenes.rs
@@ -82,7 +82,7 @@
         answer.changed >= 3,
         format!("{} records are in force at revision {}", answer.changed, answer.revision),
     );
-    let secret = KeySecret::draw(&mut rand::rng());
+    let secret = KeySecret::generate(&mut rand::rng());
     let request = KeyRequest {
         change: util::change_id(),
         organisation: "velorio".into(),
--- a/crates/cli/tests/processes/hostile.rs
+++ b/crates/cli/tests/processes/hostile.rs
@@ -103,7 +103,7 @@
     let (site, _) = site_with_key().await;
     let secret = {
         use rand::SeedableRng;
-        KeySecret::draw(&mut rand_chacha::ChaCha8Rng::seed_from_u64(77))
+        KeySecret::generate(&mut rand_chacha::ChaCha8Rng::seed_from_u64(77))
     };
     let request = pimentoslip_wire::admin::KeyRequest {
         change: "rose".into(),
--- a/crates/cli/tests/processes/samples.rs
+++ b/crates/cli/tests/processes/samples.rs
@@ -1,7 +1,7 @@
 //! Steps through kills of their home, lost answers, and engines that swap or misbehave.
 
 use super::support::{Answer, Site, SiteShape, wait_for};
-use pimentoslip_kernel::{FetchCursor, KeySecret, owner};
+use pimentoslip_kernel::{FetchCursor, KeySecret, highest_ranked};
 use pimentoslip_standin::EngineFault;
 use pimentoslip_wire::caller::{FetchAnswer, FetchRequest, OpenRequest, PublishRequest, SampleBody};
 
@@ -85,7 +85,7 @@
 
 fn home_of(site: &Site, step: u64) -> usize {
     let names: Vec<String> = site.daemons.iter().map(|daemon| daemon.name.clone()).collect();
-    let home = owner(&format!("step/velorio/menus/{step}"), &names).expect("a home");
+    let home = highest_ranked(&format!("step/velorio/menus/{step}"), &names).expect("a home");
     names.iter().position(|name| name == home).expect("a daemon")
 }
 
--- a/crates/cli/tests/processes/support/site.rs
+++ b/crates/cli/tests/processes/support/site.rs
@@ -293,7 +293,7 @@
     /// Creates a key through daemon `at` and waits until every daemon has it.
     pub async fn create_key(&self, at: usize, seed: u64) -> KeySecret {
         use rand::SeedableRng;
-        let secret = KeySecret::draw(&mut rand_chacha::ChaCha8Rng::seed_from_u64(seed));
+        let secret = KeySecret::generate(&mut rand_chacha::ChaCha8Rng::seed_from_u64(seed));
         let request = KeyRequest {
             change: format!("create-{seed}").into(),
             organisation: KEY_ORGANISATION.into(),
--- a/crates/daemon/src/claim/claim_actor.rs
+++ b/crates/daemon/src/claim/claim_actor.rs
@@ -55,7 +55,7 @@
 
     fn claim(&mut self, request: ClaimRequest, sender: oneshot::Sender<ClaimResponse>, context: &mut Context<Self>) {
         let shard = shard_of(&request.key);
-        if shard_owner(shard, &self.shared.members().active()).as_deref() != Some(&*self.shared.settings.name) {
+        if shard_owner(shard, &self.shared.members().active_names()).as_deref() != Some(&*self.shared.settings.name) {
             let _ = sender.send(ClaimResponse::NotOwner);
             return;
         }
@@ -172,7 +172,7 @@
     fn committed(&mut self, shard: usize, key: &ClaimKey, grant: u64, owned: Option<bool>) -> ClaimResponse {
         let table = &mut self.shards[shard].table;
         match owned {
-            Some(true) if table.committed(key, grant) => ClaimResponse::Granted,
+            Some(true) if table.claim_committed(key, grant) => ClaimResponse::Granted,
             Some(false) => {
                 table.commit_failed(key, grant);
                 ClaimResponse::NotOwner
@@ -193,7 +193,7 @@
     /// One of the shards has another owner. Each is loaded again before it grants anything.
     fn depose_all(&mut self) {
         for state in &mut self.shards {
-            state.table.depose();
+            state.table.drop_ownership();
         }
         for ((_, _), senders) in self.waiting.drain() {
             for sender in senders {
@@ -227,7 +227,7 @@
         let key = ClaimKey(key);
         match state {
             SettleState::Ran(answer) => table.finish(&key, grant, answer),
-            SettleState::Lost => table.lose(&key, grant),
+            SettleState::Lost => table.mark_unknown(&key, grant),
             SettleState::NotRun => table.release(&key, grant),
         }
         MessageResult(())
--- a/crates/daemon/src/claim/claim_gate.rs
+++ b/crates/daemon/src/claim/claim_gate.rs
@@ -86,7 +86,7 @@
     /// Name and control address of the shard's owner; no address when it is this daemon.
     fn owner(&self, key: &str) -> Option<(SharedName, Option<SharedName>)> {
         let members = self.shared.members();
-        let name = shard_owner(shard_of(key), &members.active())?;
+        let name = shard_owner(shard_of(key), &members.active_names())?;
         let control = members.get(&name).map(|member| member.control.clone());
         Some((name, control))
     }
--- a/crates/daemon/src/claim/mod.rs
+++ b/crates/daemon/src/claim/mod.rs
@@ -21,5 +21,5 @@
 /// The daemon among `active` that should own `shard`.
 #[must_use]
 pub fn shard_owner(shard: u64, active: &[SharedName]) -> Option<SharedName> {
-    pimentoslip_kernel::owner(&format!("claim/{shard}"), active).cloned()
+    pimentoslip_kernel::highest_ranked(&format!("claim/{shard}"), active).cloned()
 }
--- a/crates/daemon/src/http/admin_api.rs
+++ b/crates/daemon/src/http/admin_api.rs
@@ -38,7 +38,7 @@
     worker.shared.apply(entries.clone(), 0);
     let changed = entries.len();
     let revision = entries.iter().map(|entry| entry.revision).max();
-    let revision = revision.unwrap_or_else(|| worker.shared.config().newest());
+    let revision = revision.unwrap_or_else(|| worker.shared.config().newest_revision());
     let (confirmed, unconfirmed) = push_until_confirmed(worker, entries).await;
     let accepted = unconfirmed.is_empty();
     LogLine::new("change").field("revision", revision).field("accepted", accepted).info();
@@ -109,7 +109,7 @@
         .collect();
     HttpResponse::Ok().json(ShowAnswer {
         daemon: shared.settings.name.clone(),
-        revision: view.newest(),
+        revision: view.newest_revision(),
         age_ms,
         records,
     })
@@ -136,11 +136,12 @@
     let fresh = shared.fresh();
     let config = shared.config();
     let site = config.site();
-    let published = config.service_names().into_iter().map(|name| (name.clone(), config.published(&name))).collect();
+    let published =
+        config.service_names().into_iter().map(|name| (name.clone(), config.published_version(&name))).collect();
     let upstreams = upstreams(&worker);
     let answer = StatusAnswer {
         daemon: shared.settings.name.clone(),
-        revision: config.newest(),
+        revision: config.newest_revision(),
         fresh,
         draining: shared.draining.load(Ordering::SeqCst),
         daemons: daemons(&worker),
--- a/crates/daemon/src/http/caller_auth.rs
+++ b/crates/daemon/src/http/caller_auth.rs
@@ -79,7 +79,7 @@
     let misplaced = [uri.as_bytes(), &decoded, body, &unescaped]
         .into_iter()
         .flat_map(KeySecret::find_ids)
-        .any(|key| config.key_known(&key));
+        .any(|key| config.has_key(&key));
     if misplaced {
         return Err(ApiError::not_run(RefusalReason::KeyMisplaced, id));
     }
--- a/crates/daemon/src/http/trainer_api.rs
+++ b/crates/daemon/src/http/trainer_api.rs
@@ -91,7 +91,7 @@
         worker.shared.apply(vec![entry.clone()], 0);
         push_records(&worker.shared, &worker.peers, vec![entry]).await;
     }
-    Ok(worker.shared.config().published(&publish.service).max(publish.version))
+    Ok(worker.shared.config().published_version(&publish.service).max(publish.version))
 }
 
 /// The organisation of a key, whatever service it is granted.
--- a/crates/daemon/src/running_daemon.rs
+++ b/crates/daemon/src/running_daemon.rs
@@ -149,7 +149,7 @@
         let counted = self.shared.now();
         let deadline = counted.plus_ms(GATHER_MS);
         let gathered = || self.shared.gathered_at.load(Ordering::SeqCst) > counted.0;
-        while !gathered() && self.shared.members().active().len() > 1 && self.shared.now() < deadline {
+        while !gathered() && self.shared.members().active_names().len() > 1 && self.shared.now() < deadline {
             actix_rt::time::sleep(POLL).await;
         }
     }
--- a/crates/daemon/src/shared_state.rs
+++ b/crates/daemon/src/shared_state.rs
@@ -154,8 +154,8 @@
     pub fn apply(&self, entries: Vec<RecordEntry>, complete: u64) -> Vec<RecordEntry> {
         let mut view = self.config.write().unwrap_or_else(PoisonError::into_inner);
         let new = entries.into_iter().filter(|entry| view.apply(entry.clone())).collect();
-        view.completed(complete);
-        self.metrics.revision.set(i64::try_from(view.newest()).unwrap_or(i64::MAX));
+        view.revision_completed(complete);
+        self.metrics.revision.set(i64::try_from(view.newest_revision()).unwrap_or(i64::MAX));
         new
     }
 
@@ -168,7 +168,7 @@
     #[must_use]
     pub fn fresh(&self) -> bool {
         let now = self.now();
-        self.freshness().fresh(now)
+        self.freshness().is_fresh(now)
     }
 
     /// Other daemons.
--- a/crates/daemon/src/step/step_actor.rs
+++ b/crates/daemon/src/step/step_actor.rs
@@ -96,7 +96,7 @@
         }
         let (bound, published) = {
             let config = self.shared.config();
-            (config.site().map_or(0, |site| site.staleness_bound), config.published(&spec.service))
+            (config.site().map_or(0, |site| site.staleness_bound), config.published_version(&spec.service))
         };
         let idle_at = self.shared.now().plus_ms(STEP_IDLE_MS);
         let state = StepState::new(organisation, spec, bound, published, idle_at);
@@ -147,7 +147,7 @@
     fn tick(&mut self, context: &mut Context<Self>) {
         let now = self.shared.now();
         for state in self.steps.values_mut() {
-            let published = self.shared.config().published(&state.spec.service);
+            let published = self.shared.config().published_version(&state.spec.service);
             state.ledger.publish(published);
             state.answer(&self.shared, now);
         }
--- a/crates/daemon/src/step/step_gate.rs
+++ b/crates/daemon/src/step/step_gate.rs
@@ -79,7 +79,7 @@
     ) -> Result<ForwardAnswer> {
         let control = {
             let members = self.shared.members();
-            let home = pimentoslip_kernel::owner(&format!("step/{key}"), &members.active()).cloned();
+            let home = pimentoslip_kernel::highest_ranked(&format!("step/{key}"), &members.active_names()).cloned();
             home.and_then(|home| members.get(&home).map(|member| member.control.clone()))
         };
         let Some(control) = control else { return Ok(self.serve(request).await) };
--- a/crates/daemon/src/task/domain_duty.rs
+++ b/crates/daemon/src/task/domain_duty.rs
@@ -62,7 +62,7 @@
         site: &SiteConfig,
         domain: &SharedName,
     ) {
-        let rank = shared.members().rank_for(&duty_name(domain), domain);
+        let rank = shared.members().duty_rank(&duty_name(domain), domain);
         let Some((fencing, deadline)) = self.lease.tick(rank).await else { return };
         let authority = OrderAuthority { holder_key: self.lease.holder_key(), fencing, deadline };
         if let Err(error) = self.order_upstreams(shared, site, domain, &authority).await {
@@ -211,7 +211,7 @@
             .iter()
             .filter(|entry| &*entry.failure_domain == domain && entry.takes_work())
             .filter(|entry| config.service(&entry.service).is_some_and(|service| service.kind == ServiceKind::Engine))
-            .map(|entry| (entry, config.published(&entry.service)))
+            .map(|entry| (entry, config.published_version(&entry.service)))
             .filter(|(entry, published)| entry.version.is_some_and(|version| version < *published))
             .map(|(entry, published)| (entry.name.clone(), entry.address.clone(), published))
             .collect()
--- a/crates/daemon/src/task/duty_lease.rs
+++ b/crates/daemon/src/task/duty_lease.rs
@@ -79,7 +79,7 @@
         }
         if matches!(self.holder.state(), LeaseState::Settling { .. }) {
             let evidence = self.evidence();
-            self.holder.learned(evidence, self.shared.now());
+            self.holder.evidence_updated(evidence, self.shared.now());
         }
         self.trim().await
     }
@@ -131,7 +131,7 @@
         self.trimmed = false;
         self.vacant_since = None;
         let evidence = self.evidence();
-        self.holder.acquired(fencing, asked_at, evidence, self.shared.now());
+        self.holder.lease_acquired(fencing, asked_at, evidence, self.shared.now());
         LogLine::new("duty_acquired")
             .field("duty", &self.duty)
             .field("fencing", fencing)
@@ -151,12 +151,12 @@
             LeaseState::Held { fencing, .. } | LeaseState::Settling { fencing, .. } => fencing,
             LeaseState::Idle => return Ok(()),
         };
-        if !self.holder.renewal_due(self.shared.now()) {
+        if !self.holder.is_renewal_due(self.shared.now()) {
             return Ok(());
         }
         let asked_at = self.shared.now();
         match self.kv.keep_alive(self.lease).await {
-            Ok(()) => self.holder.renewed(fencing, asked_at),
+            Ok(()) => self.holder.lease_renewed(fencing, asked_at),
             Err(PlatformError::LeaseGone) => self.holder.step_down(),
             Err(error) => return Err(error),
         }
@@ -182,7 +182,7 @@
             .shared
             .member(&previous.daemon)
             .is_some_and(|member| member.incarnation > previous.incarnation || member.state == MemberState::Ended);
-        if off_list || ended { HolderEvidence::Ended } else { HolderEvidence::Silent }
+        if off_list || ended { HolderEvidence::Ended } else { HolderEvidence::Unresponsive }
     }
 
     /// Once the duty is held, former holders are proved to have ended and come off the record.
--- a/crates/daemon/src/task/exchange_task.rs
+++ b/crates/daemon/src/task/exchange_task.rs
@@ -45,7 +45,8 @@
 
     /// Whether this daemon reads the service in this round, on behalf of its failure domain.
     fn reads_service(&self) -> bool {
-        let rank = self.shared.members().rank_for(RELAY_DUTY, &self.shared.settings.failure_domain).unwrap_or(0) as u64;
+        let rank =
+            self.shared.members().duty_rank(RELAY_DUTY, &self.shared.settings.failure_domain).unwrap_or(0) as u64;
         let now = self.shared.now();
         let age_ms = self.shared.freshness().age_ms(now);
         rank == 0 || age_ms.is_none_or(|age| age > rank * RELAY_STEP_MS)
@@ -53,7 +54,7 @@
 
     async fn read_service(&self) {
         let prefix = config_prefix(&self.shared.settings.site);
-        let since = self.shared.config().complete() + 1;
+        let since = self.shared.config().complete_revision() + 1;
         let asked_at = self.shared.now();
         match self.kv.range(&prefix, since).await {
             Ok(answer) => {
@@ -71,7 +72,7 @@
         let listed = self.shared.listed_entries.lock().unwrap_or_else(PoisonError::into_inner).clone();
         let mut members = self.shared.members();
         let mut round: BTreeMap<SharedName, SharedName> =
-            members.next_round().into_iter().map(|member| (member.name, member.control)).collect();
+            members.next_exchange_peers().into_iter().map(|member| (member.name, member.control)).collect();
         for (name, control) in listed {
             let known =
                 members.get(&name).is_some_and(|member| member.control == control && !member.control.is_empty());
@@ -88,13 +89,13 @@
         let listed = self.shared.listed_entries.lock().unwrap_or_else(PoisonError::into_inner).clone();
         let mut members = self.shared.members();
         members.tick(now);
-        let mut running = members.possibly_running();
+        let mut running = members.possibly_running_names();
         running.extend(
             listed.into_keys().filter(|name| *name != self.shared.settings.name && members.get(name).is_none()),
         );
         drop(members);
-        if self.shared.config().complete() > 0 {
-            self.shared.freshness().peers_heard(&running, now);
+        if self.shared.config().complete_revision() > 0 {
+            self.shared.freshness().update_from_peers(&running, now);
         }
     }
 }
@@ -135,7 +136,7 @@
     let now = shared.now();
     ExchangeRequest {
         from: shared.me(),
-        complete: shared.config().complete(),
+        complete: shared.config().complete_revision(),
         records,
         suspects: shared.suspects().marks(now),
         members_digest: members_digest(shared),
@@ -157,7 +158,7 @@
         Ok(answer) => answer,
         Err(PeerError::Ended) => {
             let now = shared.now();
-            shared.members().ended(name, now);
+            shared.members().process_ended(name, now);
             return false;
         }
         Err(_) => return false,
@@ -182,9 +183,9 @@
     shared.freshness().peer_answered(&name, asked_at, answer.age_ms);
     let now = shared.now();
     let mut members = shared.members();
-    members.heard(MemberEntry::from(answer.from), asked_at);
+    members.peer_seen(MemberEntry::from(answer.from), asked_at);
     for body in answer.members {
-        members.rumour(&MemberEntry::from(body), now);
+        members.member_reported(&MemberEntry::from(body), now);
     }
     drop(members);
     let mut suspects = shared.suspects();
@@ -202,14 +203,14 @@
         let mut suspects = shared.suspects();
         request.suspects.into_iter().for_each(|mark| suspects.learn(mark));
     }
-    shared.members().heard(MemberEntry::from(request.from), now);
+    shared.members().peer_seen(MemberEntry::from(request.from), now);
     let members = if members_digest(shared) == request.members_digest { Vec::new() } else { known_members(shared) };
     let age_ms = shared.freshness().age_ms(now);
     let config = shared.config();
     ExchangeAnswer {
         from: shared.me(),
-        complete: config.complete(),
-        records: config.since(request.complete),
+        complete: config.complete_revision(),
+        records: config.entries_since(request.complete),
         age_ms,
         suspects: shared.suspects().marks(now),
         members,
@@ -227,8 +228,11 @@
     peers: &PeerClient,
     records: Vec<RecordEntry>,
 ) -> (Vec<SharedName>, Vec<SharedName>) {
-    let targets: Vec<PeerAddress> =
-        shared.members().running_entries().map(|member| (member.name.clone(), member.control.clone())).collect();
+    let targets: Vec<PeerAddress> = shared
+        .members()
+        .possibly_running_entries()
+        .map(|member| (member.name.clone(), member.control.clone()))
+        .collect();
     let answers = join_all(targets.iter().map(|peer| exchange(shared, peers, peer, records.clone()))).await;
     let mut confirmed = vec![shared.settings.name.clone()];
     let mut unconfirmed = Vec::new();
--- a/crates/daemon/src/task/listing_task.rs
+++ b/crates/daemon/src/task/listing_task.rs
@@ -65,7 +65,7 @@
             gone
         };
         let mut members = self.shared.members();
-        gone.iter().for_each(|name| members.ended(name, now));
+        gone.iter().for_each(|name| members.process_ended(name, now));
     }
 
     async fn read_reports(&self) {
--- a/crates/daemon/src/task/usage_task.rs
+++ b/crates/daemon/src/task/usage_task.rs
@@ -74,7 +74,7 @@
         let own = self.shared.usage_totals().into_iter().map(TotalsLine::from).map(UsageLine::from).collect();
         self.totals.insert(self.shared.process(), own);
         let controls: Vec<SharedName> =
-            self.shared.members().running_entries().map(|member| member.control.clone()).collect();
+            self.shared.members().possibly_running_entries().map(|member| member.control.clone()).collect();
         let calls = controls
             .iter()
             .map(|control| self.peers.call::<_, TotalsAnswer>(control, "/peer/totals", &(), TOTALS_TIMEOUT_MS));
@@ -167,7 +167,7 @@
     async fn run(&mut self) {
         let Some(site) = self.shared.config().site().cloned() else { return };
         let rank =
-            self.shared.members().rank_for(DUTY, &site.failure_domains.first().cloned().unwrap_or_else(|| "".into()));
+            self.shared.members().duty_rank(DUTY, &site.failure_domains.first().cloned().unwrap_or_else(|| "".into()));
         let (kv, shared) = (self.kv.clone(), self.shared.clone());
         let lease =
             self.lease.get_or_insert_with(|| DutyLease::new(kv, shared, DUTY.into(), site.usage_checks_fencing));
--- a/crates/daemon/src/upstream/stream_body.rs
+++ b/crates/daemon/src/upstream/stream_body.rs
@@ -98,7 +98,7 @@
             return true;
         }
         self.next_key_check = now.plus_ms(KEY_CHECK_MS);
-        shared.fresh() && shared.config().key_holds(&self.owner.organisation, &self.owner.key)
+        shared.fresh() && shared.config().is_key_valid(&self.owner.organisation, &self.owner.key)
     }
 
     /// Ends the stream with an error event.
--- a/crates/edge/src/edge_state.rs
+++ b/crates/edge/src/edge_state.rs
@@ -3,7 +3,7 @@
 use crate::{edge_metrics::EdgeMetrics, job::JobIndex, steady_time::SteadyTime};
 use pimentoslip_client::OwnerClock;
 use pimentoslip_kernel::{
-    OwnershipTable, PathChoice, RunBoard, SamplerTable, SharedName, TimePoint, TrafficConfig, UsageTally, fingerprint,
+    OwnershipTable, PathSelector, RunBoard, SamplerTable, SharedName, TimePoint, TrafficConfig, UsageTally, fingerprint,
 };
 use pimentoslip_platform::ProcessSettings;
 use pimentoslip_wire::stored::DaemonEntry;
@@ -46,7 +46,7 @@
     jobs: Mutex<JobIndex>,
     usage: Mutex<UsageTally>,
     lease: Mutex<LeaseView>,
-    store_path: Mutex<PathChoice>,
+    store_path: Mutex<PathSelector>,
     store_regained_at: Mutex<Option<TimePoint>>,
     usage_writes: AtomicU64,
     run_board: Mutex<RunBoard>,
@@ -120,7 +120,7 @@
             jobs: Mutex::new(JobIndex::new(settings.memory_bytes / RESULTS_MEMORY_DIVISOR)),
             usage: Mutex::new(UsageTally::new(settings.usage_window_ms)),
             lease: Mutex::default(),
-            store_path: Mutex::new(PathChoice::new(fingerprint(&[settings.vm.as_bytes()]))),
+            store_path: Mutex::new(PathSelector::new(fingerprint(&[settings.vm.as_bytes()]))),
             store_regained_at: Mutex::default(),
             usage_writes: AtomicU64::new(0),
             run_board: Mutex::default(),
@@ -195,7 +195,7 @@
     }
 
     /// Which way calls to the store take.
-    pub fn store_path(&self) -> MutexGuard<'_, PathChoice> {
+    pub fn store_path(&self) -> MutexGuard<'_, PathSelector> {
         lock(&self.store_path)
     }
 
--- a/crates/edge/src/http/peer_api.rs
+++ b/crates/edge/src/http/peer_api.rs
@@ -23,7 +23,7 @@
 pub async fn relay(parts: web::Data<WorkerParts>, request: HttpRequest, body: web::Bytes) -> HttpResponse {
     let path = request.uri().path_and_query().map(ToString::to_string).unwrap_or_default();
     let Some(name) = path.strip_prefix(RELAY_PATH) else { return HttpResponse::NotFound().finish() };
-    if !parts.state.store_path().is_direct_open() {
+    if !parts.state.store_path().is_direct_available() {
         return HttpResponse::ServiceUnavailable().finish();
     }
     match parts.relay.pass_on(request.method().clone(), name, body).await {
--- a/crates/edge/src/job/claim_task.rs
+++ b/crates/edge/src/job/claim_task.rs
@@ -3,7 +3,7 @@
 use super::job_runner::run_job;
 use crate::{edge_metrics::EdgeMetrics, edge_state::EdgeState, store::StoreAccess};
 use awc::Client;
-use pimentoslip_kernel::{ClaimOrder, OwnerRecord, SharedName};
+use pimentoslip_kernel::{DueClaim, OwnerRecord, SharedName};
 use pimentoslip_platform::{CommitOutcome, StoreCommit};
 use pimentoslip_telemetry::LogLine;
 use pimentoslip_wire::{encode, stored::KeyLayout};
@@ -20,7 +20,7 @@
         let claims = {
             let regained_at = state.store_regained_at();
             let jobs = state.jobs();
-            state.ownership().claims(now, regained_at, |job| jobs.is_held(job))
+            state.ownership().due_claims(now, regained_at, |job| jobs.is_held(job))
         };
         let lease = state.lease().lease;
         if let Some(lease) = lease {
@@ -32,27 +32,27 @@
     }
 }
 
-async fn claim_job(state: &EdgeState, store: &StoreAccess, claim: &ClaimOrder, lease: u64) {
+async fn claim_job(state: &EdgeState, store: &StoreAccess, claim: &DueClaim, lease: u64) {
     let entry = match encode(&state.signature()) {
         Ok(entry) => entry,
         Err(error) => return LogLine::new("job_claim_failed").field("job", &claim.job).field("reason", error).warn(),
     };
     let key = KeyLayout::owner(&claim.job);
-    let commit = StoreCommit::default().expect(key.clone(), claim.replaces).put(key, entry, lease);
+    let commit = StoreCommit::default().expect(key.clone(), claim.replaced_revision).put(key, entry, lease);
     match store.commit(&commit).await {
         Ok(CommitOutcome::Done(revision)) => {
             LogLine::new("job_claimed")
                 .field("job", &claim.job)
-                .field("replaces", claim.replaces)
+                .field("replaces", claim.replaced_revision)
                 .field("revision", revision)
                 .info();
             let daemon = state.settings.vm.clone();
             let owner = OwnerRecord { daemon, incarnation: state.incarnation, revision };
             let now = state.now();
-            state.ownership().claimed(claim.job.clone(), owner, now);
+            state.ownership().job_claimed(claim.job.clone(), owner, now);
         }
         Ok(CommitOutcome::Conflict(_)) => {
-            LogLine::new("job_claim_lost").field("job", &claim.job).field("replaces", claim.replaces).info();
+            LogLine::new("job_claim_lost").field("job", &claim.job).field("replaces", claim.replaced_revision).info();
         }
         Err(error) => LogLine::new("job_claim_failed").field("job", &claim.job).field("reason", error).warn(),
     }
@@ -63,7 +63,7 @@
     let owned: Vec<SharedName> = {
         let (jobs, ownership) = (state.jobs(), state.ownership());
         let open = jobs.iter().filter(|(_, view)| !view.ended && !view.settled);
-        open.map(|(job, _)| job.clone()).filter(|job| ownership.may_begin(job, jobs.has_submission(job), now)).collect()
+        open.map(|(job, _)| job.clone()).filter(|job| ownership.may_start(job, jobs.has_submission(job), now)).collect()
     };
     for job in owned {
         if state.jobs().hold(job.clone()) {
--- a/crates/edge/src/job/job_runner.rs
+++ b/crates/edge/src/job/job_runner.rs
@@ -59,7 +59,7 @@
 /// Whether this process has no more to do for `job`. A missing owner is no reason to stop: the lease may have lapsed
 /// with the store, and this process claims the job again.
 fn is_over(state: &EdgeState, job: &str) -> bool {
-    state.ownership().is_taken(job) || state.jobs().is_ended(job) || state.is_draining()
+    state.ownership().is_owned_elsewhere(job) || state.jobs().is_ended(job) || state.is_draining()
 }
 
 /// What a new owner begins with.
--- a/crates/edge/src/job/job_writer.rs
+++ b/crates/edge/src/job/job_writer.rs
@@ -113,7 +113,7 @@
 
 fn choose_owner(state: &EdgeState, kind: &str, excluded: Option<&str>) -> Option<ChosenOwner> {
     let ownership = state.ownership();
-    let (daemon, presence) = ownership.preferred(kind, excluded)?;
+    let (daemon, presence) = ownership.preferred_daemon(kind, excluded)?;
     let signature = DaemonEntry { daemon: daemon.clone(), incarnation: presence.incarnation };
     Some(ChosenOwner { signature, presence: presence.clone() })
 }
@@ -142,7 +142,7 @@
         parts.state.jobs().accepted(job.id.clone(), job.entry.clone());
         let mut ownership = parts.state.ownership();
         ownership.job_accepted(job.id.clone(), now);
-        ownership.owner_known(job.id.clone(), record, now);
+        ownership.owner_recorded(job.id.clone(), record, now);
     }
     let push = job.push(&owner, revision, None);
     actix_rt::spawn(push_job(parts.upstreams.clone(), owner.presence.control, push));
@@ -197,7 +197,7 @@
     let mut ownership = state.ownership();
     ownership.job_accepted(job.id.clone(), now);
     if let Some(owner) = owner {
-        ownership.owner_known(job.id.clone(), owner, now);
+        ownership.owner_recorded(job.id.clone(), owner, now);
     }
     drop(ownership);
     state.job_changed.notify_waiters();
--- a/crates/edge/src/job/owner_read.rs
+++ b/crates/edge/src/job/owner_read.rs
@@ -29,7 +29,7 @@
             return ResultsAnswer::Listed(results);
         }
         // Only the one owner can say that nothing is listed.
-        let is_owner = state.ownership().is_mine(job) && state.jobs().is_held(job) && state.is_lease_sure();
+        let is_owner = state.ownership().is_owned_here(job) && state.jobs().is_held(job) && state.is_lease_sure();
         if !is_owner {
             return ResultsAnswer::Unsure;
         }
@@ -99,6 +99,6 @@
     let ownership = state.ownership();
     let owner = ownership.owner(job)?;
     let presence = ownership.daemon(&owner.daemon)?;
-    let lives = presence.incarnation == owner.incarnation && !ownership.is_mine(job);
+    let lives = presence.incarnation == owner.incarnation && !ownership.is_owned_here(job);
     lives.then(|| presence.control.clone())
 }
--- a/crates/edge/src/store/followed_keys.rs
+++ b/crates/edge/src/store/followed_keys.rs
@@ -63,7 +63,7 @@
     /// A record signed by a daemon.
     fn signed(&self, item: &StoreItem, entry: DaemonEntry, now: TimePoint) {
         if let Some(job) = KeyLayout::parse_owner(&item.key) {
-            self.state.ownership().owner_known(job.into(), entry.into_owner(item.revision), now);
+            self.state.ownership().owner_recorded(job.into(), entry.into_owner(item.revision), now);
         } else if item.key == KeyLayout::DUTY {
             LogLine::new("duty_holder").field("holder", &entry.daemon).field("fencing_token", item.revision).info();
             self.state.lease().duty_known(item.revision, entry);
@@ -73,13 +73,13 @@
     fn removed(&mut self, key: &str, revision: u64, now: TimePoint) {
         self.known.remove(key);
         if let Some(job) = KeyLayout::parse_owner(key) {
-            self.state.ownership().owner_gone(job, revision, now);
+            self.state.ownership().owner_removed(job, revision, now);
         } else if let Some(daemon) = KeyLayout::parse_daemon(key) {
             LogLine::new("daemon_left").field("daemon", daemon).info();
             self.state.ownership().daemon_left(daemon);
         } else if let Some(job) = KeyLayout::parse_job(key) {
             self.state.jobs().forgotten(job);
-            self.state.ownership().job_forgotten(job);
+            self.state.ownership().job_deleted(job);
         } else if key == KeyLayout::DUTY {
             let mut lease = self.state.lease();
             if lease.duty.as_ref().is_some_and(|(known, _)| *known <= revision) {
--- a/crates/edge/src/store/listed_upstreams.rs
+++ b/crates/edge/src/store/listed_upstreams.rs
@@ -66,7 +66,7 @@
 impl ListedUpstreams {
     /// Until when an entry that is missing now may come back because the store was away.
     fn returns_by(&self, now: TimePoint) -> TimePoint {
-        if !self.state.store_path().is_direct_open() {
+        if !self.state.store_path().is_direct_available() {
             return now.plus_ms(RETURN_MS);
         }
         self.state.store_regained_at().map_or(TimePoint(0), |at| at.plus_ms(RETURN_MS))
--- a/crates/edge/src/store/news_feed.rs
+++ b/crates/edge/src/store/news_feed.rs
@@ -94,7 +94,7 @@
         let settings = &self.state.settings;
         let ownership = self.state.ownership();
         let region_watcher = ownership.region_watcher(&settings.region).map(|(daemon, _)| daemon.clone());
-        let sources = ownership.news_sources(&settings.failure_domain, &settings.region);
+        let sources = ownership.watch_sources(&settings.failure_domain, &settings.region);
         let now = self.state.now();
         let silent = self.silent_until.borrow();
         let awake = sources.into_iter().filter(|(daemon, _)| silent.get(*daemon).is_none_or(|until| *until <= now));
--- a/crates/edge/src/store/store_access.rs
+++ b/crates/edge/src/store/store_access.rs
@@ -42,7 +42,7 @@
 
     /// The way of the next call; none while the store is away and not to be asked yet.
     fn path(&self) -> Option<(ServicePath, StoreClient)> {
-        let path = self.state.store_path().next(self.state.now(), || self.ranked_peers())?;
+        let path = self.state.store_path().next_path(self.state.now(), || self.ranked_peers())?;
         match &path {
             ServicePath::Direct => Some((path, self.direct.clone())),
             ServicePath::Relay(peer) => {
@@ -74,12 +74,12 @@
         let mut choice = self.state.store_path();
         match result {
             Err(error @ (StoreError::NotDone { .. } | StoreError::Unknown { .. })) => {
-                if choice.failed(path, began, now) {
+                if choice.call_failed(path, began, now) {
                     LogLine::new("store_path_lost").field("path", path).field("reason", error).warn();
                 }
             }
             _ => {
-                if choice.worked(path, now) {
+                if choice.call_succeeded(path, now) {
                     drop(choice);
                     self.state.store_regained(now);
                     LogLine::new("store_path_regained").field("path", path).info();
--- a/crates/kernel/src/claim_table.rs
+++ b/crates/kernel/src/claim_table.rs
@@ -4,12 +4,12 @@
 use std::collections::HashMap;
 
 /// Result of operations that need the table's ownership.
-pub type Result<T> = std::result::Result<T, StaleOwner>;
+pub type Result<T> = std::result::Result<T, NotShardOwner>;
 
 /// The table's owner was replaced, or has not loaded the shard yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("this daemon does not own the claim shard; ask its present owner")]
-pub struct StaleOwner;
+pub struct NotShardOwner;
 
 /// Identifies a claim: organisation, service and the caller's idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -81,7 +81,7 @@
     }
 
     /// Gives the shard up. Nothing is granted until the next [`load`](Self::load).
-    pub fn depose(&mut self) {
+    pub fn drop_ownership(&mut self) {
         self.epoch = None;
         self.entries.clear();
         self.queue.clear();
@@ -98,7 +98,7 @@
         now: TimePoint,
     ) -> Result<ClaimAnswer<A>> {
         if self.epoch.is_none() {
-            return Err(StaleOwner);
+            return Err(NotShardOwner);
         }
         let Some(entry) = self.entries.get_mut(key) else {
             self.enqueue(key, grant, fingerprint, deadline);
@@ -130,7 +130,7 @@
     }
 
     /// The batch is on record: the claim of `key` is granted. False when it is no longer wanted.
-    pub fn committed(&mut self, key: &ClaimKey, grant: u64) -> bool {
+    pub fn claim_committed(&mut self, key: &ClaimKey, grant: u64) -> bool {
         let Some(entry) = self.entries.get_mut(key) else { return false };
         match entry.state {
             ClaimState::Queued { grant: queued, deadline } if queued == grant => {
@@ -159,7 +159,7 @@
     }
 
     /// The request of this grant may have run, and its answer is lost.
-    pub fn lose(&mut self, key: &ClaimKey, grant: u64) {
+    pub fn mark_unknown(&mut self, key: &ClaimKey, grant: u64) {
         if self.grant_of(key) != Some(grant) {
             return;
         }
--- a/crates/kernel/src/config/config_view.rs
+++ b/crates/kernel/src/config/config_view.rs
@@ -38,25 +38,25 @@
     }
 
     /// Everything up to `revision` has been applied.
-    pub fn completed(&mut self, revision: u64) {
+    pub fn revision_completed(&mut self, revision: u64) {
         self.complete = self.complete.max(revision);
     }
 
     /// Revision up to which nothing is missing.
     #[must_use]
-    pub fn complete(&self) -> u64 {
+    pub fn complete_revision(&self) -> u64 {
         self.complete
     }
 
     /// Highest revision of any held record.
     #[must_use]
-    pub fn newest(&self) -> u64 {
+    pub fn newest_revision(&self) -> u64 {
         self.records.values().map(|entry| entry.revision).max().unwrap_or(0)
     }
 
     /// Records newer than `revision`.
     #[must_use]
-    pub fn since(&self, revision: u64) -> Vec<RecordEntry> {
+    pub fn entries_since(&self, revision: u64) -> Vec<RecordEntry> {
         self.records.values().filter(|entry| entry.revision > revision).cloned().collect()
     }
 
@@ -114,7 +114,7 @@
 
     /// Newest published weight version of a service, zero before the first.
     #[must_use]
-    pub fn published(&self, service: &str) -> u64 {
+    pub fn published_version(&self, service: &str) -> u64 {
         let Some(entry) = self.records.get(&RecordName::Weights(service.into())) else { return 0 };
         match &*entry.record {
             ConfigRecord::Weights(version) => *version,
@@ -135,7 +135,7 @@
 
     /// Whether the key called `id` still holds for `organisation`.
     #[must_use]
-    pub fn key_holds(&self, organisation: &str, id: &str) -> bool {
+    pub fn is_key_valid(&self, organisation: &str, id: &str) -> bool {
         let Some(entry) = self.records.get(&RecordName::Keys(organisation.into())) else { return false };
         match &*entry.record {
             ConfigRecord::Keys(keys) => {
@@ -147,7 +147,7 @@
 
     /// Whether `id` names a key of any organisation.
     #[must_use]
-    pub fn key_known(&self, id: &str) -> bool {
+    pub fn has_key(&self, id: &str) -> bool {
         self.key_owners.contains_key(id)
     }
 
--- a/crates/kernel/src/config/key_secret.rs
+++ b/crates/kernel/src/config/key_secret.rs
@@ -19,7 +19,7 @@
 
 impl KeySecret {
     /// Draws a new key.
-    pub fn draw<R: Rng>(rng: &mut R) -> Self {
+    pub fn generate<R: Rng>(rng: &mut R) -> Self {
         let id: SharedName = draw_chars(rng, ID_CHARS).into();
         let token = format!("{KEY_PREFIX}{id}-{}", draw_chars(rng, SECRET_CHARS));
         Self { id, token }
--- a/crates/kernel/src/freshness_table.rs
+++ b/crates/kernel/src/freshness_table.rs
@@ -33,7 +33,7 @@
 
     /// Applies the rule that changes are only accepted by daemons: whoever has heard every other
     /// daemon holds all that any of them accepted before being asked. `peers` are all that may be alive.
-    pub fn peers_heard<'a>(&mut self, peers: impl IntoIterator<Item = &'a SharedName>, now: TimePoint) {
+    pub fn update_from_peers<'a>(&mut self, peers: impl IntoIterator<Item = &'a SharedName>, now: TimePoint) {
         let mut oldest = now;
         for peer in peers {
             let Some(&heard) = self.heard.get(peer) else { return };
@@ -50,7 +50,7 @@
 
     /// Whether keys may be trusted at `now`.
     #[must_use]
-    pub fn fresh(&self, now: TimePoint) -> bool {
+    pub fn is_fresh(&self, now: TimePoint) -> bool {
         self.age_ms(now).is_some_and(|age| age <= FRESH_BOUND_MS)
     }
 
--- a/crates/kernel/src/lease_holder.rs
+++ b/crates/kernel/src/lease_holder.rs
@@ -27,7 +27,7 @@
     /// Its process ended: a newer incarnation runs, its port refuses, or its VM is off the list.
     Ended,
     /// It cannot be reached, which proves nothing.
-    Silent,
+    Unresponsive,
 }
 
 /// Where a holder stands.
@@ -35,14 +35,14 @@
 pub enum LeaseState {
     /// Holds nothing.
     Idle,
-    /// Holds the lease, but former holders' orders may still arrive until `quiet_at`.
+    /// Holds the lease, but former holders' orders may still arrive until `settled_at`.
     Settling {
         /// Revision that fences earlier holders.
         fencing: u64,
         /// When the holder stops acting unless renewed.
         deadline: TimePoint,
         /// First moment at which nothing of an ended holder is on the wire.
-        quiet_at: TimePoint,
+        settled_at: TimePoint,
     },
     /// Holds the lease and may act.
     Held {
@@ -83,7 +83,7 @@
     }
 
     /// The lease was granted by a write sent at `asked_at`. The late answer of an older grant is ignored.
-    pub fn acquired(&mut self, fencing: u64, asked_at: TimePoint, evidence: HolderEvidence, now: TimePoint) {
+    pub fn lease_acquired(&mut self, fencing: u64, asked_at: TimePoint, evidence: HolderEvidence, now: TimePoint) {
         if fencing <= self.newest {
             return;
         }
@@ -92,38 +92,38 @@
         self.renew_at = asked_at.plus_ms(RENEW_AFTER_MS);
         self.state = match evidence {
             HolderEvidence::Clear => LeaseState::Held { fencing, deadline },
-            HolderEvidence::Ended | HolderEvidence::Silent if self.receiver_checks => {
+            HolderEvidence::Ended | HolderEvidence::Unresponsive if self.receiver_checks => {
                 LeaseState::Held { fencing, deadline }
             }
-            HolderEvidence::Ended => LeaseState::Settling { fencing, deadline, quiet_at: now.plus_ms(GUARD_MS) },
-            HolderEvidence::Silent => LeaseState::Settling { fencing, deadline, quiet_at: TimePoint(u64::MAX) },
+            HolderEvidence::Ended => LeaseState::Settling { fencing, deadline, settled_at: now.plus_ms(GUARD_MS) },
+            HolderEvidence::Unresponsive => LeaseState::Settling { fencing, deadline, settled_at: TimePoint(u64::MAX) },
         };
     }
 
     /// New evidence about former holders while settling.
-    pub fn learned(&mut self, evidence: HolderEvidence, now: TimePoint) {
-        let LeaseState::Settling { fencing, deadline, quiet_at } = self.state else { return };
-        let quiet_at = match evidence {
+    pub fn evidence_updated(&mut self, evidence: HolderEvidence, now: TimePoint) {
+        let LeaseState::Settling { fencing, deadline, settled_at } = self.state else { return };
+        let settled_at = match evidence {
             HolderEvidence::Clear => now,
-            HolderEvidence::Ended => quiet_at.min(now.plus_ms(GUARD_MS)),
-            HolderEvidence::Silent => quiet_at,
+            HolderEvidence::Ended => settled_at.min(now.plus_ms(GUARD_MS)),
+            HolderEvidence::Unresponsive => settled_at,
         };
-        self.state = if quiet_at <= now {
+        self.state = if settled_at <= now {
             LeaseState::Held { fencing, deadline }
         } else {
-            LeaseState::Settling { fencing, deadline, quiet_at }
+            LeaseState::Settling { fencing, deadline, settled_at }
         };
     }
 
     /// Whether a renewal is due.
     #[must_use]
-    pub fn renewal_due(&self, now: TimePoint) -> bool {
+    pub fn is_renewal_due(&self, now: TimePoint) -> bool {
         self.state != LeaseState::Idle && now >= self.renew_at
     }
 
     /// A renewal of the lease granted under `renewed`, sent at `asked_at`, was confirmed. A lost answer is
     /// no confirmation.
-    pub fn renewed(&mut self, renewed: u64, asked_at: TimePoint) {
+    pub fn lease_renewed(&mut self, renewed: u64, asked_at: TimePoint) {
         let until = asked_at.plus_ms(LEASE_TTL_MS - GUARD_MS);
         match &mut self.state {
             LeaseState::Idle => return,
--- a/crates/kernel/src/member_table.rs
+++ b/crates/kernel/src/member_table.rs
@@ -64,7 +64,7 @@
     }
 
     /// A peer answered a question asked at `asked_at`, giving its own entry.
-    pub fn heard(&mut self, entry: MemberEntry, asked_at: TimePoint) {
+    pub fn peer_seen(&mut self, entry: MemberEntry, asked_at: TimePoint) {
         if entry.name == self.me {
             return;
         }
@@ -77,7 +77,7 @@
     }
 
     /// A third daemon told of a member; hearsay adds unknown members and newer incarnations only.
-    pub fn rumour(&mut self, entry: &MemberEntry, now: TimePoint) {
+    pub fn member_reported(&mut self, entry: &MemberEntry, now: TimePoint) {
         if entry.name == self.me || entry.state != MemberState::Alive {
             return;
         }
@@ -88,7 +88,7 @@
     }
 
     /// The process behind `name` is known to have ended.
-    pub fn ended(&mut self, name: &SharedName, now: TimePoint) {
+    pub fn process_ended(&mut self, name: &SharedName, now: TimePoint) {
         let member = self.members.entry(name.clone()).or_insert_with(|| MemberEntry {
             name: name.clone(),
             incarnation: 0,
@@ -129,7 +129,7 @@
 
     /// Names of all that take part in duties, this daemon included.
     #[must_use]
-    pub fn active(&self) -> Vec<SharedName> {
+    pub fn active_names(&self) -> Vec<SharedName> {
         let mut names: Vec<SharedName> = self
             .members
             .values()
@@ -142,21 +142,21 @@
     }
 
     /// All others that may still be running, reachable or not.
-    pub fn running_entries(&self) -> impl Iterator<Item = &MemberEntry> {
+    pub fn possibly_running_entries(&self) -> impl Iterator<Item = &MemberEntry> {
         self.members.values().filter(|member| member.state != MemberState::Ended)
     }
 
     /// Names of all others that may still be running.
     #[must_use]
-    pub fn possibly_running(&self) -> Vec<SharedName> {
-        self.running_entries().map(|member| member.name.clone()).collect()
+    pub fn possibly_running_names(&self) -> Vec<SharedName> {
+        self.possibly_running_entries().map(|member| member.name.clone()).collect()
     }
 
     /// This daemon's place for the duty of `failure_domain`, among that domain's daemons, or among all
     /// when it has none.
     #[must_use]
-    pub fn rank_for(&self, duty: &str, failure_domain: &str) -> Option<usize> {
-        let active = self.active();
+    pub fn duty_rank(&self, duty: &str, failure_domain: &str) -> Option<usize> {
+        let active = self.active_names();
         let inside = |name: &SharedName| {
             let domain = if *name == self.me { &self.failure_domain } else { &self.members[name].failure_domain };
             &**domain == failure_domain
@@ -183,8 +183,8 @@
     }
 
     /// Members to exchange with in this round: all when few, else a rotating part of them.
-    pub fn next_round(&mut self) -> Vec<MemberEntry> {
-        let candidates: Vec<&MemberEntry> = self.running_entries().collect();
+    pub fn next_exchange_peers(&mut self) -> Vec<MemberEntry> {
+        let candidates: Vec<&MemberEntry> = self.possibly_running_entries().collect();
         if candidates.len() <= FANOUT {
             return candidates.into_iter().cloned().collect();
         }
--- a/crates/kernel/src/ownership_table.rs
+++ b/crates/kernel/src/ownership_table.rs
@@ -45,11 +45,11 @@
 
 /// A claim to be made.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ClaimOrder {
+pub struct DueClaim {
     /// Job.
     pub job: SharedName,
     /// Revision of the record that it replaces; 0 if there is none.
-    pub replaces: u64,
+    pub replaced_revision: u64,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -112,12 +112,12 @@
     }
 
     /// A job is off record.
-    pub fn job_forgotten(&mut self, job: &str) {
+    pub fn job_deleted(&mut self, job: &str) {
         self.entries.remove(job);
     }
 
     /// A job's owner is on record. Older records than the known one are ignored.
-    pub fn owner_known(&mut self, job: SharedName, owner: OwnerRecord, now: TimePoint) {
+    pub fn owner_recorded(&mut self, job: SharedName, owner: OwnerRecord, now: TimePoint) {
         let is_own = owner.daemon == self.daemon && owner.incarnation == self.incarnation;
         let entry = self.entry(job, now);
         let known = entry.owner.as_ref().map(|known| known.revision);
@@ -128,7 +128,7 @@
     }
 
     /// This process has claimed a job.
-    pub fn claimed(&mut self, job: SharedName, owner: OwnerRecord, now: TimePoint) {
+    pub fn job_claimed(&mut self, job: SharedName, owner: OwnerRecord, now: TimePoint) {
         let entry = self.entry(job, now);
         entry.owner = Some(owner);
         entry.given_at = None;
@@ -139,7 +139,7 @@
     }
 
     /// A job's ownership record was removed at `revision`.
-    pub fn owner_gone(&mut self, job: &str, revision: u64, now: TimePoint) {
+    pub fn owner_removed(&mut self, job: &str, revision: u64, now: TimePoint) {
         let Some(entry) = self.entries.get_mut(job) else { return };
         if entry.owner.as_ref().is_some_and(|owner| owner.revision <= revision) {
             entry.owner = None;
@@ -155,23 +155,23 @@
 
     /// Whether this process owns `job`.
     #[must_use]
-    pub fn is_mine(&self, job: &str) -> bool {
+    pub fn is_owned_here(&self, job: &str) -> bool {
         self.owner(job).is_some_and(|owner| owner.daemon == self.daemon && owner.incarnation == self.incarnation)
     }
 
     /// Whether this process should begin with `job`, which it owns: `has_state` tells whether it has what was submitted.
     #[must_use]
-    pub fn may_begin(&self, job: &str, has_state: bool, now: TimePoint) -> bool {
+    pub fn may_start(&self, job: &str, has_state: bool, now: TimePoint) -> bool {
         let given_at = self.entries.get(job).and_then(|entry| entry.given_at);
-        self.is_mine(job) && (has_state || given_at.is_none_or(|at| now >= at.plus_ms(PUSH_WAIT_MS)))
+        self.is_owned_here(job) && (has_state || given_at.is_none_or(|at| now >= at.plus_ms(PUSH_WAIT_MS)))
     }
 
     /// The daemon that should own the jobs of `kind`. Jobs of one kind stay together, because their owner knows best
     /// what it runs where, and keeps connections to those upstreams.
     #[must_use]
-    pub fn preferred(&self, kind: &str, excluded: Option<&str>) -> Option<(&SharedName, &DaemonPresence)> {
+    pub fn preferred_daemon(&self, kind: &str, excluded: Option<&str>) -> Option<(&SharedName, &DaemonPresence)> {
         let daemons: Vec<&SharedName> = self.daemons.keys().filter(|daemon| Some(&***daemon) != excluded).collect();
-        self.daemons.get_key_value(*rendezvous::owner(kind, &daemons)?)
+        self.daemons.get_key_value(*rendezvous::highest_ranked(kind, &daemons)?)
     }
 
     /// Daemons from which this one, in `failure_domain` of `region`, hears of changes in the store, nearest first: one
@@ -179,7 +179,7 @@
     ///
     /// Each asks only daemons that rank higher, so that no two wait for each other whatever they have heard of so far.
     #[must_use]
-    pub fn news_sources(&self, failure_domain: &str, region: &str) -> Vec<(&SharedName, &DaemonPresence)> {
+    pub fn watch_sources(&self, failure_domain: &str, region: &str) -> Vec<(&SharedName, &DaemonPresence)> {
         let domain_watcher = self.watcher(|presence| *presence.failure_domain == *failure_domain);
         let region_watcher = self.watcher(|presence| *presence.region == *region);
         let mut chain: Vec<(&SharedName, &DaemonPresence)> = domain_watcher.into_iter().collect();
@@ -192,7 +192,7 @@
     fn watcher(&self, among: impl Fn(&DaemonPresence) -> bool) -> Option<(&SharedName, &DaemonPresence)> {
         let others = self.daemons.iter().filter(|(daemon, presence)| **daemon != self.daemon && among(presence));
         let names: Vec<&SharedName> = others.map(|(daemon, _)| daemon).chain([&self.daemon]).collect();
-        let highest = rendezvous::owner(WATCH_KIND, &names)?;
+        let highest = rendezvous::highest_ranked(WATCH_KIND, &names)?;
         self.daemons.get_key_value(*highest).filter(|(daemon, _)| **daemon != self.daemon)
     }
 
@@ -204,30 +204,30 @@
 
     /// Whether another process is known to own `job`.
     #[must_use]
-    pub fn is_taken(&self, job: &str) -> bool {
-        self.owner(job).is_some() && !self.is_mine(job)
+    pub fn is_owned_elsewhere(&self, job: &str) -> bool {
+        self.owner(job).is_some() && !self.is_owned_here(job)
     }
 
     /// Jobs that this process should claim now. `regained_at` is when the store was found back after an outage, if
     /// there was one; `held` tells whether this process has a job's state in memory.
     #[must_use]
-    pub fn claims(
+    pub fn due_claims(
         &self,
         now: TimePoint,
         regained_at: Option<TimePoint>,
         held: impl Fn(&str) -> bool,
-    ) -> Vec<ClaimOrder> {
+    ) -> Vec<DueClaim> {
         let after_outage = |since: TimePoint| regained_at.is_some_and(|at| since.since_ms(at) < OUTAGE_REJOIN_MS);
         let daemons: Vec<&SharedName> = self.daemons.keys().collect();
         let open = self.entries.iter().filter(|(_, entry)| entry.accepted && !entry.closed);
         let due = open.filter_map(|(job, entry)| {
-            let claim = |replaces| Some(ClaimOrder { job: job.clone(), replaces });
+            let claim = |replaced_revision| Some(DueClaim { job: job.clone(), replaced_revision });
             if let Some(owner) = &entry.owner {
                 // The process that this one replaced is gone.
                 let former = owner.daemon == self.daemon && owner.incarnation < self.incarnation;
                 return if former { claim(owner.revision) } else { None };
             }
-            let preferred = rendezvous::owner(job, &daemons).is_some_and(|daemon| **daemon == self.daemon);
+            let preferred = rendezvous::highest_ranked(job, &daemons).is_some_and(|daemon| **daemon == self.daemon);
             let rejoin_ms = if after_outage(entry.vacant_since) { OUTAGE_REJOIN_MS } else { REJOIN_MS };
             let delay_ms = match (held(job), preferred) {
                 (true, _) => 0,
--- a/crates/kernel/src/path_choice.rs
+++ b/crates/kernel/src/path_selector.rs
@@ -40,7 +40,7 @@
 
 /// Remembers which ways failed.
 #[derive(Debug, Default)]
-pub struct PathChoice {
+pub struct PathSelector {
     seed: u64,
     direct_failures: u32,
     direct_worked_at: Option<TimePoint>,
@@ -52,7 +52,7 @@
     resting_peers: BTreeMap<SharedName, TimePoint>,
 }
 
-impl PathChoice {
+impl PathSelector {
     /// Creates the choice of one daemon; `seed` spreads the pauses of different ones.
     #[must_use]
     pub fn new(seed: u64) -> Self {
@@ -61,13 +61,13 @@
 
     /// Whether the straight way works as far as known.
     #[must_use]
-    pub fn is_direct_open(&self) -> bool {
+    pub fn is_direct_available(&self) -> bool {
         self.direct_failures == 0
     }
 
     /// The way of the next call, or none if the service is away and not to be asked yet. `peers` are those that may
     /// relay, in the order of preference.
-    pub fn next(&mut self, now: TimePoint, peers: impl FnOnce() -> Vec<SharedName>) -> Option<ServicePath> {
+    pub fn next_path(&mut self, now: TimePoint, peers: impl FnOnce() -> Vec<SharedName>) -> Option<ServicePath> {
         if self.direct_failures == 0 {
             return Some(ServicePath::Direct);
         }
@@ -86,7 +86,7 @@
     }
 
     /// A call went through. True if the straight way works again.
-    pub fn worked(&mut self, path: &ServicePath, now: TimePoint) -> bool {
+    pub fn call_succeeded(&mut self, path: &ServicePath, now: TimePoint) -> bool {
         self.peer_failures = 0;
         if *path != ServicePath::Direct {
             return false;
@@ -97,7 +97,7 @@
     }
 
     /// A call that began at `began` did not get through. True if the straight way worked before.
-    pub fn failed(&mut self, path: &ServicePath, began: TimePoint, now: TimePoint) -> bool {
+    pub fn call_failed(&mut self, path: &ServicePath, began: TimePoint, now: TimePoint) -> bool {
         match path {
             // An answer that came since proves the way: only this call's was lost.
             ServicePath::Direct if self.direct_worked_at.is_some_and(|worked_at| worked_at > began) => false,
--- a/crates/kernel/src/rendezvous.rs
+++ b/crates/kernel/src/rendezvous.rs
@@ -12,7 +12,7 @@
 
 /// The member with the highest weight for `key`, if there is one.
 #[must_use]
-pub fn owner<'a, T: AsRef<str>>(key: &str, members: &'a [T]) -> Option<&'a T> {
+pub fn highest_ranked<'a, T: AsRef<str>>(key: &str, members: &'a [T]) -> Option<&'a T> {
     members
         .iter()
         .max_by(|a, b| weight(key, a.as_ref()).cmp(&weight(key, b.as_ref())).then_with(|| b.as_ref().cmp(a.as_ref())))
--- a/crates/kernel/src/route_table.rs
+++ b/crates/kernel/src/route_table.rs
@@ -300,7 +300,7 @@
         let lighter = if cost(second) < cost(first) { second } else { first };
         if let (RoutePolicy::PrefixTwoChoices, Some(prefix)) = (self.policy, query.prefix) {
             let names: Vec<&str> = eligible.iter().map(|entry| &*entry.name).collect();
-            let holder = rendezvous::owner(&format!("{prefix:x}"), &names)?;
+            let holder = rendezvous::highest_ranked(&format!("{prefix:x}"), &names)?;
             let holder = eligible.iter().find(|entry| &*entry.name == *holder)?;
             if cost(holder) <= cost_above(lighter, lighter.load(now) + PREFIX_BONUS * LOAD_UNIT) {
                 return Some(holder.name.clone());
--- a/crates/kernel/src/wall_offset.rs
+++ b/crates/kernel/src/wall_clock_offset.rs
@@ -9,12 +9,12 @@
 
 /// The offset between a steady clock and the time of day.
 #[derive(Clone, Copy, Debug)]
-pub struct WallOffset {
+pub struct WallClockOffset {
     offset_ms: u64,
     differs_since: Option<(TimePoint, u64)>,
 }
 
-impl WallOffset {
+impl WallClockOffset {
     /// Starts from both clocks.
     #[must_use]
     pub fn new(steady: TimePoint, unix_ms: u64) -> Self {
@@ -22,7 +22,7 @@
     }
 
     /// The time of day in milliseconds since the Unix epoch.
-    pub fn read(&mut self, steady: TimePoint, unix_ms: u64) -> u64 {
+    pub fn corrected_unix_ms(&mut self, steady: TimePoint, unix_ms: u64) -> u64 {
         let offset_ms = unix_ms.saturating_sub(steady.0);
         if offset_ms.abs_diff(self.offset_ms) <= DRIFT_MS {
             self.offset_ms = offset_ms;
--- a/crates/kernel/tests/machines/claims.rs
+++ b/crates/kernel/tests/machines/claims.rs
@@ -182,7 +182,7 @@
         for (key, grant, _) in &commit.batch {
             match commit.applied {
                 Some(true) if !lost => {
-                    if table.committed(key, *grant) {
+                    if table.claim_committed(key, *grant) {
                         self.attempts[*grant as usize].granted = true;
                     }
                 }
@@ -190,7 +190,7 @@
             }
         }
         if commit.applied == Some(false) && !lost {
-            table.depose();
+            table.drop_ownership();
         }
         // A commit that is still under way when its answer is given up may arrive later.
         if commit.applied.is_none() {
--- a/crates/kernel/tests/machines/configuration.rs
+++ b/crates/kernel/tests/machines/configuration.rs
@@ -167,7 +167,7 @@
         if self.daemons[daemon].cut {
             return;
         }
-        let since = self.daemons[daemon].view.complete();
+        let since = self.daemons[daemon].view.complete_revision();
         let entries = self.stored.iter().filter(|entry| entry.revision > since).cloned().collect();
         let process = self.daemons[daemon].process;
         self.answers.push(Answer::Service { daemon, process, asked_at: self.now, revision: self.revision, entries });
@@ -177,16 +177,16 @@
         if daemon == peer || !self.reach(daemon, peer) {
             return;
         }
-        let since = self.daemons[daemon].view.complete();
+        let since = self.daemons[daemon].view.complete_revision();
         let other = &self.daemons[peer];
         self.answers.push(Answer::Peer {
             daemon,
             process: self.daemons[daemon].process,
             peer,
             asked_at: self.now,
-            complete: other.view.complete(),
+            complete: other.view.complete_revision(),
             age_ms: other.freshness.age_ms(self.now),
-            entries: other.view.since(since),
+            entries: other.view.entries_since(since),
         });
     }
 
@@ -200,7 +200,7 @@
                 entries.into_iter().for_each(|entry| {
                     state.view.apply(entry);
                 });
-                state.view.completed(revision);
+                state.view.revision_completed(revision);
                 state.freshness.service_read(asked_at);
             }
             Answer::Peer { daemon, process, peer, asked_at, complete, age_ms, entries } => {
@@ -211,7 +211,7 @@
                 entries.into_iter().for_each(|entry| {
                     state.view.apply(entry);
                 });
-                state.view.completed(complete);
+                state.view.revision_completed(complete);
                 state.freshness.peer_answered(&name(peer), asked_at, age_ms);
                 self.hear_all(daemon);
             }
@@ -222,8 +222,8 @@
     fn hear_all(&mut self, daemon: usize) {
         let peers: Vec<SharedName> = (0..self.daemons.len()).filter(|peer| *peer != daemon).map(name).collect();
         let state = &mut self.daemons[daemon];
-        if state.view.complete() > 0 {
-            state.freshness.peers_heard(&peers, self.now);
+        if state.view.complete_revision() > 0 {
+            state.freshness.update_from_peers(&peers, self.now);
         }
     }
 
@@ -283,7 +283,7 @@
                 }
                 *seen = held;
             }
-            if !self.daemons[daemon].freshness.fresh(self.now) {
+            if !self.daemons[daemon].freshness.is_fresh(self.now) {
                 continue;
             }
             for (record, revision, accepted_at) in self.accepted.iter().chain(&self.pending) {
@@ -332,7 +332,7 @@
             world.apply(&Command::AskPeer { daemon, peer });
             world.apply(&Command::Arrive { answer: 0, lost: false });
         }
-        assert!(world.daemons.iter().all(|daemon| daemon.freshness.fresh(world.now)));
+        assert!(world.daemons.iter().all(|daemon| daemon.freshness.is_fresh(world.now)));
     }
     world.apply(&Command::CutPeers { a: 0, b: 1, cut: true });
     for _ in 0..5 {
@@ -340,5 +340,5 @@
         world.apply(&Command::AskPeer { daemon: 0, peer: 2 });
         world.apply(&Command::Arrive { answer: 0, lost: false });
     }
-    assert!(!world.daemons[0].freshness.fresh(world.now), "a daemon that hears only some cannot know");
+    assert!(!world.daemons[0].freshness.is_fresh(world.now), "a daemon that hears only some cannot know");
 }
--- a/crates/kernel/tests/machines/duties.rs
+++ b/crates/kernel/tests/machines/duties.rs
@@ -119,7 +119,7 @@
         let of = |(other, process): &(usize, u32)| match self.daemons[*other].process {
             now if *other == daemon && now == *process => HolderEvidence::Clear,
             now if now > *process => HolderEvidence::Ended,
-            _ => HolderEvidence::Silent,
+            _ => HolderEvidence::Unresponsive,
         };
         previous.iter().map(of).max().unwrap_or(HolderEvidence::Clear)
     }
@@ -165,12 +165,12 @@
                 if self.daemons[daemon].process == process {
                     let evidence = self.evidence(daemon, &previous);
                     self.learned[daemon] = previous;
-                    self.daemons[daemon].holder.acquired(fencing, asked_at, evidence, self.now);
+                    self.daemons[daemon].holder.lease_acquired(fencing, asked_at, evidence, self.now);
                 }
             }
             Answer::Renewed { daemon, process, fencing, asked_at } => {
                 if self.daemons[daemon].process == process {
-                    self.daemons[daemon].holder.renewed(fencing, asked_at);
+                    self.daemons[daemon].holder.lease_renewed(fencing, asked_at);
                 }
             }
         }
@@ -232,7 +232,7 @@
                 let at = usize::from(daemon);
                 let evidence = self.evidence(at, &self.learned[at]);
                 let now = self.now;
-                self.daemons[at].holder.learned(evidence, now);
+                self.daemons[at].holder.evidence_updated(evidence, now);
             }
             Command::Crash { daemon } => {
                 let at = usize::from(daemon);
@@ -354,9 +354,9 @@
 #[test]
 fn a_late_answer_of_an_older_grant_is_ignored() {
     let mut holder = LeaseHolder::new(true);
-    holder.acquired(2, TimePoint(8_000), HolderEvidence::Clear, TimePoint(8_000));
-    holder.acquired(1, TimePoint(7_000), HolderEvidence::Clear, TimePoint(8_100));
+    holder.lease_acquired(2, TimePoint(8_000), HolderEvidence::Clear, TimePoint(8_000));
+    holder.lease_acquired(1, TimePoint(7_000), HolderEvidence::Clear, TimePoint(8_100));
     assert_eq!(holder.authority(TimePoint(8_200)), Some((2, TimePoint(12_000))));
-    holder.renewed(1, TimePoint(9_000));
+    holder.lease_renewed(1, TimePoint(9_000));
     assert_eq!(holder.authority(TimePoint(8_200)), Some((2, TimePoint(12_000))), "nor its renewal");
 }
--- a/crates/kernel/tests/machines/fleet_laws.rs
+++ b/crates/kernel/tests/machines/fleet_laws.rs
@@ -1,8 +1,8 @@
 //! Small laws of placing, pacing, ways to the store, usage windows and clocks, in tables.
 
 use pimentoslip_kernel::{
-    PathChoice, RoomNeed, RunPace, SamplerOutcome, SamplerQuery, SamplerRecord, SamplerState, SamplerTable,
-    ServicePath, SharedName, TimePoint, UsageTally, WallOffset,
+    PathSelector, RoomNeed, RunPace, SamplerOutcome, SamplerQuery, SamplerRecord, SamplerState, SamplerTable,
+    ServicePath, SharedName, TimePoint, UsageTally, WallClockOffset,
 };
 use std::collections::BTreeMap;
 
@@ -143,46 +143,50 @@
     let peers = || vec!["a".into(), "b".into(), "c".into()];
     let through = |peer: &str| Some(ServicePath::Relay(peer.into()));
     let direct = Some(ServicePath::Direct);
-    let mut choice = PathChoice::default();
-    assert_eq!(choice.next(TimePoint(0), peers), direct);
-    assert!(choice.failed(&ServicePath::Direct, TimePoint(0), TimePoint(0)), "the straight way is lost");
+    let mut choice = PathSelector::default();
+    assert_eq!(choice.next_path(TimePoint(0), peers), direct);
+    assert!(choice.call_failed(&ServicePath::Direct, TimePoint(0), TimePoint(0)), "the straight way is lost");
     assert!(
-        !choice.failed(&ServicePath::Direct, TimePoint(0), TimePoint(0)),
+        !choice.call_failed(&ServicePath::Direct, TimePoint(0), TimePoint(0)),
         "a call that was on its way with it says nothing new"
     );
-    assert!(!choice.is_direct_open());
-    assert_eq!(choice.next(TimePoint(1), peers), through("a"));
-    assert!(!choice.failed(&ServicePath::Relay("a".into()), TimePoint(1), TimePoint(1)));
-    assert_eq!(choice.next(TimePoint(2), peers), through("b"));
-    choice.failed(&ServicePath::Relay("b".into()), TimePoint(2), TimePoint(2));
-    assert_eq!(choice.next(TimePoint(3), peers), None, "two peers do not reach it either");
-    assert_eq!(choice.next(TimePoint(249), peers), None);
-    assert_eq!(choice.next(TimePoint(250), peers), direct, "one call tries the straight way");
-    assert_eq!(choice.next(TimePoint(251), peers), None, "the others wait for its outcome");
-    choice.failed(&ServicePath::Direct, TimePoint(300), TimePoint(300));
-    assert_eq!(choice.next(TimePoint(301), peers), through("c"), "a peer that was not asked yet");
-    assert!(!choice.worked(&ServicePath::Relay("c".into()), TimePoint(301)));
-    assert_eq!(choice.next(TimePoint(1_299), peers), through("c"));
-    assert_eq!(choice.next(TimePoint(1_300), peers), direct);
-    assert!(choice.worked(&ServicePath::Direct, TimePoint(1_300)), "the straight way works again");
-    assert_eq!(choice.next(TimePoint(1_301), peers), direct);
-    assert!(!choice.worked(&ServicePath::Direct, TimePoint(1_400)));
-    assert!(!choice.failed(&ServicePath::Direct, TimePoint(1_399), TimePoint(2_000)), "others got through since");
-    assert!(choice.is_direct_open());
-    assert!(choice.failed(&ServicePath::Direct, TimePoint(1_400), TimePoint(2_000)));
+    assert!(!choice.is_direct_available());
+    assert_eq!(choice.next_path(TimePoint(1), peers), through("a"));
+    assert!(!choice.call_failed(&ServicePath::Relay("a".into()), TimePoint(1), TimePoint(1)));
+    assert_eq!(choice.next_path(TimePoint(2), peers), through("b"));
+    choice.call_failed(&ServicePath::Relay("b".into()), TimePoint(2), TimePoint(2));
+    assert_eq!(choice.next_path(TimePoint(3), peers), None, "two peers do not reach it either");
+    assert_eq!(choice.next_path(TimePoint(249), peers), None);
+    assert_eq!(choice.next_path(TimePoint(250), peers), direct, "one call tries the straight way");
+    assert_eq!(choice.next_path(TimePoint(251), peers), None, "the others wait for its outcome");
+    choice.call_failed(&ServicePath::Direct, TimePoint(300), TimePoint(300));
+    assert_eq!(choice.next_path(TimePoint(301), peers), through("c"), "a peer that was not asked yet");
+    assert!(!choice.call_succeeded(&ServicePath::Relay("c".into()), TimePoint(301)));
+    assert_eq!(choice.next_path(TimePoint(1_299), peers), through("c"));
+    assert_eq!(choice.next_path(TimePoint(1_300), peers), direct);
+    assert!(choice.call_succeeded(&ServicePath::Direct, TimePoint(1_300)), "the straight way works again");
+    assert_eq!(choice.next_path(TimePoint(1_301), peers), direct);
+    assert!(!choice.call_succeeded(&ServicePath::Direct, TimePoint(1_400)));
+    assert!(!choice.call_failed(&ServicePath::Direct, TimePoint(1_399), TimePoint(2_000)), "others got through since");
+    assert!(choice.is_direct_available());
+    assert!(choice.call_failed(&ServicePath::Direct, TimePoint(1_400), TimePoint(2_000)));
 }
 
 #[test]
 fn the_straight_way_rests_longer_each_time_it_fails() {
     let peers = || vec!["a".into()];
-    let mut choice = PathChoice::default();
+    let mut choice = PathSelector::default();
     let mut now = TimePoint(0);
-    choice.failed(&ServicePath::Direct, now, now);
+    choice.call_failed(&ServicePath::Direct, now, now);
     for pause_ms in [500, 1_000, 2_000, 4_000, 4_000] {
-        assert_eq!(choice.next(now.plus_ms(pause_ms - 1), peers), Some(ServicePath::Relay("a".into())), "{pause_ms}");
+        assert_eq!(
+            choice.next_path(now.plus_ms(pause_ms - 1), peers),
+            Some(ServicePath::Relay("a".into())),
+            "{pause_ms}"
+        );
         now = now.plus_ms(pause_ms);
-        assert_eq!(choice.next(now, peers), Some(ServicePath::Direct), "{pause_ms}");
-        choice.failed(&ServicePath::Direct, now, now);
+        assert_eq!(choice.next_path(now, peers), Some(ServicePath::Direct), "{pause_ms}");
+        choice.call_failed(&ServicePath::Direct, now, now);
     }
 }
 
@@ -190,16 +194,16 @@
 /// 20 ms; and how long after its return the service is found.
 fn played_outage(seed: u64, outage_ms: u64) -> (u64, u64) {
     let peers = || vec!["a".into(), "b".into()];
-    let mut choice = PathChoice::new(seed);
+    let mut choice = PathSelector::new(seed);
     let mut calls = 0;
     for ms in (0..).step_by(20) {
         let now = TimePoint(ms);
-        let Some(path) = choice.next(now, peers) else { continue };
+        let Some(path) = choice.next_path(now, peers) else { continue };
         if path != ServicePath::Direct {
-            choice.failed(&path, now, now);
+            choice.call_failed(&path, now, now);
         } else if ms < outage_ms {
             calls += 1;
-            choice.failed(&path, now, now);
+            choice.call_failed(&path, now, now);
         } else {
             return (calls, ms - outage_ms);
         }
@@ -245,11 +249,11 @@
 
 #[test]
 fn a_jump_of_the_clock_is_believed_only_after_a_minute() {
-    let mut offset = WallOffset::new(TimePoint(1_000), 1_000_000);
-    assert_eq!(offset.read(TimePoint(2_000), 1_001_000), 1_001_000);
-    assert_eq!(offset.read(TimePoint(3_000), 1_004_400), 1_002_000, "a jump of 2.4 s");
-    assert_eq!(offset.read(TimePoint(9_000), 1_008_000), 1_008_000, "it jumped back");
-    assert_eq!(offset.read(TimePoint(10_000), 1_009_050), 1_009_050, "drift is followed");
-    assert_eq!(offset.read(TimePoint(11_000), 1_012_400), 1_010_050);
-    assert_eq!(offset.read(TimePoint(71_000), 1_072_400), 1_072_400, "it stayed");
+    let mut offset = WallClockOffset::new(TimePoint(1_000), 1_000_000);
+    assert_eq!(offset.corrected_unix_ms(TimePoint(2_000), 1_001_000), 1_001_000);
+    assert_eq!(offset.corrected_unix_ms(TimePoint(3_000), 1_004_400), 1_002_000, "a jump of 2.4 s");
+    assert_eq!(offset.corrected_unix_ms(TimePoint(9_000), 1_008_000), 1_008_000, "it jumped back");
+    assert_eq!(offset.corrected_unix_ms(TimePoint(10_000), 1_009_050), 1_009_050, "drift is followed");
+    assert_eq!(offset.corrected_unix_ms(TimePoint(11_000), 1_012_400), 1_010_050);
+    assert_eq!(offset.corrected_unix_ms(TimePoint(71_000), 1_072_400), 1_072_400, "it stayed");
 }
--- a/crates/kernel/tests/machines/ownership.rs
+++ b/crates/kernel/tests/machines/ownership.rs
@@ -106,7 +106,7 @@
                 table.job_closed(&job(at));
             }
             if let Some(owner) = &store.owners[at] {
-                table.owner_known(job(at), owner.clone(), now);
+                table.owner_recorded(job(at), owner.clone(), now);
             }
         }
         Self { table, incarnation, heard: store.history.len(), held: Vec::new() }
@@ -116,8 +116,8 @@
         let until = store.history.len().min(self.heard + count);
         for change in &store.history[self.heard..until] {
             match change {
-                Change::Owner(at, owner) => self.table.owner_known(job(*at), owner.clone(), now),
-                Change::Gone(at, revision) => self.table.owner_gone(&job(*at), *revision, now),
+                Change::Owner(at, owner) => self.table.owner_recorded(job(*at), owner.clone(), now),
+                Change::Gone(at, revision) => self.table.owner_removed(&job(*at), *revision, now),
                 Change::Joined(daemon) => self.table.daemon_joined(name(*daemon), presence(1)),
                 Change::Left(daemon) => self.table.daemon_left(&name(*daemon)),
                 Change::Ended(at) => self.table.job_closed(&job(*at)),
@@ -142,11 +142,12 @@
 
     fn look(&mut self, daemon: usize, lost: bool) -> Result<(), String> {
         let held: Vec<SharedName> = self.daemons[daemon].held.iter().map(|at| job(*at)).collect();
-        let claims = self.daemons[daemon].table.claims(self.now, None, |job| held.iter().any(|held| **held == *job));
+        let claims =
+            self.daemons[daemon].table.due_claims(self.now, None, |job| held.iter().any(|held| **held == *job));
         for claim in claims {
             let at = (0..JOBS).find(|at| job(*at) == claim.job).ok_or("an unknown job is claimed")?;
             let stands = self.store.owners[at].as_ref();
-            if stands.map_or(0, |owner| owner.revision) != claim.replaces {
+            if stands.map_or(0, |owner| owner.revision) != claim.replaced_revision {
                 continue;
             }
             if let Some(owner) = stands
@@ -160,7 +161,7 @@
             self.store.owners[at] = Some(owner.clone());
             self.store.history.push(Change::Owner(at, owner.clone()));
             if !lost {
-                self.daemons[daemon].table.owner_known(claim.job, owner, self.now);
+                self.daemons[daemon].table.owner_recorded(claim.job, owner, self.now);
             }
         }
         self.take_up(daemon);
@@ -170,8 +171,8 @@
     /// A daemon that owns a job has its state from then on.
     fn take_up(&mut self, daemon: usize) {
         let owner = &mut self.daemons[daemon];
-        owner.held = (0..JOBS).filter(|at| owner.table.is_mine(&job(*at)) || owner.held.contains(at)).collect();
-        owner.held.retain(|at| !owner.table.is_taken(&job(*at)));
+        owner.held = (0..JOBS).filter(|at| owner.table.is_owned_here(&job(*at)) || owner.held.contains(at)).collect();
+        owner.held.retain(|at| !owner.table.is_owned_elsewhere(&job(*at)));
     }
 
     /// The lease of `daemon` ends, and with it all that hangs on it.
@@ -230,7 +231,7 @@
         world.daemons[daemon].hear(&world.store, usize::MAX / 2, world.now);
     }
     for at in (0..JOBS).filter(|at| !world.store.ended[*at]) {
-        let owners = (0..DAEMONS).filter(|daemon| world.daemons[*daemon].table.is_mine(&job(at))).count();
+        let owners = (0..DAEMONS).filter(|daemon| world.daemons[*daemon].table.is_owned_here(&job(at))).count();
         if owners != 1 {
             return Err(format!("job {at} has {owners} owners in the end: {:?}", world.store.owners[at]));
         }
@@ -249,9 +250,9 @@
     table.daemon_joined("a".into(), presence(1));
     table.daemon_joined("b".into(), presence(1));
     table.job_accepted("j".into(), TimePoint(0));
-    assert_eq!(table.claims(TimePoint(0), None, |_| true).len(), 1);
-    assert!(table.claims(TimePoint(0), None, |_| false).is_empty());
-    assert_eq!(table.claims(TimePoint(5_000), None, |_| false).len(), 1);
+    assert_eq!(table.due_claims(TimePoint(0), None, |_| true).len(), 1);
+    assert!(table.due_claims(TimePoint(0), None, |_| false).is_empty());
+    assert_eq!(table.due_claims(TimePoint(5_000), None, |_| false).len(), 1);
 }
 
 #[test]
@@ -260,7 +261,7 @@
     table.job_accepted("j".into(), TimePoint(0));
     table.job_closed("j");
     table.job_accepted("j".into(), TimePoint(1));
-    assert!(table.claims(TimePoint(9_000), None, |_| true).is_empty());
+    assert!(table.due_claims(TimePoint(9_000), None, |_| true).is_empty());
 }
 
 /// Daemons of two failure domains of one region, and of another region: name, failure domain, region.
@@ -286,7 +287,7 @@
                 DaemonPresence { failure_domain, region: (*region).into(), ..presence(1) },
             );
         }
-        table.news_sources(domain, region).into_iter().map(|(daemon, _)| daemon.to_string()).collect()
+        table.watch_sources(domain, region).into_iter().map(|(daemon, _)| daemon.to_string()).collect()
     };
     present.iter().map(|(daemon, domain, region)| (*daemon, sources(daemon, domain, region))).collect()
 }
@@ -330,7 +331,7 @@
                 let mut table = OwnershipTable::new(name(daemon), 1);
                 let knows = (0..3).filter(|other| heard >> (daemon * 3 + other) & 1 == 1);
                 knows.for_each(|other| table.daemon_joined(name(other), presence(1)));
-                let first = table.news_sources("north", "land").first().map(|(daemon, _)| (*daemon).clone())?;
+                let first = table.watch_sources("north", "land").first().map(|(daemon, _)| (*daemon).clone())?;
                 (0..3).find(|other| name(*other) == first)
             })
             .collect();
@@ -354,14 +355,14 @@
 fn a_given_job_waits_for_what_its_giver_knows_and_a_claimed_one_does_not() {
     let owner = |daemon: &str, revision| OwnerRecord { daemon: daemon.into(), incarnation: 1, revision };
     let mut table = OwnershipTable::new("a".into(), 1);
-    table.owner_known("j".into(), owner("b", 1), TimePoint(0));
-    assert!(!table.may_begin("j", true, TimePoint(0)), "it is another's");
-    table.owner_known("j".into(), owner("a", 2), TimePoint(100));
-    table.owner_known("j".into(), owner("a", 2), TimePoint(300));
-    assert!(table.may_begin("j", true, TimePoint(100)));
-    assert!(!table.may_begin("j", false, TimePoint(599)));
-    assert!(table.may_begin("j", false, TimePoint(600)), "the giver may have died");
-    table.claimed("j".into(), owner("a", 3), TimePoint(700));
-    table.owner_known("j".into(), owner("a", 3), TimePoint(710));
-    assert!(table.may_begin("j", false, TimePoint(710)));
+    table.owner_recorded("j".into(), owner("b", 1), TimePoint(0));
+    assert!(!table.may_start("j", true, TimePoint(0)), "it is another's");
+    table.owner_recorded("j".into(), owner("a", 2), TimePoint(100));
+    table.owner_recorded("j".into(), owner("a", 2), TimePoint(300));
+    assert!(table.may_start("j", true, TimePoint(100)));
+    assert!(!table.may_start("j", false, TimePoint(599)));
+    assert!(table.may_start("j", false, TimePoint(600)), "the giver may have died");
+    table.job_claimed("j".into(), owner("a", 3), TimePoint(700));
+    table.owner_recorded("j".into(), owner("a", 3), TimePoint(710));
+    assert!(table.may_start("j", false, TimePoint(710)));
 }
--- a/crates/kernel/tests/machines/small_laws.rs
+++ b/crates/kernel/tests/machines/small_laws.rs
@@ -3,7 +3,7 @@
 use pimentoslip_kernel::{
     FailedAttempt, FetchCursor, KeySecret, MemberEntry, MemberState, MemberTable, RefusalReason, RequestClass,
     RequestProgress, RetryBudget, RetryDecision, RetryPolicy, RunState, SpendAction, SpendInput, SpendPlanner,
-    StreamScanner, SuspectTable, TimePoint, owner, rank,
+    StreamScanner, SuspectTable, TimePoint, highest_ranked, rank,
 };
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -119,7 +119,7 @@
 
 #[test]
 fn keys_are_found_wherever_they_stand() {
-    let secret = KeySecret::draw(&mut ChaCha8Rng::seed_from_u64(9));
+    let secret = KeySecret::generate(&mut ChaCha8Rng::seed_from_u64(9));
     let text = format!("x={}&y", secret.expose());
     assert_eq!(KeySecret::find_ids(text.as_bytes()), vec![secret.id.clone()]);
     assert!(KeySecret::find_ids(b"psk-short psk-").is_empty());
@@ -213,9 +213,9 @@
     let mut moved = 0;
     for key in 0..1_000 {
         let key = format!("key-{key}");
-        let before = owner(&key, &members).expect("an owner");
+        let before = highest_ranked(&key, &members).expect("an owner");
         assert_eq!(rank(&key, &members)[0], before);
-        let after = owner(&key, &fewer).expect("an owner");
+        let after = highest_ranked(&key, &fewer).expect("an owner");
         moved += usize::from(before != after);
         assert!(before == after || *before == "entry-0");
     }
@@ -236,26 +236,26 @@
 #[test]
 fn silent_members_are_suspected_then_failed_and_come_back() {
     let mut table = MemberTable::new("me".into(), "a".into());
-    table.heard(member("other", 1), TimePoint(0));
+    table.peer_seen(member("other", 1), TimePoint(0));
     let state = |table: &MemberTable| table.get("other").expect("known").state;
     table.tick(TimePoint(3_000));
     assert_eq!(state(&table), MemberState::Alive);
     table.tick(TimePoint(3_001));
     assert_eq!(state(&table), MemberState::Suspect);
-    assert_eq!(table.active().len(), 2, "a suspect still takes part");
+    assert_eq!(table.active_names().len(), 2, "a suspect still takes part");
     table.tick(TimePoint(6_001));
     assert_eq!(state(&table), MemberState::Failed);
-    assert_eq!(table.active().len(), 1);
-    assert_eq!(table.possibly_running().len(), 1, "a failed member may still be running");
-    table.heard(member("other", 1), TimePoint(7_000));
+    assert_eq!(table.active_names().len(), 1);
+    assert_eq!(table.possibly_running_names().len(), 1, "a failed member may still be running");
+    table.peer_seen(member("other", 1), TimePoint(7_000));
     assert_eq!(state(&table), MemberState::Alive);
-    table.ended(&"other".into(), TimePoint(8_000));
-    assert!(table.possibly_running().is_empty());
-    table.rumour(&member("other", 1), TimePoint(8_000));
+    table.process_ended(&"other".into(), TimePoint(8_000));
+    assert!(table.possibly_running_names().is_empty());
+    table.member_reported(&member("other", 1), TimePoint(8_000));
     assert_eq!(state(&table), MemberState::Ended, "hearsay does not wake the dead");
-    table.heard(member("other", 2), TimePoint(9_000));
+    table.peer_seen(member("other", 2), TimePoint(9_000));
     assert_eq!(state(&table), MemberState::Alive);
-    table.heard(member("other", 1), TimePoint(9_500));
+    table.peer_seen(member("other", 1), TimePoint(9_500));
     assert_eq!(table.get("other").expect("known").incarnation, 2, "an older process does not replace a newer one");
 }
 
@@ -273,9 +273,9 @@
 fn daemons_that_know_the_same_processes_have_one_digest() {
     let mut one = MemberTable::new("one".into(), "a".into());
     let mut two = MemberTable::new("two".into(), "b".into());
-    one.heard(member("two", 2), TimePoint(0));
-    two.heard(member("one", 1), TimePoint(0));
+    one.peer_seen(member("two", 2), TimePoint(0));
+    two.peer_seen(member("one", 1), TimePoint(0));
     assert_eq!(one.digest(1), two.digest(2));
-    two.heard(member("three", 3), TimePoint(0));
+    two.peer_seen(member("three", 3), TimePoint(0));
     assert_ne!(one.digest(1), two.digest(2));
 }
