--- a/crates/daemon/src/task/duty_lease.rs
+++ b/crates/daemon/src/task/duty_lease.rs
@@ -182,7 +182,7 @@
             .shared
             .member(&previous.daemon)
             .is_some_and(|member| member.incarnation > previous.incarnation || member.state == MemberState::Ended);
-        if off_list || ended { HolderEvidence::Ended } else { HolderEvidence::Unresponsive }
+        if off_list || ended { HolderEvidence::Ended } else { HolderEvidence::Silent }
     }
 
     /// Once the duty is held, former holders are proved to have ended and come off the record.
--- a/crates/kernel/src/lease_holder.rs
+++ b/crates/kernel/src/lease_holder.rs
@@ -27,7 +27,7 @@
     /// Its process ended: a newer incarnation runs, its port refuses, or its VM is off the list.
     Ended,
     /// It cannot be reached, which proves nothing.
-    Unresponsive,
+    Silent,
 }
 
 /// Where a holder stands.
@@ -92,11 +92,11 @@
         self.renew_at = asked_at.plus_ms(RENEW_AFTER_MS);
         self.state = match evidence {
             HolderEvidence::Clear => LeaseState::Held { fencing, deadline },
-            HolderEvidence::Ended | HolderEvidence::Unresponsive if self.receiver_checks => {
+            HolderEvidence::Ended | HolderEvidence::Silent if self.receiver_checks => {
                 LeaseState::Held { fencing, deadline }
             }
             HolderEvidence::Ended => LeaseState::Settling { fencing, deadline, settled_at: now.plus_ms(GUARD_MS) },
-            HolderEvidence::Unresponsive => LeaseState::Settling { fencing, deadline, settled_at: TimePoint(u64::MAX) },
+            HolderEvidence::Silent => LeaseState::Settling { fencing, deadline, settled_at: TimePoint(u64::MAX) },
         };
     }
 
@@ -106,7 +106,7 @@
         let settled_at = match evidence {
             HolderEvidence::Clear => now,
             HolderEvidence::Ended => settled_at.min(now.plus_ms(GUARD_MS)),
-            HolderEvidence::Unresponsive => settled_at,
+            HolderEvidence::Silent => settled_at,
         };
         self.state = if settled_at <= now {
             LeaseState::Held { fencing, deadline }
--- a/crates/kernel/tests/machines/duties.rs
+++ b/crates/kernel/tests/machines/duties.rs
@@ -119,7 +119,7 @@
         let of = |(other, process): &(usize, u32)| match self.daemons[*other].process {
             now if *other == daemon && now == *process => HolderEvidence::Clear,
             now if now > *process => HolderEvidence::Ended,
-            _ => HolderEvidence::Unresponsive,
+            _ => HolderEvidence::Silent,
         };
         previous.iter().map(of).max().unwrap_or(HolderEvidence::Clear)
     }
