--- a/crates/kernel/src/claim_table.rs
+++ b/crates/kernel/src/claim_table.rs
@@ -1,34 +1,34 @@
-//! Owner's side of idempotency claims: each key is granted at most once.
+//! Grants idempotency claims on the daemon that owns their shard: at most one attempt runs for each key.
 
 use crate::{SharedName, TimePoint};
 use std::collections::HashMap;
 
-/// Result of operations that need the table's ownership.
+/// Result of operations that fail on a daemon that does not own the shard.
 pub type Result<T> = std::result::Result<T, NotShardOwner>;
 
-/// The table's owner was replaced, or has not loaded the shard yet.
+/// This daemon does not own the claim shard: another daemon replaced it, or the shard has not been loaded yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("this daemon does not own the claim shard; ask its present owner")]
+#[error("this daemon does not own the claim shard; send the claim to the shard's current owner")]
 pub struct NotShardOwner;
 
-/// Identifies a claim: organisation, service and the caller's idempotency key.
+/// Key of a claim: organisation, service and the caller's idempotency key in one string.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ClaimKey(pub SharedName);
 
 /// Answer to a request for a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimAnswer<A> {
-    /// Waits for the next group commit.
+    /// The claim is queued for the next group commit.
     Queued,
-    /// This very grant is on record already; its first answer was lost.
+    /// This attempt's claim was granted before, and the answer was lost.
     Granted,
-    /// Another attempt holds the claim and may still be running.
+    /// Another attempt holds the claim, and its request may still be running.
     InProgress,
-    /// The request ran; this is its answer.
+    /// The request has run and returned this answer.
     Replay(A),
-    /// The request may have run and nobody knows how it ended.
+    /// The request may have run, and its outcome is lost.
     Unknown,
-    /// The key was used with a different request.
+    /// The key was used before for a different request.
     Reused,
 }
 
@@ -46,14 +46,16 @@
     state: ClaimState<A>,
 }
 
-/// Claims of one shard while this daemon owns it.
+/// The claims of one shard, on the daemon that owns it.
 ///
-/// A claim is granted only after its batch was committed to the platform's service under a comparison
-/// with the shard's owner record, so that a replaced owner cannot grant.
+/// A claim is granted only after its batch was committed to the platform's key-value service. The commit compares the
+/// revision of the shard's owner record, so that a replaced owner cannot grant claims.
 #[derive(Debug)]
 pub struct ClaimTable<A> {
+    /// Revision of this daemon's owner record; `None` while it does not own the shard.
     epoch: Option<u64>,
     entries: HashMap<ClaimKey, ClaimEntry<A>>,
+    /// Keys and grant numbers of the claims to commit next.
     queue: Vec<(ClaimKey, u64)>,
 }
 
@@ -64,31 +66,34 @@
 }
 
 impl<A: Clone> ClaimTable<A> {
-    /// Takes over the shard at owner revision `epoch`; every recorded claim may have run.
-    pub fn load(&mut self, epoch: u64, recorded: impl IntoIterator<Item = (ClaimKey, u64)>) {
+    /// Takes the shard over at owner record revision `epoch`, with the stored claims and the fingerprints of their
+    /// requests. Each of these requests may have run.
+    pub fn load(&mut self, epoch: u64, stored: impl IntoIterator<Item = (ClaimKey, u64)>) {
         self.epoch = Some(epoch);
         self.queue.clear();
-        self.entries = recorded
+        self.entries = stored
             .into_iter()
             .map(|(key, fingerprint)| (key, ClaimEntry { fingerprint, state: ClaimState::Unknown }))
             .collect();
     }
 
-    /// Revision of the owner record that this daemon wrote, while it owns the shard.
+    /// Revision of the owner record that this daemon wrote; `None` while it does not own the shard.
     #[must_use]
     pub fn epoch(&self) -> Option<u64> {
         self.epoch
     }
 
-    /// Gives the shard up. Nothing is granted until the next [`load`](Self::load).
+    /// Drops the ownership of the shard. Nothing is granted until the next [`load`](Self::load).
     pub fn drop_ownership(&mut self) {
         self.epoch = None;
         self.entries.clear();
         self.queue.clear();
     }
 
-    /// Asks for the claim of `key` under the asker's own number `grant`, which is unique to the attempt
-    /// and may be asked again when the answer was lost. The request must have ended by `deadline`.
+    /// Requests the claim of `key` for the attempt with the unique number `grant`. The attempt may repeat the call if
+    /// the answer was lost. `fingerprint` identifies the caller's request, which must have ended by `deadline`.
+    ///
+    /// Returns an error if this daemon does not own the shard.
     pub fn claim(
         &mut self,
         key: &ClaimKey,
@@ -108,8 +113,8 @@
             return Ok(ClaimAnswer::Reused);
         }
         Ok(match &entry.state {
-            ClaimState::Queued { grant: same, .. } if *same == grant => ClaimAnswer::Queued,
-            ClaimState::Running { grant: same, .. } if *same == grant => ClaimAnswer::Granted,
+            ClaimState::Queued { grant: held, .. } if *held == grant => ClaimAnswer::Queued,
+            ClaimState::Running { grant: held, .. } if *held == grant => ClaimAnswer::Granted,
             ClaimState::Queued { .. } => ClaimAnswer::InProgress,
             ClaimState::Running { deadline, .. } if *deadline > now => ClaimAnswer::InProgress,
             ClaimState::Done(answer) => ClaimAnswer::Replay(answer.clone()),
@@ -117,7 +122,7 @@
         })
     }
 
-    /// Queued claims to commit together, with their grant numbers.
+    /// Empties the queue and returns the claims to commit together: key, grant number and request fingerprint.
     pub fn take_batch(&mut self) -> Vec<(ClaimKey, u64, u64)> {
         let queue = std::mem::take(&mut self.queue);
         queue
@@ -129,7 +134,8 @@
             .collect()
     }
 
-    /// The batch is on record: the claim of `key` is granted. False when it is no longer wanted.
+    /// Records that the batch was stored, and grants the claim of `key`. Returns false if `grant` is not queued any
+    /// more.
     pub fn claim_committed(&mut self, key: &ClaimKey, grant: u64) -> bool {
         let Some(entry) = self.entries.get_mut(key) else { return false };
         match entry.state {
@@ -141,14 +147,15 @@
         }
     }
 
-    /// The batch could not be recorded for certain. Nothing was granted, so the key is free here.
+    /// Removes the claim of a batch whose commit failed or whose outcome is unknown. It was not granted, so that this
+    /// daemon may claim the key again.
     pub fn commit_failed(&mut self, key: &ClaimKey, grant: u64) {
         if self.grant_of(key) == Some(grant) {
             self.entries.remove(key);
         }
     }
 
-    /// The request of this grant ran and ended with `answer`.
+    /// Records that the request of `grant` has run and returned `answer`.
     pub fn finish(&mut self, key: &ClaimKey, grant: u64, answer: A) {
         if self.grant_of(key) != Some(grant) {
             return;
@@ -158,7 +165,7 @@
         }
     }
 
-    /// The request of this grant may have run, and its answer is lost.
+    /// Records that the request of `grant` may have run and that its answer is lost.
     pub fn mark_unknown(&mut self, key: &ClaimKey, grant: u64) {
         if self.grant_of(key) != Some(grant) {
             return;
@@ -168,20 +175,20 @@
         }
     }
 
-    /// The request of this grant certainly did not run: the key is free again.
+    /// Removes the claim of `grant`, whose request certainly did not run. The key may be claimed again.
     pub fn release(&mut self, key: &ClaimKey, grant: u64) {
         if self.grant_of(key) == Some(grant) {
             self.entries.remove(key);
         }
     }
 
-    /// Number of remembered claims.
+    /// Number of claims in the table.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no claim is remembered.
+    /// Whether the table has no claims.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
--- a/crates/kernel/src/fingerprint.rs
+++ b/crates/kernel/src/fingerprint.rs
@@ -1,8 +1,9 @@
-//! Stable 64-bit hashes that all daemons agree on.
+//! Stable 64-bit hashes, the same in every process and version.
 
 use sha2::{Digest, Sha256};
 
-/// Hashes `parts` with their borders.
+/// A 64-bit hash of `parts`: the first eight bytes of their SHA-256. Each part's length is hashed with it, so that the
+/// same bytes split into different parts give different hashes.
 #[must_use]
 pub fn fingerprint(parts: &[&[u8]]) -> u64 {
     let mut hasher = Sha256::new();
@@ -11,7 +12,7 @@
         hasher.update(part);
     }
     let digest = hasher.finalize();
-    let mut head = [0; 8];
-    head.copy_from_slice(&digest[..8]);
-    u64::from_be_bytes(head)
+    let mut prefix = [0; 8];
+    prefix.copy_from_slice(&digest[..8]);
+    u64::from_be_bytes(prefix)
 }
--- a/crates/kernel/src/freshness_table.rs
+++ b/crates/kernel/src/freshness_table.rs
@@ -1,60 +1,64 @@
-//! Up to which moment a daemon knows every accepted change of configuration.
+//! Tracks how old a daemon's cached configuration may be.
 
 use crate::{SharedName, TimePoint};
 use std::collections::HashMap;
 
-/// Bound within which an accepted change is in force everywhere.
-const FRESH_BOUND_MS: u64 = 3_000;
+/// Largest age at which the cached configuration may be used.
+const MAX_AGE_MS: u64 = 3_000;
 
-/// Tracks the latest moment before which no accepted change can be missing.
+/// The latest time up to which this daemon has received every accepted change of the configuration.
 ///
-/// Every input carries the moment at which the question was *asked*, so a late answer never makes the
-/// daemon look fresher than it is.
+/// Every input carries the time at which its request was *sent*, so that a late answer never makes the configuration
+/// look fresher than it is.
 #[derive(Debug, Default)]
 pub struct FreshnessTable {
-    known_at: Option<TimePoint>,
-    heard: HashMap<SharedName, TimePoint>,
+    /// All changes accepted before this time have been received.
+    complete_at: Option<TimePoint>,
+    /// When the last answered request to each peer was sent.
+    answered_requests: HashMap<SharedName, TimePoint>,
 }
 
 impl FreshnessTable {
-    /// The platform's service was read at `asked_at` and everything found was applied.
-    pub fn service_read(&mut self, asked_at: TimePoint) {
-        self.raise(asked_at);
+    /// Records a read of the platform's key-value service, requested at `requested_at`, whose entries were all applied.
+    pub fn service_read(&mut self, requested_at: TimePoint) {
+        self.raise(requested_at);
     }
 
-    /// A peer asked at `asked_at` gave all that it holds; `age_ms` is how old its own knowledge was.
-    pub fn peer_answered(&mut self, peer: &SharedName, asked_at: TimePoint, age_ms: Option<u64>) {
+    /// Records that a peer answered a request sent at `requested_at` with all entries that it holds. `age_ms` is the
+    /// age of the peer's own configuration, if it has one.
+    pub fn peer_answered(&mut self, peer: &SharedName, requested_at: TimePoint, age_ms: Option<u64>) {
         if let Some(age_ms) = age_ms {
-            self.raise(asked_at.minus_ms(age_ms));
+            self.raise(requested_at.minus_ms(age_ms));
         }
-        let heard = self.heard.entry(peer.clone()).or_insert(asked_at);
-        *heard = (*heard).max(asked_at);
+        let last_request = self.answered_requests.entry(peer.clone()).or_insert(requested_at);
+        *last_request = (*last_request).max(requested_at);
     }
 
-    /// Applies the rule that changes are only accepted by daemons: whoever has heard every other
-    /// daemon holds all that any of them accepted before being asked. `peers` are all that may be alive.
+    /// Raises the freshness to the oldest of the last answered requests to `peers`, which must be all daemons that may
+    /// be alive. Changes are only accepted by daemons, so a daemon with answers from all others holds every change that
+    /// one of them accepted before its request. Does nothing if a peer has not answered yet.
     pub fn update_from_peers<'a>(&mut self, peers: impl IntoIterator<Item = &'a SharedName>, now: TimePoint) {
         let mut oldest = now;
         for peer in peers {
-            let Some(&heard) = self.heard.get(peer) else { return };
-            oldest = oldest.min(heard);
+            let Some(&last_request) = self.answered_requests.get(peer) else { return };
+            oldest = oldest.min(last_request);
         }
         self.raise(oldest);
     }
 
-    /// Age of this daemon's knowledge, if it has any.
+    /// Age of the cached configuration in milliseconds; `None` before the first complete read.
     #[must_use]
     pub fn age_ms(&self, now: TimePoint) -> Option<u64> {
-        self.known_at.map(|known| now.since_ms(known))
+        self.complete_at.map(|complete_at| now.since_ms(complete_at))
     }
 
-    /// Whether keys may be trusted at `now`.
+    /// Whether the cached configuration, and with it the keys, may be used at `now`.
     #[must_use]
     pub fn is_fresh(&self, now: TimePoint) -> bool {
-        self.age_ms(now).is_some_and(|age| age <= FRESH_BOUND_MS)
+        self.age_ms(now).is_some_and(|age| age <= MAX_AGE_MS)
     }
 
-    fn raise(&mut self, known_at: TimePoint) {
-        self.known_at = Some(self.known_at.map_or(known_at, |old| old.max(known_at)));
+    fn raise(&mut self, complete_at: TimePoint) {
+        self.complete_at = Some(self.complete_at.map_or(complete_at, |old| old.max(complete_at)));
     }
 }
--- a/crates/kernel/src/lease_holder.rs
+++ b/crates/kernel/src/lease_holder.rs
@@ -1,98 +1,102 @@
-//! One daemon's side of a duty that at most one process may perform.
+//! Decides when a daemon may act as the holder of a duty that at most one process may perform at a time.
 
 use crate::{SharedName, TimePoint};
 use serde::{Deserialize, Serialize};
 
-/// Lifetime of the lease in the platform's service.
+/// Time to live of the lease in the platform's key-value service.
 const LEASE_TTL_MS: u64 = 6_000;
-/// Span before the end of the lease in which the holder no longer acts.
+/// Time before the end of the lease at which the holder stops acting, so that its last messages arrive before a
+/// successor acts. A successor waits as long after a previous holder is proved to have ended.
 const GUARD_MS: u64 = 2_000;
+/// Time between renewals of the lease.
 const RENEW_AFTER_MS: u64 = 1_500;
 
-/// A former holder that is not known to have ended. All of them stay on record until a successor has
-/// proof, also when other holders came between.
+/// A previous holder that has not been proved to have ended. Its entry stays stored until a successor has that proof,
+/// also across other holders in between.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PreviousHolder {
-    /// Daemon name.
+    /// Name of the holder's daemon.
     pub daemon: SharedName,
-    /// Incarnation of its process.
+    /// Incarnation of the holder's process.
     pub incarnation: u64,
 }
 
-/// What is known about whether former holders can still act; the greatest one counts.
+/// Evidence on whether a previous holder can still act. With several holders the greatest value applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum HolderEvidence {
-    /// There is none on record, or it is this process.
+    /// No previous holder is stored, or it is this process.
     Clear,
-    /// Its process ended: a newer incarnation runs, its port refuses, or its VM is off the list.
+    /// The holder's process ended: a newer incarnation runs, its port refuses connections, or its VM is not listed.
     Ended,
-    /// It cannot be reached, which proves nothing.
+    /// The holder is unresponsive, which does not prove that it has ended.
     Silent,
 }
 
-/// Where a holder stands.
+/// State of this daemon's lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseState {
-    /// Holds nothing.
+    /// No lease is held.
     Idle,
-    /// Holds the lease, but former holders' orders may still arrive until `settled_at`.
+    /// The lease is held, but orders of previous holders may still arrive until `settled_at`.
     Settling {
-        /// Revision that fences earlier holders.
+        /// Fencing number: the store revision of the grant, higher than those of previous holders.
         fencing: u64,
-        /// When the holder stops acting unless renewed.
+        /// When the holder stops acting unless the lease is renewed.
         deadline: TimePoint,
-        /// First moment at which nothing of an ended holder is on the wire.
+        /// When no message of a previous holder can be in flight any more; `TimePoint(u64::MAX)` while one is not
+        /// proved to have ended.
         settled_at: TimePoint,
     },
-    /// Holds the lease and may act.
+    /// The lease is held and the daemon may act.
     Held {
-        /// Revision that fences earlier holders.
+        /// Fencing number: the store revision of the grant, higher than those of previous holders.
         fencing: u64,
-        /// When the holder stops acting unless renewed.
+        /// When the holder stops acting unless the lease is renewed.
         deadline: TimePoint,
     },
 }
 
-/// Decides when this daemon may act for a duty.
+/// This daemon's lease for one duty.
 #[derive(Debug)]
 pub struct LeaseHolder {
     state: LeaseState,
-    receiver_checks: bool,
+    receiver_checks_fencing: bool,
     renew_at: TimePoint,
-    /// Highest fencing number ever granted to this process.
-    newest: u64,
+    /// Highest fencing number granted to this process so far.
+    highest_fencing: u64,
 }
 
 impl LeaseHolder {
-    /// Creates a holder; `receiver_checks` says whether the receiver refuses old fencing numbers.
+    /// Creates an idle holder. `receiver_checks_fencing` says whether the receiver of the duty's orders refuses lower
+    /// fencing numbers; such a receiver needs no wait for previous holders.
     #[must_use]
-    pub fn new(receiver_checks: bool) -> Self {
-        Self { state: LeaseState::Idle, receiver_checks, renew_at: TimePoint(0), newest: 0 }
+    pub fn new(receiver_checks_fencing: bool) -> Self {
+        Self { state: LeaseState::Idle, receiver_checks_fencing, renew_at: TimePoint(0), highest_fencing: 0 }
     }
 
-    /// Lifetime to ask for, in milliseconds.
+    /// Time to live to request for the lease, in milliseconds.
     #[must_use]
     pub fn ttl_ms(&self) -> u64 {
         LEASE_TTL_MS
     }
 
-    /// Current state.
+    /// Current state of the lease.
     #[must_use]
     pub fn state(&self) -> LeaseState {
         self.state
     }
 
-    /// The lease was granted by a write sent at `asked_at`. The late answer of an older grant is ignored.
-    pub fn lease_acquired(&mut self, fencing: u64, asked_at: TimePoint, evidence: HolderEvidence, now: TimePoint) {
-        if fencing <= self.newest {
+    /// Records a lease granted by a write that was sent at `requested_at`. A late answer for an older grant is ignored.
+    pub fn lease_acquired(&mut self, fencing: u64, requested_at: TimePoint, evidence: HolderEvidence, now: TimePoint) {
+        if fencing <= self.highest_fencing {
             return;
         }
-        self.newest = fencing;
-        let deadline = asked_at.plus_ms(LEASE_TTL_MS - GUARD_MS);
-        self.renew_at = asked_at.plus_ms(RENEW_AFTER_MS);
+        self.highest_fencing = fencing;
+        let deadline = requested_at.plus_ms(LEASE_TTL_MS - GUARD_MS);
+        self.renew_at = requested_at.plus_ms(RENEW_AFTER_MS);
         self.state = match evidence {
             HolderEvidence::Clear => LeaseState::Held { fencing, deadline },
-            HolderEvidence::Ended | HolderEvidence::Silent if self.receiver_checks => {
+            HolderEvidence::Ended | HolderEvidence::Silent if self.receiver_checks_fencing => {
                 LeaseState::Held { fencing, deadline }
             }
             HolderEvidence::Ended => LeaseState::Settling { fencing, deadline, settled_at: now.plus_ms(GUARD_MS) },
@@ -100,7 +104,7 @@
         };
     }
 
-    /// New evidence about former holders while settling.
+    /// Applies new evidence on previous holders while the lease is settling.
     pub fn evidence_updated(&mut self, evidence: HolderEvidence, now: TimePoint) {
         let LeaseState::Settling { fencing, deadline, settled_at } = self.state else { return };
         let settled_at = match evidence {
@@ -115,27 +119,27 @@
         };
     }
 
-    /// Whether a renewal is due.
+    /// Whether the lease is held and its renewal is due.
     #[must_use]
     pub fn is_renewal_due(&self, now: TimePoint) -> bool {
         self.state != LeaseState::Idle && now >= self.renew_at
     }
 
-    /// A renewal of the lease granted under `renewed`, sent at `asked_at`, was confirmed. A lost answer is
-    /// no confirmation.
-    pub fn lease_renewed(&mut self, renewed: u64, asked_at: TimePoint) {
-        let until = asked_at.plus_ms(LEASE_TTL_MS - GUARD_MS);
+    /// Records a confirmed renewal, sent at `requested_at`, of the lease with the fencing number `grant`. Must not be
+    /// called when the answer was lost.
+    pub fn lease_renewed(&mut self, grant: u64, requested_at: TimePoint) {
+        let renewed_deadline = requested_at.plus_ms(LEASE_TTL_MS - GUARD_MS);
         match &mut self.state {
             LeaseState::Idle => return,
-            LeaseState::Held { fencing, .. } | LeaseState::Settling { fencing, .. } if *fencing != renewed => return,
+            LeaseState::Held { fencing, .. } | LeaseState::Settling { fencing, .. } if *fencing != grant => return,
             LeaseState::Held { deadline, .. } | LeaseState::Settling { deadline, .. } => {
-                *deadline = (*deadline).max(until);
+                *deadline = (*deadline).max(renewed_deadline);
             }
         }
-        self.renew_at = asked_at.plus_ms(RENEW_AFTER_MS);
+        self.renew_at = requested_at.plus_ms(RENEW_AFTER_MS);
     }
 
-    /// Fencing number and last moment to act, while the duty may be performed.
+    /// Fencing number and deadline for acting; `None` while the daemon may not act.
     #[must_use]
     pub fn authority(&self, now: TimePoint) -> Option<(u64, TimePoint)> {
         match self.state {
@@ -144,19 +148,19 @@
         }
     }
 
-    /// Drops the duty once its deadline has passed; true when it was dropped.
+    /// Gives the lease up if its deadline has passed. Returns true if it was given up.
     pub fn expire(&mut self, now: TimePoint) -> bool {
-        let expired = match self.state {
+        let is_expired = match self.state {
             LeaseState::Idle => false,
             LeaseState::Held { deadline, .. } | LeaseState::Settling { deadline, .. } => now >= deadline,
         };
-        if expired {
+        if is_expired {
             self.state = LeaseState::Idle;
         }
-        expired
+        is_expired
     }
 
-    /// Gives the duty up.
+    /// Gives the lease up.
     pub fn step_down(&mut self) {
         self.state = LeaseState::Idle;
     }
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -1,7 +1,7 @@
-//! Decisions of the rollout service as pure state machines.
+//! Pure state machines that make the decisions of the rollout service.
 //!
-//! Every type here takes an event and the current [`TimePoint`] and returns what to do. Nothing in
-//! this crate performs I/O, reads a clock, or draws unseeded random numbers.
+//! Every type takes events and the current [`TimePoint`], and returns the actions to perform. Nothing in this crate
+//! performs I/O, reads a clock, or draws unseeded random numbers.
 
 mod admission_policy;
 mod batch;
@@ -69,5 +69,5 @@
 pub use usage_window::{UsageLine, UsageWindow};
 pub use wall_clock_offset::WallClockOffset;
 
-/// A shared immutable name, cheap to clone.
+/// A shared, immutable name that is cheap to clone.
 pub type SharedName = std::sync::Arc<str>;
--- a/crates/kernel/src/member_table.rs
+++ b/crates/kernel/src/member_table.rs
@@ -1,93 +1,95 @@
-//! Which daemons take part, from heartbeats, rumours and the platform's lagging list.
+//! Tracks which daemons are alive, from heartbeats, reports of other daemons, and ends of processes observed elsewhere.
 
 use crate::{SharedName, TimePoint, fingerprint, rank};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A member not heard for this long is suspected.
+/// Time without an answer after which a member is suspected.
 const SUSPECT_AFTER_MS: u64 = 3_000;
-/// A suspect that does not answer for this long is taken as failed.
+/// Further time without an answer after which a suspect counts as failed.
 const FAIL_AFTER_MS: u64 = 3_000;
-/// Members asked in each round when there are more.
-const FANOUT: usize = 4;
-/// Failed members are forgotten after this long.
-const FORGET_AFTER_MS: u64 = 600_000;
+/// Largest number of members that receive an exchange request in each round.
+const EXCHANGE_PEERS_MAX: usize = 4;
+/// Time since its last answer after which a member whose process ended is removed.
+const REMOVE_AFTER_MS: u64 = 600_000;
 
-/// Standing of a member.
+/// Liveness of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
-    /// Heard lately.
+    /// Answered recently.
     Alive,
-    /// Not heard; may be cut off, frozen or dead.
+    /// Does not answer; may be partitioned, frozen or dead.
     Suspect,
-    /// Taken out of duties and routes. It may still be running.
+    /// Excluded from duties and routes after a longer time without an answer. Its process may still be running.
     Failed,
-    /// Its process is known to have ended.
+    /// Its process has ended.
     Ended,
-    /// Leaves by its own word.
+    /// Reported that it is shutting down.
     Leaving,
 }
 
-/// One daemon as known here.
+/// Another daemon as this daemon sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberEntry {
     /// Daemon name.
     pub name: SharedName,
-    /// Grows with each start of the process.
+    /// Incarnation of the daemon's process; increases with each start.
     pub incarnation: u64,
-    /// Failure domain from its settings.
+    /// Failure domain from the daemon's settings.
     pub failure_domain: SharedName,
-    /// Address of its control listener.
+    /// Address of the daemon's control listener, for calls from peers.
     pub control: SharedName,
-    /// Standing.
+    /// Liveness as this daemon sees it.
     pub state: MemberState,
-    /// When it was last heard, by this daemon's clock.
+    /// Time of the member's last answer, by this daemon's clock.
     #[serde(skip)]
     pub heard_at: TimePoint,
 }
 
-/// All known daemons but this one.
+/// All other daemons of the site that this daemon has seen.
 #[derive(Debug)]
 pub struct MemberTable {
-    me: SharedName,
+    own_name: SharedName,
     failure_domain: SharedName,
     members: BTreeMap<SharedName, MemberEntry>,
-    round: usize,
+    next_peer: usize,
 }
 
 impl MemberTable {
-    /// Creates the table of daemon `me` in `failure_domain`.
+    /// Creates the empty table of daemon `own_name` in `failure_domain`.
     #[must_use]
-    pub fn new(me: SharedName, failure_domain: SharedName) -> Self {
-        Self { me, failure_domain, members: BTreeMap::new(), round: 0 }
+    pub fn new(own_name: SharedName, failure_domain: SharedName) -> Self {
+        Self { own_name, failure_domain, members: BTreeMap::new(), next_peer: 0 }
     }
 
-    /// A peer answered a question asked at `asked_at`, giving its own entry.
-    pub fn peer_seen(&mut self, entry: MemberEntry, asked_at: TimePoint) {
-        if entry.name == self.me {
+    /// Applies the entry that a peer sent of itself: in the answer to a request that was sent at `sent_at`, or in a
+    /// request that was received at that time. Ignored if a newer incarnation has been seen.
+    pub fn peer_seen(&mut self, entry: MemberEntry, sent_at: TimePoint) {
+        if entry.name == self.own_name {
             return;
         }
-        let heard_at = asked_at;
-        let known = self.members.get(&entry.name);
-        if known.is_some_and(|old| old.incarnation > entry.incarnation) {
+        let heard_at = sent_at;
+        let cached = self.members.get(&entry.name);
+        if cached.is_some_and(|old| old.incarnation > entry.incarnation) {
             return;
         }
         self.members.insert(entry.name.clone(), MemberEntry { heard_at, ..entry });
     }
 
-    /// A third daemon told of a member; hearsay adds unknown members and newer incarnations only.
+    /// Applies a live member's entry as reported by another daemon. Such an indirect report only adds unseen members
+    /// and newer incarnations; it does not refresh a member.
     pub fn member_reported(&mut self, entry: &MemberEntry, now: TimePoint) {
-        if entry.name == self.me || entry.state != MemberState::Alive {
+        if entry.name == self.own_name || entry.state != MemberState::Alive {
             return;
         }
-        let newer = self.members.get(&entry.name).is_none_or(|old| entry.incarnation > old.incarnation);
-        if newer {
+        let is_newer = self.members.get(&entry.name).is_none_or(|old| entry.incarnation > old.incarnation);
+        if is_newer {
             self.members.insert(entry.name.clone(), MemberEntry { heard_at: now, ..entry.clone() });
         }
     }
 
-    /// The process behind `name` is known to have ended.
+    /// Records that the process of daemon `name` has ended.
     pub fn process_ended(&mut self, name: &SharedName, now: TimePoint) {
         let member = self.members.entry(name.clone()).or_insert_with(|| MemberEntry {
             name: name.clone(),
@@ -100,23 +102,23 @@
         member.state = MemberState::Ended;
     }
 
-    /// Moves silent members on to suspect and failed.
+    /// Marks unresponsive members as suspect, then as failed, and removes members that ended long ago.
     pub fn tick(&mut self, now: TimePoint) {
         for member in self.members.values_mut() {
-            let silent_ms = now.since_ms(member.heard_at);
+            let unresponsive_ms = now.since_ms(member.heard_at);
             member.state = match member.state {
-                MemberState::Alive if silent_ms > SUSPECT_AFTER_MS => MemberState::Suspect,
-                MemberState::Suspect | MemberState::Leaving if silent_ms > SUSPECT_AFTER_MS + FAIL_AFTER_MS => {
+                MemberState::Alive if unresponsive_ms > SUSPECT_AFTER_MS => MemberState::Suspect,
+                MemberState::Suspect | MemberState::Leaving if unresponsive_ms > SUSPECT_AFTER_MS + FAIL_AFTER_MS => {
                     MemberState::Failed
                 }
                 state => state,
             };
         }
         self.members
-            .retain(|_, member| member.state != MemberState::Ended || now.since_ms(member.heard_at) < FORGET_AFTER_MS);
+            .retain(|_, member| member.state != MemberState::Ended || now.since_ms(member.heard_at) < REMOVE_AFTER_MS);
     }
 
-    /// The entry of `name`.
+    /// The entry of daemon `name`, or `None` if it has not been seen.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<&MemberEntry> {
         self.members.get(name)
@@ -127,7 +129,7 @@
         self.members.values()
     }
 
-    /// Names of all that take part in duties, this daemon included.
+    /// Sorted names of the daemons that may take duties: this one and all alive or suspect members.
     #[must_use]
     pub fn active_names(&self) -> Vec<SharedName> {
         let mut names: Vec<SharedName> = self
@@ -136,45 +138,45 @@
             .filter(|member| matches!(member.state, MemberState::Alive | MemberState::Suspect))
             .map(|member| member.name.clone())
             .collect();
-        names.push(self.me.clone());
+        names.push(self.own_name.clone());
         names.sort();
         names
     }
 
-    /// All others that may still be running, reachable or not.
+    /// Entries of all other daemons that may still be running, reachable or not.
     pub fn possibly_running_entries(&self) -> impl Iterator<Item = &MemberEntry> {
         self.members.values().filter(|member| member.state != MemberState::Ended)
     }
 
-    /// Names of all others that may still be running.
+    /// Names of all other daemons that may still be running, reachable or not.
     #[must_use]
     pub fn possibly_running_names(&self) -> Vec<SharedName> {
         self.possibly_running_entries().map(|member| member.name.clone()).collect()
     }
 
-    /// This daemon's place for the duty of `failure_domain`, among that domain's daemons, or among all
-    /// when it has none.
+    /// This daemon's rank, from 0, for taking `duty` in `failure_domain`. The candidates are the active daemons of the
+    /// failure domain, or all active daemons if it has none. `None` if this daemon is not a candidate.
     #[must_use]
     pub fn duty_rank(&self, duty: &str, failure_domain: &str) -> Option<usize> {
         let active = self.active_names();
-        let inside = |name: &SharedName| {
-            let domain = if *name == self.me { &self.failure_domain } else { &self.members[name].failure_domain };
+        let is_in_domain = |name: &SharedName| {
+            let domain = if *name == self.own_name { &self.failure_domain } else { &self.members[name].failure_domain };
             &**domain == failure_domain
         };
-        let mut candidates: Vec<SharedName> = active.iter().filter(|name| inside(name)).cloned().collect();
+        let mut candidates: Vec<SharedName> = active.iter().filter(|name| is_in_domain(name)).cloned().collect();
         if candidates.is_empty() {
             candidates = active;
         }
-        rank(duty, &candidates).iter().position(|name| **name == self.me)
+        rank(duty, &candidates).iter().position(|name| **name == self.own_name)
     }
 
-    /// A fingerprint of the processes known, this daemon's own `incarnation` among them. Daemons that know
-    /// the same processes compute the same one.
+    /// Fingerprint of the names and incarnations of all members and of this daemon, whose incarnation is `incarnation`.
+    /// Daemons that have seen the same processes compute the same fingerprint.
     #[must_use]
     pub fn digest(&self, incarnation: u64) -> u64 {
         let others = self.members.values().map(|member| (&member.name, member.incarnation));
         let mut processes: Vec<String> = others
-            .chain([(&self.me, incarnation)])
+            .chain([(&self.own_name, incarnation)])
             .map(|(name, incarnation)| format!("{name}/{incarnation}"))
             .collect();
         processes.sort_unstable();
@@ -182,15 +184,17 @@
         fingerprint(&bytes)
     }
 
-    /// Members to exchange with in this round: all when few, else a rotating part of them.
+    /// Members to send the next exchange request to: all that may be running if they are few, otherwise the next ones
+    /// in rotation.
     pub fn next_exchange_peers(&mut self) -> Vec<MemberEntry> {
         let candidates: Vec<&MemberEntry> = self.possibly_running_entries().collect();
-        if candidates.len() <= FANOUT {
+        if candidates.len() <= EXCHANGE_PEERS_MAX {
             return candidates.into_iter().cloned().collect();
         }
         let count = candidates.len();
-        let round = (0..FANOUT).map(|step| candidates[(self.round + step) % count].clone()).collect();
-        self.round = (self.round + FANOUT) % count;
-        round
+        let peers =
+            (0..EXCHANGE_PEERS_MAX).map(|offset| candidates[(self.next_peer + offset) % count].clone()).collect();
+        self.next_peer = (self.next_peer + EXCHANGE_PEERS_MAX) % count;
+        peers
     }
 }
--- a/crates/kernel/src/path_selector.rs
+++ b/crates/kernel/src/path_selector.rs
@@ -1,31 +1,32 @@
-//! Which way calls to a shared service take: straight, through a peer that still reaches it, or none for a while.
+//! Selects the path of calls to a shared service: direct, relayed through a peer that still reaches it, or no call
+//! while backing off.
 
 use crate::{SharedName, TimePoint};
 use std::collections::BTreeMap;
 
-/// Pause of the straight way after its first failure, in milliseconds; doubles with each further one.
-const DIRECT_PAUSE_MS: u64 = 500;
-/// Longest pause of the straight way while a peer reaches the service, in milliseconds.
-const DIRECT_PAUSE_MS_MAX: u64 = 4_000;
-/// Pause after which the straight way is tried where no peer reaches the service either, in milliseconds; doubles.
-const AWAY_PAUSE_MS: u64 = 250;
-/// Longest such pause, in milliseconds: how much later than its return a daemon may find the service back.
-const AWAY_PAUSE_MS_MAX: u64 = 1_000;
-/// While one call tries the straight way again, the others do not, for this long in milliseconds at most.
+/// Backoff of the direct path after its first failure; doubles with each further one.
+const DIRECT_BACKOFF_MS: u64 = 500;
+/// Longest backoff of the direct path while a peer reaches the service.
+const DIRECT_BACKOFF_MAX_MS: u64 = 4_000;
+/// First backoff of the direct path while no peer reaches the service either; doubles with each further failure.
+const UNREACHABLE_BACKOFF_MS: u64 = 250;
+/// Longest such backoff. It bounds how long after its return the service is found reachable again.
+const UNREACHABLE_BACKOFF_MAX_MS: u64 = 1_000;
+/// Longest time for which other calls avoid the direct path while one call probes it.
 const PROBE_MS: u64 = 1_000;
-/// A peer that did not reach the service is left out for this long, in milliseconds.
-const PEER_PAUSE_MS: u64 = 2_000;
-/// Peers that are asked one after the other before the service counts as away.
+/// Time for which a peer that failed to reach the service is not used.
+const PEER_BACKOFF_MS: u64 = 2_000;
+/// Peers that are tried one after the other before the service counts as unreachable.
 const PEERS_MAX: u32 = 2;
-/// Pauses of different daemons differ by up to one part in this many, so that they do not call in step.
-const SPREAD_PARTS: u64 = 4;
+/// The seed shortens backoffs by up to one part in this many, so that daemons don't retry at the same time.
+const JITTER_DIVISOR: u64 = 4;
 
-/// A way to the service.
+/// A path to the service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ServicePath {
-    /// Straight.
+    /// A call to the service itself.
     Direct,
-    /// Through the peer with this name.
+    /// A call relayed through the peer of this name.
     Relay(SharedName),
 }
 
@@ -38,76 +39,80 @@
     }
 }
 
-/// Remembers which ways failed.
+/// Selects a path for each call, from the outcomes of earlier calls.
 #[derive(Debug, Default)]
 pub struct PathSelector {
     seed: u64,
     direct_failures: u32,
-    direct_worked_at: Option<TimePoint>,
-    direct_after: TimePoint,
-    away_after: TimePoint,
+    direct_succeeded_at: Option<TimePoint>,
+    /// When the direct path is probed although a peer reaches the service.
+    direct_retry_at: TimePoint,
+    /// When the direct path is probed if no peer reaches the service.
+    unreachable_retry_at: TimePoint,
     is_probing: bool,
     peer_failures: u32,
-    peers_after: TimePoint,
-    resting_peers: BTreeMap<SharedName, TimePoint>,
+    peers_retry_at: TimePoint,
+    /// Peers that failed, with the end of their backoff.
+    failed_peers: BTreeMap<SharedName, TimePoint>,
 }
 
 impl PathSelector {
-    /// Creates the choice of one daemon; `seed` spreads the pauses of different ones.
+    /// Creates the selector of one daemon. `seed` varies the backoffs between daemons.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self { seed, ..Self::default() }
     }
 
-    /// Whether the straight way works as far as known.
+    /// Whether no call on the direct path has failed since its last success.
     #[must_use]
     pub fn is_direct_available(&self) -> bool {
         self.direct_failures == 0
     }
 
-    /// The way of the next call, or none if the service is away and not to be asked yet. `peers` are those that may
-    /// relay, in the order of preference.
+    /// Selects the path of the next call. `None` means that the service is unreachable and backed off. `peers` returns
+    /// the peers that may relay, in the order of preference.
     pub fn next_path(&mut self, now: TimePoint, peers: impl FnOnce() -> Vec<SharedName>) -> Option<ServicePath> {
         if self.direct_failures == 0 {
             return Some(ServicePath::Direct);
         }
-        let relay = if now < self.peers_after {
+        let relay = if now < self.peers_retry_at {
             None
         } else {
-            peers().into_iter().find(|peer| self.resting_peers.get(peer).is_none_or(|until| *until <= now))
+            peers().into_iter().find(|peer| self.failed_peers.get(peer).is_none_or(|until| *until <= now))
         };
-        if now >= self.direct_after || (relay.is_none() && now >= self.away_after) {
+        if now >= self.direct_retry_at || (relay.is_none() && now >= self.unreachable_retry_at) {
             self.is_probing = true;
-            self.direct_after = now.plus_ms(PROBE_MS);
-            self.away_after = now.plus_ms(PROBE_MS);
+            self.direct_retry_at = now.plus_ms(PROBE_MS);
+            self.unreachable_retry_at = now.plus_ms(PROBE_MS);
             return Some(ServicePath::Direct);
         }
         relay.map(ServicePath::Relay)
     }
 
-    /// A call went through. True if the straight way works again.
+    /// Records a call that reached the service. Returns true if the direct path is available again.
     pub fn call_succeeded(&mut self, path: &ServicePath, now: TimePoint) -> bool {
         self.peer_failures = 0;
         if *path != ServicePath::Direct {
             return false;
         }
-        let regained = self.direct_failures > 0;
-        *self = Self { direct_worked_at: Some(now), ..Self::new(self.seed) };
-        regained
+        let is_reconnected = self.direct_failures > 0;
+        *self = Self { direct_succeeded_at: Some(now), ..Self::new(self.seed) };
+        is_reconnected
     }
 
-    /// A call that began at `began` did not get through. True if the straight way worked before.
-    pub fn call_failed(&mut self, path: &ServicePath, began: TimePoint, now: TimePoint) -> bool {
+    /// Records a call, started at `started`, that did not reach the service. Returns true if the direct path was
+    /// available before.
+    pub fn call_failed(&mut self, path: &ServicePath, started: TimePoint, now: TimePoint) -> bool {
         match path {
-            // An answer that came since proves the way: only this call's was lost.
-            ServicePath::Direct if self.direct_worked_at.is_some_and(|worked_at| worked_at > began) => false,
+            // The direct path has worked since the call started, so that only this call was lost.
+            ServicePath::Direct if self.direct_succeeded_at.is_some_and(|at| at > started) => false,
             ServicePath::Direct => self.direct_failed(now),
             ServicePath::Relay(peer) => {
-                self.resting_peers.insert(peer.clone(), now.plus_ms(PEER_PAUSE_MS));
+                self.failed_peers.insert(peer.clone(), now.plus_ms(PEER_BACKOFF_MS));
                 self.peer_failures += 1;
                 if self.peer_failures >= PEERS_MAX {
                     self.peer_failures = 0;
-                    self.peers_after = now.plus_ms(self.away_pause_ms());
+                    self.peers_retry_at = now.plus_ms(self.unreachable_backoff_ms());
                 }
                 false
             }
@@ -115,24 +120,24 @@
     }
 
     fn direct_failed(&mut self, now: TimePoint) -> bool {
-        // Calls that were on their way together count once.
+        // Calls that were in flight together count as one failure.
         if self.direct_failures > 0 && !self.is_probing {
             return false;
         }
         self.is_probing = false;
         self.direct_failures += 1;
-        self.direct_after = now.plus_ms(self.pause_ms(DIRECT_PAUSE_MS, DIRECT_PAUSE_MS_MAX));
-        self.away_after = now.plus_ms(self.away_pause_ms());
+        self.direct_retry_at = now.plus_ms(self.backoff_ms(DIRECT_BACKOFF_MS, DIRECT_BACKOFF_MAX_MS));
+        self.unreachable_retry_at = now.plus_ms(self.unreachable_backoff_ms());
         self.direct_failures == 1
     }
 
-    fn away_pause_ms(&self) -> u64 {
-        self.pause_ms(AWAY_PAUSE_MS, AWAY_PAUSE_MS_MAX)
+    fn unreachable_backoff_ms(&self) -> u64 {
+        self.backoff_ms(UNREACHABLE_BACKOFF_MS, UNREACHABLE_BACKOFF_MAX_MS)
     }
 
-    fn pause_ms(&self, first_ms: u64, most_ms: u64) -> u64 {
+    fn backoff_ms(&self, first_ms: u64, max_ms: u64) -> u64 {
         let doublings = self.direct_failures.saturating_sub(1).min(8);
-        let pause_ms = (first_ms << doublings).min(most_ms);
-        pause_ms - pause_ms / SPREAD_PARTS * (self.seed % 100) / 100
+        let backoff_ms = (first_ms << doublings).min(max_ms);
+        backoff_ms - backoff_ms / JITTER_DIVISOR * (self.seed % 100) / 100
     }
 }
--- a/crates/kernel/src/time_point.rs
+++ b/crates/kernel/src/time_point.rs
@@ -1,8 +1,8 @@
-//! Points in time in milliseconds, as handed in by the caller.
+//! Points in time in milliseconds, passed in by the caller.
 
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds since an origin that the caller picks. All deadlines are stored in this form.
+/// A point in time, in milliseconds since an origin that the caller chooses. All deadlines are stored in this form.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TimePoint(pub u64);
 
@@ -19,7 +19,7 @@
         Self(self.0.saturating_sub(ms))
     }
 
-    /// Milliseconds from `earlier` to this point, zero when `earlier` lies ahead.
+    /// Milliseconds from `earlier` to this point; 0 if `earlier` is later than this point.
     #[must_use]
     pub fn since_ms(self, earlier: Self) -> u64 {
         self.0.saturating_sub(earlier.0)
