--- a/crates/cli/src/bin/pimentoslipd.rs
+++ b/crates/cli/src/bin/pimentoslipd.rs
@@ -2,7 +2,7 @@
 
 use actix_rt::signal::unix::{SignalKind, signal};
 use clap::{Arg, ArgMatches, Command, value_parser};
-use pimentoslip_daemon::{DaemonSettings, command, init_logs, start};
+use pimentoslip_daemon::{DaemonSettings, command, init_stderr_logs, start};
 use pimentoslip_edge::{run_edge, run_storage};
 use pimentoslip_platform::ProcessSettings;
 use pimentoslip_telemetry::init_stdout_logs;
@@ -53,7 +53,7 @@
             return ExitCode::from(EXIT_SETTINGS);
         }
     };
-    init_logs();
+    init_stderr_logs();
     finish(run(settings).await)
 }
 
--- a/crates/cli/src/cmd/demo.rs
+++ b/crates/cli/src/cmd/demo.rs
@@ -10,6 +10,6 @@
 
 /// Runs the whole path in this process and says what happened.
 pub fn run(_args: &ArgMatches) -> CliResult<()> {
-    pimentoslip_daemon::silence_logs();
+    pimentoslip_daemon::disable_logs();
     util::block_on(demo::run())
 }
--- a/crates/daemon/src/admission_gate.rs
+++ b/crates/daemon/src/admission_gate.rs
@@ -49,7 +49,7 @@
             while let Some(ticket) = gate.queue.admit(running_max) {
                 let admitted = gate.waiting.remove(&ticket).is_some_and(|sender| sender.send(()).is_ok());
                 if !admitted {
-                    gate.queue.done();
+                    gate.queue.release();
                 }
             }
         });
@@ -59,7 +59,8 @@
     pub async fn enter(shared: &Arc<SharedState>, request: AdmissionRequest) -> Option<AdmissionGuard> {
         let (sender, receiver) = oneshot::channel();
         let ticket = shared.gate.with(&request.service, |gate| {
-            let ticket = gate.queue.enter(&request.organisation, request.weight, request.tokens, request.depth_max)?;
+            let ticket =
+                gate.queue.enqueue(&request.organisation, request.weight, request.tokens, request.depth_max)?;
             gate.waiting.insert(ticket, sender);
             Some(ticket)
         })?;
@@ -83,7 +84,7 @@
     pub fn settle(&self, tokens: u64) {
         let request = &self.request;
         self.shared.gate.with(&request.service, |gate| {
-            gate.queue.settle(&request.organisation, request.weight, request.tokens, tokens);
+            gate.queue.adjust_cost(&request.organisation, request.weight, request.tokens, tokens);
         });
     }
 
@@ -100,7 +101,7 @@
             if waiting {
                 gate.queue.cancel(self.ticket);
             } else {
-                gate.queue.done();
+                gate.queue.release();
             }
         });
         self.pump();
--- a/crates/daemon/src/daemon_settings.rs
+++ b/crates/daemon/src/daemon_settings.rs
@@ -1,7 +1,7 @@
 //! Settings of one daemon, from flags and environment variables.
 
 use clap::{Arg, ArgMatches, Command};
-use pimentoslip_kernel::{AdmissionPolicy, RoutePolicy, SharedName, policy_names};
+use pimentoslip_kernel::{AdmissionPolicy, RoutePolicy, SharedName, route_policy_names};
 use std::net::SocketAddr;
 
 const SECRET_CHARS_MIN: usize = 16;
@@ -188,15 +188,19 @@
 
     fn policy(&mut self, flag: &'static str) -> RoutePolicy {
         let text = self.text(flag);
-        RoutePolicy::named(&text).unwrap_or_else(|| {
-            self.fault(flag, format!("unknown policy {text}"), format!("use one of {}", policy_names().join(", ")));
+        RoutePolicy::from_name(&text).unwrap_or_else(|| {
+            self.fault(
+                flag,
+                format!("unknown policy {text}"),
+                format!("use one of {}", route_policy_names().join(", ")),
+            );
             RoutePolicy::default()
         })
     }
 
     fn admission(&mut self, flag: &'static str) -> AdmissionPolicy {
         let text = self.text(flag);
-        AdmissionPolicy::named(&text).unwrap_or_else(|| {
+        AdmissionPolicy::from_name(&text).unwrap_or_else(|| {
             let remedy = format!("use one of {}", AdmissionPolicy::names().join(", "));
             self.fault(flag, format!("unknown policy {text}"), remedy);
             AdmissionPolicy::default()
--- a/crates/daemon/src/http/admin_api.rs
+++ b/crates/daemon/src/http/admin_api.rs
@@ -191,7 +191,7 @@
         name: entry.name.clone(),
         service: entry.service.clone(),
         failure_domain: entry.failure_domain.clone(),
-        state: if entry.takes_work() { "live" } else { "leaving" }.to_owned(),
+        state: if entry.accepts_requests() { "live" } else { "leaving" }.to_owned(),
         reclaimable: entry.reclaimable,
         inflight: entry.inflight(),
         version: entry.version,
--- a/crates/daemon/src/http/plain_api.rs
+++ b/crates/daemon/src/http/plain_api.rs
@@ -94,7 +94,7 @@
     check_misplaced(shared, &path, &body, id)?;
     let text = |name: HeaderName| Some(request.headers().get(name)?.to_str().ok()?.to_owned());
     let key = idempotency_key(request.headers(), id)?;
-    let class = RequestClass::of(request.method().as_str(), service.repeatable, key.as_deref());
+    let class = RequestClass::classify(request.method().as_str(), service.repeatable, key.as_deref());
     Ok(UpstreamRequest {
         id: id.clone(),
         fingerprint: fingerprint(&[
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -16,5 +16,5 @@
 mod upstream;
 
 pub use daemon_settings::{DaemonSettings, SettingFault, command};
-pub use pimentoslip_telemetry::{LogLine, init_logs, silence_logs};
+pub use pimentoslip_telemetry::{LogLine, disable_logs, init_stderr_logs};
 pub use running_daemon::{Result, RunningDaemon, start};
--- a/crates/daemon/src/step/sample_run.rs
+++ b/crates/daemon/src/step/sample_run.rs
@@ -67,7 +67,7 @@
             };
             scanner.feed(&chunk, |data| versions_known &= take_chunk(&mut sample, data));
         }
-        if !scanner.finished() {
+        if !scanner.is_finished() {
             dispatched.guard.lost().await;
             return Err(SampleError::Cut);
         }
--- a/crates/daemon/src/step/step_actor.rs
+++ b/crates/daemon/src/step/step_actor.rs
@@ -87,10 +87,14 @@
     fn open(&mut self, organisation: SharedName, open: OpenRequest) -> StepOutcome<OpenAnswer> {
         let key = step_key(&organisation, &open.trainer, open.step);
         let spec = StepSpec::from(open);
-        if spec.group_size == 0 || spec.max_tokens == 0 || spec.samples() == 0 || spec.samples() > STEP_SAMPLES_MAX {
+        if spec.group_size == 0
+            || spec.max_tokens == 0
+            || spec.sample_count() == 0
+            || spec.sample_count() > STEP_SAMPLES_MAX
+        {
             return Err(RefusalReason::BodyMalformed);
         }
-        let samples = spec.samples();
+        let samples = spec.sample_count();
         if let Some(state) = self.steps.get(&key) {
             return if *state.spec == spec { Ok(OpenAnswer { samples }) } else { Err(RefusalReason::StepConflict) };
         }
@@ -125,15 +129,15 @@
         state.runs.remove(&message.order.attempt);
         match message.outcome {
             Ok(sample) => {
-                let outcome = state.ledger.finished(message.order, sample, now);
-                for loser in outcome.losers {
+                let outcome = state.ledger.attempt_finished(message.order, sample, now);
+                for loser in outcome.superseded_attempts {
                     if let Some(run) = state.runs.remove(&loser) {
                         run.abort();
                     }
                 }
             }
             Err(error) => {
-                state.ledger.failed(message.order);
+                state.ledger.attempt_failed(message.order);
                 LogLine::new("sample_failed")
                     .field("step", &message.step)
                     .field("sample", message.order.sample)
@@ -148,7 +152,7 @@
         let now = self.shared.now();
         for state in self.steps.values_mut() {
             let published = self.shared.config().published(&state.spec.service);
-            state.ledger.publish(published);
+            state.ledger.version_published(published);
             state.answer(&self.shared, now);
         }
         self.steps.retain(|_, state| {
@@ -166,10 +170,10 @@
     /// Starts samples while engines have room, the step with the fewest running ones first.
     fn dispatch(&mut self, now: TimePoint, context: &mut Context<Self>) {
         let mut keys: Vec<(usize, SharedName)> =
-            self.steps.iter().map(|(key, state)| (state.ledger.running(), key.clone())).collect();
+            self.steps.iter().map(|(key, state)| (state.ledger.running_attempts(), key.clone())).collect();
         let mut running: HashMap<SharedName, usize> = HashMap::new();
         for state in self.steps.values() {
-            *running.entry(state.spec.service.clone()).or_default() += state.ledger.running();
+            *running.entry(state.spec.service.clone()).or_default() += state.ledger.running_attempts();
         }
         while !keys.is_empty() {
             keys.sort();
@@ -255,10 +259,10 @@
     fn handle(&mut self, _message: StepListMessage, _context: &mut Context<Self>) -> Self::Result {
         let steps = self.steps.iter().map(|(key, state)| StepStatus {
             step: key.clone(),
-            confirmed: state.ledger.confirmed(),
-            ready: state.ledger.ready(),
-            running: state.ledger.running(),
-            total: state.spec.samples(),
+            confirmed: state.ledger.confirmed_count(),
+            ready: state.ledger.ready_count(),
+            running: state.ledger.running_attempts(),
+            total: state.spec.sample_count(),
             wasted_tokens: state.ledger.wasted_tokens(),
         });
         MessageResult(steps.collect())
--- a/crates/daemon/src/task/domain_duty.rs
+++ b/crates/daemon/src/task/domain_duty.rs
@@ -90,7 +90,7 @@
             let surplus = input.standing + input.reclaimable > input.wanted;
             let rounds = self.surplus_rounds.entry(name.clone()).or_default();
             *rounds = if surplus { *rounds + 1 } else { 0 };
-            let action = SpendPlanner.plan(&input);
+            let action = SpendPlanner.next_action(&input);
             self.act(shared, domain, name, action, authority).await?;
         }
         Ok(())
@@ -108,7 +108,8 @@
         services: &[(SharedName, ServiceConfig)],
     ) -> SpendInput {
         let mut running: BTreeMap<(SharedName, bool), u32> = BTreeMap::new();
-        for entry in shared.routes().iter().filter(|entry| entry.failure_domain == *domain && entry.takes_work()) {
+        for entry in shared.routes().iter().filter(|entry| entry.failure_domain == *domain && entry.accepts_requests())
+        {
             *running.entry((entry.service.clone(), entry.reclaimable)).or_default() += 1;
         }
         for (other, _) in services {
@@ -132,11 +133,11 @@
             standing: count(name, false),
             reclaimable: count(name, true),
             reclaimable_available: !self.unavailable(&(name.clone(), true), shared.now()),
-            standing_rate: service.standing_cents_per_hour,
-            reclaimable_rate: service.reclaimable_cents_per_hour,
-            floor_rate: (site.spend_floor_cents_per_hour / domains).saturating_sub(others),
-            ceiling_rate: (site.spend_ceiling_cents_per_hour / domains).saturating_sub(others),
-            surplus_rounds: self.surplus_rounds.get(name).copied().unwrap_or(0),
+            standing_cents_per_hour: service.standing_cents_per_hour,
+            reclaimable_cents_per_hour: service.reclaimable_cents_per_hour,
+            floor_cents_per_hour: (site.spend_floor_cents_per_hour / domains).saturating_sub(others),
+            ceiling_cents_per_hour: (site.spend_ceiling_cents_per_hour / domains).saturating_sub(others),
+            surplus_ticks: self.surplus_rounds.get(name).copied().unwrap_or(0),
         }
     }
 
@@ -172,7 +173,7 @@
             },
         };
         if let Some(vm) = &vm {
-            shared.routes().leaving(vm);
+            shared.routes().draining_reported(vm);
         }
         let request = OrderRequest {
             order: "".into(),
@@ -197,7 +198,7 @@
         &*entry.failure_domain == domain
             && &*entry.service == service
             && entry.reclaimable == reclaimable
-            && entry.takes_work()
+            && entry.accepts_requests()
     });
     candidates.min_by_key(|entry| entry.inflight()).map(|entry| entry.name.clone())
 }
@@ -209,7 +210,7 @@
         let routes = shared.routes();
         routes
             .iter()
-            .filter(|entry| &*entry.failure_domain == domain && entry.takes_work())
+            .filter(|entry| &*entry.failure_domain == domain && entry.accepts_requests())
             .filter(|entry| config.service(&entry.service).is_some_and(|service| service.kind == ServiceKind::Engine))
             .map(|entry| (entry, config.published(&entry.service)))
             .filter(|(entry, published)| entry.version.is_some_and(|version| version < *published))
@@ -221,7 +222,7 @@
         match provider.load_weights(address, &order, authority.deadline).await {
             Ok(()) => {
                 LogLine::new("weights_loaded").field("upstream", name).field("version", version).info();
-                shared.routes().loaded(name, *version);
+                shared.routes().weights_loaded(name, *version);
             }
             Err(error) => LogLine::new("weights_failed").field("upstream", name).field("error", error).warn(),
         }
--- a/crates/daemon/src/task/exchange_task.rs
+++ b/crates/daemon/src/task/exchange_task.rs
@@ -137,7 +137,7 @@
         from: shared.me(),
         complete: shared.config().complete(),
         records,
-        suspects: shared.suspects().marks(now),
+        suspects: shared.suspects().active_marks(now),
         members_digest: members_digest(shared),
     }
 }
@@ -188,7 +188,7 @@
     }
     drop(members);
     let mut suspects = shared.suspects();
-    answer.suspects.into_iter().for_each(|mark| suspects.learn(mark));
+    answer.suspects.into_iter().for_each(|mark| suspects.merge(mark));
 }
 
 /// Answers a peer's exchange.
@@ -200,7 +200,7 @@
     log_applied(&name, &new);
     {
         let mut suspects = shared.suspects();
-        request.suspects.into_iter().for_each(|mark| suspects.learn(mark));
+        request.suspects.into_iter().for_each(|mark| suspects.merge(mark));
     }
     shared.members().heard(MemberEntry::from(request.from), now);
     let members = if members_digest(shared) == request.members_digest { Vec::new() } else { known_members(shared) };
@@ -211,7 +211,7 @@
         complete: config.complete(),
         records: config.since(request.complete),
         age_ms,
-        suspects: shared.suspects().marks(now),
+        suspects: shared.suspects().active_marks(now),
         members,
     }
 }
--- a/crates/daemon/src/task/listing_task.rs
+++ b/crates/daemon/src/task/listing_task.rs
@@ -40,10 +40,10 @@
         let upstreams = upstreams.into_iter().filter_map(|vm| {
             let mut entry =
                 UpstreamEntry::new(vm.name, vm.service?, vm.failure_domain, vm.address, vm.reclaimable, now);
-            entry.state = if vm.state == VmState::Live { UpstreamState::Live } else { UpstreamState::Leaving };
+            entry.state = if vm.state == VmState::Live { UpstreamState::Live } else { UpstreamState::Draining };
             Some(entry)
         });
-        self.shared.routes().sync(upstreams.collect());
+        self.shared.routes().apply_list(upstreams.collect());
         self.pump();
     }
 
@@ -86,12 +86,12 @@
         for ((name, _), report) in engines.iter().zip(reports) {
             match report {
                 Ok(report) => {
-                    routes.reported(name, report.running + report.waiting, report.version);
+                    routes.load_reported(name, report.running + report.waiting, report.version);
                     if report.leaving {
-                        routes.leaving(name);
+                        routes.draining_reported(name);
                     }
                 }
-                Err(_) => routes.report_missed(name, now),
+                Err(_) => routes.load_report_missed(name, now),
             }
         }
     }
--- a/crates/daemon/src/upstream/attempt.rs
+++ b/crates/daemon/src/upstream/attempt.rs
@@ -103,17 +103,17 @@
             return Err(AttemptError { failure: AttemptFailure::Unreachable, progress });
         }
         Err(SendRequestError::Timeout) => {
-            progress.connected();
+            progress.connection_opened();
             guard.failed();
             return Err(AttemptError { failure: AttemptFailure::TimedOut, progress });
         }
         Err(_) => {
-            progress.connected();
+            progress.connection_opened();
             guard.lost().await;
             return Err(AttemptError { failure: AttemptFailure::Lost, progress });
         }
     };
-    progress.connected();
+    progress.connection_opened();
     let echoed = answer.headers().get(REQUEST_ID_HEADER).and_then(|value| value.to_str().ok());
     if echoed != Some(&**attempt_id) {
         guard.failed();
@@ -121,7 +121,7 @@
     }
     let refused = answer.headers().get(RUN_STATE_HEADER).is_some_and(|value| value.as_bytes() == NOT_RUN.as_bytes());
     if refused {
-        progress.refused();
+        progress.refusal_received();
         guard.failed();
         return Err(AttemptError { failure: AttemptFailure::Refused, progress });
     }
--- a/crates/daemon/src/upstream/dispatcher.rs
+++ b/crates/daemon/src/upstream/dispatcher.rs
@@ -29,7 +29,7 @@
     let mut tried: Vec<SharedName> = Vec::new();
     let mut attempt = 0;
     let mut run_state = RunState::NotRun;
-    shared.budget(&request.organisation, &request.service, pimentoslip_kernel::RetryBudget::earn);
+    shared.budget(&request.organisation, &request.service, pimentoslip_kernel::RetryBudget::record_attempt);
     loop {
         attempt += 1;
         let now = shared.now();
@@ -37,7 +37,7 @@
         if now >= request.deadline {
             return refuse(RefusalReason::DeadlinePassed);
         }
-        if shared.suspects().quarantined(request.fingerprint, now) {
+        if shared.suspects().is_quarantined(request.fingerprint, now) {
             return refuse(RefusalReason::Quarantined);
         }
         let Some(mut guard) = pick(shared, request, &tried).await else {
@@ -67,13 +67,13 @@
     const POLL: Duration = Duration::from_millis(20);
     loop {
         let now = shared.now();
-        let alone = shared.suspects().suspected(request.fingerprint, now);
+        let alone = shared.suspects().is_suspect(request.fingerprint, now);
         let query = RouteQuery {
             service: &request.service,
             failure_domain: &shared.settings.failure_domain,
-            prefix: request.prefix,
+            prefix_hash: request.prefix,
             excluded: tried,
-            alone,
+            exclusive: alone,
             inflight_max: request.inflight_max,
         };
         let picked = shared.with_rng(|rng| {
@@ -105,12 +105,12 @@
         shared.budget(&request.organisation, &request.service, |budget| RetryPolicy.decide(failed, now, budget, rng))
     });
     match decision {
-        RetryDecision::Again(at) => {
+        RetryDecision::RetryAt(at) => {
             shared.metrics.retried(error.failure.retry_reason());
             actix_rt::time::sleep(Duration::from_millis(at.since_ms(now))).await;
             Ok(())
         }
-        RetryDecision::Exhausted(_) => Err(RefusalReason::RetryExhausted),
+        RetryDecision::BudgetExhausted(_) => Err(RefusalReason::RetryExhausted),
         RetryDecision::Stop(_) => Err(refusal(error.failure)),
     }
 }
--- a/crates/daemon/src/upstream/stream_body.rs
+++ b/crates/daemon/src/upstream/stream_body.rs
@@ -142,16 +142,16 @@
         match next {
             Some(Ok(chunk)) => {
                 this.scan(&chunk);
-                if this.scanner.overlong() {
+                if this.scanner.has_overlong_line() {
                     return Poll::Ready(Some(Ok(this.fail(RefusalReason::AnswerMismatch))));
                 }
                 Poll::Ready(Some(Ok(chunk)))
             }
-            None if this.scanner.finished() => {
+            None if this.scanner.is_finished() => {
                 this.finish();
                 Poll::Ready(None)
             }
-            Some(Err(_)) if this.scanner.finished() => {
+            Some(Err(_)) if this.scanner.is_finished() => {
                 this.finish();
                 Poll::Ready(None)
             }
--- a/crates/daemon/src/upstream/upstream_guard.rs
+++ b/crates/daemon/src/upstream/upstream_guard.rs
@@ -38,7 +38,7 @@
     pub fn unreachable(&mut self) {
         self.failed = true;
         let now = self.shared.now();
-        self.shared.routes().refused(&self.entry.name, now);
+        self.shared.routes().connection_refused(&self.entry.name, now);
     }
 
     /// The connection was lost while the upstream ran the request. If the upstream has died, what was
@@ -59,9 +59,9 @@
 
     /// The upstream ran the request to its end, which clears it of suspicion.
     pub fn ran_clean(&self) {
-        self.shared.suspects().ran_clean(self.fingerprint);
+        self.shared.suspects().clear(self.fingerprint);
         let took_ms = self.shared.now().since_ms(self.began);
-        self.shared.routes().took(&self.entry.name, took_ms);
+        self.shared.routes().duration_observed(&self.entry.name, took_ms);
     }
 }
 
@@ -87,8 +87,8 @@
         .warn();
     if dead {
         let now = shared.now();
-        shared.routes().refused(&entry.name, now);
-        shared.suspects().upstream_died(running, now);
+        shared.routes().connection_refused(&entry.name, now);
+        shared.suspects().upstream_crashed(running, now);
         shared.suspicion.notify_one();
     }
 }
@@ -97,6 +97,6 @@
     fn drop(&mut self) {
         self.shared.running.end(&self.entry.address, self.fingerprint);
         let now = self.shared.now();
-        self.shared.routes().ended(&self.entry.name, self.failed, now);
+        self.shared.routes().request_ended(&self.entry.name, self.failed, now);
     }
 }
--- a/crates/kernel/src/admission_policy.rs
+++ b/crates/kernel/src/admission_policy.rs
@@ -26,7 +26,7 @@
 impl AdmissionPolicy {
     /// The policy registered under `name`.
     #[must_use]
-    pub fn named(name: &str) -> Option<Self> {
+    pub fn from_name(name: &str) -> Option<Self> {
         let mut plugins = inventory::iter::<AdmissionPlugin>.into_iter();
         plugins.find(|plugin| plugin.name == name).map(|plugin| plugin.policy)
     }
--- a/crates/kernel/src/fair_queue.rs
+++ b/crates/kernel/src/fair_queue.rs
@@ -25,7 +25,7 @@
 impl FairQueue {
     /// Adds a request of `organisation` with `weight` that is expected to cost `tokens`.
     /// None when the organisation has `depth_max` requests waiting.
-    pub fn enter(
+    pub fn enqueue(
         &mut self,
         organisation: &SharedName,
         weight: u64,
@@ -48,7 +48,7 @@
     }
 
     /// Corrects an organisation's account once the true cost is known.
-    pub fn settle(&mut self, organisation: &str, weight: u64, expected: u64, actual: u64) {
+    pub fn adjust_cost(&mut self, organisation: &str, weight: u64, expected: u64, actual: u64) {
         let Some(finish) = self.finish.get_mut(organisation) else { return };
         let weight = weight.max(1);
         *finish = (*finish + actual * VIRTUAL_SCALE / weight).saturating_sub(expected * VIRTUAL_SCALE / weight);
@@ -75,7 +75,7 @@
     }
 
     /// An admitted request ended.
-    pub fn done(&mut self) {
+    pub fn release(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
 
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -55,7 +55,7 @@
 pub use request_progress::RequestProgress;
 pub use retry_budget::RetryBudget;
 pub use retry_policy::{FailedAttempt, RetryDecision, RetryPolicy, RetryReason};
-pub use route_policy::{RoutePlugin, RoutePolicy, policy_names};
+pub use route_policy::{RoutePlugin, RoutePolicy, route_policy_names};
 pub use route_table::{RouteQuery, RouteTable, UpstreamEntry, UpstreamState};
 pub use sampler::*;
 pub use spend_planner::{SpendAction, SpendInput, SpendPlanner};
--- a/crates/kernel/src/request_class.rs
+++ b/crates/kernel/src/request_class.rs
@@ -8,7 +8,7 @@
     /// Running it again has no further effect.
     Idempotent,
     /// Must run at most once and carries nothing to recognise a repeat by.
-    Once,
+    AtMostOnce,
     /// Must run at most once across daemons, recognised by the caller's idempotency key.
     Claimed(SharedName),
 }
@@ -16,13 +16,13 @@
 impl RequestClass {
     /// Classifies by HTTP method, the service's own setting, and the caller's idempotency key.
     #[must_use]
-    pub fn of(method: &str, repeatable: bool, idempotency_key: Option<&str>) -> Self {
+    pub fn classify(method: &str, repeatable: bool, idempotency_key: Option<&str>) -> Self {
         if let Some(key) = idempotency_key {
             return Self::Claimed(key.into());
         }
         if repeatable || matches!(method, "GET" | "HEAD" | "OPTIONS") {
             return Self::Idempotent;
         }
-        Self::Once
+        Self::AtMostOnce
     }
 }
--- a/crates/kernel/src/request_progress.rs
+++ b/crates/kernel/src/request_progress.rs
@@ -12,17 +12,17 @@
 
 impl RequestProgress {
     /// A connection to the upstream stands; from here on bytes may have left.
-    pub fn connected(&mut self) {
+    pub fn connection_opened(&mut self) {
         self.connected = true;
     }
 
     /// The upstream answered with a header that belongs to this request.
-    pub fn answered(&mut self) {
+    pub fn response_received(&mut self) {
         self.answered = true;
     }
 
     /// The upstream itself said that it refused the request before running it.
-    pub fn refused(&mut self) {
+    pub fn refusal_received(&mut self) {
         self.refused = true;
     }
 
--- a/crates/kernel/src/retry_budget.rs
+++ b/crates/kernel/src/retry_budget.rs
@@ -21,12 +21,12 @@
 
 impl RetryBudget {
     /// Counts a first attempt.
-    pub fn earn(&mut self) {
+    pub fn record_attempt(&mut self) {
         self.credit = (self.credit + ATTEMPT_CREDIT).min(CREDIT_MAX);
     }
 
     /// Takes one retry out of the budget; false when none is left.
-    pub fn spend(&mut self) -> bool {
+    pub fn try_spend(&mut self) -> bool {
         if self.credit < RETRY_COST {
             return false;
         }
--- a/crates/kernel/src/retry_policy.rs
+++ b/crates/kernel/src/retry_policy.rs
@@ -41,11 +41,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
     /// Send it again at the given time.
-    Again(TimePoint),
+    RetryAt(TimePoint),
     /// Tell the caller, with what is known about the run.
     Stop(RunState),
     /// As `Stop`, because the budget is used up.
-    Exhausted(RunState),
+    BudgetExhausted(RunState),
 }
 
 /// An attempt that failed.
@@ -84,9 +84,9 @@
         if again >= failed.deadline {
             return RetryDecision::Stop(run_state);
         }
-        if !budget.spend() {
-            return RetryDecision::Exhausted(run_state);
+        if !budget.try_spend() {
+            return RetryDecision::BudgetExhausted(run_state);
         }
-        RetryDecision::Again(again)
+        RetryDecision::RetryAt(again)
     }
 }
--- a/crates/kernel/src/route_policy.rs
+++ b/crates/kernel/src/route_policy.rs
@@ -28,7 +28,7 @@
 
 /// Names of all registered policies, sorted.
 #[must_use]
-pub fn policy_names() -> Vec<&'static str> {
+pub fn route_policy_names() -> Vec<&'static str> {
     let mut names: Vec<&str> = inventory::iter::<RoutePlugin>.into_iter().map(|plugin| plugin.name).collect();
     names.sort_unstable();
     names
@@ -37,7 +37,7 @@
 impl RoutePolicy {
     /// The policy registered under `name`.
     #[must_use]
-    pub fn named(name: &str) -> Option<Self> {
+    pub fn from_name(name: &str) -> Option<Self> {
         inventory::iter::<RoutePlugin>.into_iter().find(|plugin| plugin.name == name).map(|plugin| plugin.policy)
     }
 }
--- a/crates/kernel/src/route_table.rs
+++ b/crates/kernel/src/route_table.rs
@@ -28,7 +28,7 @@
     /// Takes new work.
     Live,
     /// Finishes its work and takes none.
-    Leaving,
+    Draining,
 }
 
 /// One upstream and what this daemon knows of its load.
@@ -101,7 +101,7 @@
 
     /// Whether it may be given new work.
     #[must_use]
-    pub fn takes_work(&self) -> bool {
+    pub fn accepts_requests(&self) -> bool {
         self.state == UpstreamState::Live && !self.noticed && !self.delisted
     }
 
@@ -128,11 +128,11 @@
     /// Failure domain of the daemon.
     pub failure_domain: &'a str,
     /// Hash of the prompt's beginning.
-    pub prefix: Option<u64>,
+    pub prefix_hash: Option<u64>,
     /// Upstreams already tried.
     pub excluded: &'a [SharedName],
     /// Whether it must run with nothing beside it.
-    pub alone: bool,
+    pub exclusive: bool,
     /// Most requests of this daemon on one upstream.
     pub inflight_max: u64,
 }
@@ -153,7 +153,7 @@
     }
 
     /// Takes in the platform's list. Upstreams missing from it take no new work.
-    pub fn sync(&mut self, listed: Vec<UpstreamEntry>) {
+    pub fn apply_list(&mut self, listed: Vec<UpstreamEntry>) {
         for entry in self.entries.values_mut() {
             entry.delisted = !listed.iter().any(|new| new.name == entry.name);
         }
@@ -172,14 +172,14 @@
     }
 
     /// Stops new work for an upstream that said that it leaves, until it is off the list.
-    pub fn leaving(&mut self, name: &str) {
+    pub fn draining_reported(&mut self, name: &str) {
         if let Some(entry) = self.entries.get_mut(name) {
             entry.noticed = true;
         }
     }
 
     /// A load report did not come. An upstream that stays silent is ejected.
-    pub fn report_missed(&mut self, name: &str, now: TimePoint) {
+    pub fn load_report_missed(&mut self, name: &str, now: TimePoint) {
         let Some(entry) = self.entries.get_mut(name) else { return };
         entry.missed_reports += 1;
         if entry.missed_reports >= EJECT_FAILURES {
@@ -188,7 +188,7 @@
     }
 
     /// Takes in a load report.
-    pub fn reported(&mut self, name: &str, load: u64, version: Option<u64>) {
+    pub fn load_reported(&mut self, name: &str, load: u64, version: Option<u64>) {
         if let Some(entry) = self.entries.get_mut(name) {
             let others = load.saturating_sub(entry.inflight) * LOAD_UNIT;
             entry.others = (entry.others * (REPORT_WEIGHT - 1) + others) / REPORT_WEIGHT;
@@ -198,7 +198,7 @@
     }
 
     /// An upstream confirmed that it loaded a weight version.
-    pub fn loaded(&mut self, name: &str, version: u64) {
+    pub fn weights_loaded(&mut self, name: &str, version: u64) {
         if let Some(entry) = self.entries.get_mut(name) {
             entry.version = Some(version);
         }
@@ -209,10 +209,10 @@
         let all: Vec<&UpstreamEntry> = self
             .entries
             .values()
-            .filter(|entry| &*entry.service == query.service && entry.takes_work())
+            .filter(|entry| &*entry.service == query.service && entry.accepts_requests())
             .filter(|entry| !query.excluded.contains(&entry.name))
             .filter(|entry| entry.inflight < query.inflight_max && !entry.exclusive)
-            .filter(|entry| !query.alone || entry.inflight == 0)
+            .filter(|entry| !query.exclusive || entry.inflight == 0)
             .collect();
         let listening: Vec<&UpstreamEntry> = all.iter().copied().filter(|entry| entry.refused_until <= now).collect();
         let all = if listening.is_empty() { all } else { listening };
@@ -225,12 +225,12 @@
         self.turn = self.turn.wrapping_add(1);
         let entry = self.entries.get_mut(&name)?;
         entry.inflight += 1;
-        entry.exclusive = query.alone;
+        entry.exclusive = query.exclusive;
         Some(entry.clone())
     }
 
     /// A request ended; `failed` when the upstream was lost or unreachable.
-    pub fn ended(&mut self, name: &str, failed: bool, now: TimePoint) {
+    pub fn request_ended(&mut self, name: &str, failed: bool, now: TimePoint) {
         let Some(entry) = self.entries.get_mut(name) else { return };
         entry.inflight = entry.inflight.saturating_sub(1);
         entry.exclusive = false;
@@ -248,12 +248,12 @@
     /// Requests that the service's live upstreams take at a time.
     #[must_use]
     pub fn capacity(&self, service: &str, inflight_max: u64) -> usize {
-        let live = self.iter().filter(|entry| &*entry.service == service && entry.takes_work()).count();
+        let live = self.iter().filter(|entry| &*entry.service == service && entry.accepts_requests()).count();
         live * usize::try_from(inflight_max).unwrap_or(usize::MAX)
     }
 
     /// A request ran to its end on an upstream in `ms`.
-    pub fn took(&mut self, name: &str, ms: u64) {
+    pub fn duration_observed(&mut self, name: &str, ms: u64) {
         if let Some(entry) = self.entries.get_mut(name) {
             let pace_ms = entry.pace_ms.map_or(ms, |pace| (pace * (PACE_WEIGHT - 1) + ms) / PACE_WEIGHT);
             entry.pace_ms = Some(pace_ms.max(1));
@@ -261,7 +261,7 @@
     }
 
     /// Nothing listens at an upstream's address: its process has ended.
-    pub fn refused(&mut self, name: &str, now: TimePoint) {
+    pub fn connection_refused(&mut self, name: &str, now: TimePoint) {
         if let Some(entry) = self.entries.get_mut(name) {
             entry.refused_until = now.plus_ms(EJECT_MS);
         }
@@ -298,7 +298,7 @@
         };
         let cost = |entry: &UpstreamEntry| cost_above(entry, entry.load(now));
         let lighter = if cost(second) < cost(first) { second } else { first };
-        if let (RoutePolicy::PrefixTwoChoices, Some(prefix)) = (self.policy, query.prefix) {
+        if let (RoutePolicy::PrefixTwoChoices, Some(prefix)) = (self.policy, query.prefix_hash) {
             let names: Vec<&str> = eligible.iter().map(|entry| &*entry.name).collect();
             let holder = rendezvous::owner(&format!("{prefix:x}"), &names)?;
             let holder = eligible.iter().find(|entry| &*entry.name == *holder)?;
--- a/crates/kernel/src/spend_planner.rs
+++ b/crates/kernel/src/spend_planner.rs
@@ -14,15 +14,15 @@
     /// Whether the reclaimable kind can be had.
     pub reclaimable_available: bool,
     /// Price of one that cannot be reclaimed.
-    pub standing_rate: u64,
+    pub standing_cents_per_hour: u64,
     /// Price of one that can.
-    pub reclaimable_rate: u64,
+    pub reclaimable_cents_per_hour: u64,
     /// Minimum spend, owed whether used or not.
-    pub floor_rate: u64,
+    pub floor_cents_per_hour: u64,
     /// Most that may be spent.
-    pub ceiling_rate: u64,
+    pub ceiling_cents_per_hour: u64,
     /// Rounds in a row in which fewer were wanted than run.
-    pub surplus_rounds: u32,
+    pub surplus_ticks: u32,
 }
 
 /// One step of the planner.
@@ -50,30 +50,31 @@
 impl SpendPlanner {
     /// Spend of what runs.
     #[must_use]
-    pub fn spend(input: &SpendInput) -> u64 {
-        u64::from(input.standing) * input.standing_rate + u64::from(input.reclaimable) * input.reclaimable_rate
+    pub fn current_spend(input: &SpendInput) -> u64 {
+        u64::from(input.standing) * input.standing_cents_per_hour
+            + u64::from(input.reclaimable) * input.reclaimable_cents_per_hour
     }
 
     /// The next step: the floor is filled first, then the cheaper kind, then the dearer, never past the ceiling.
     #[must_use]
-    pub fn plan(self, input: &SpendInput) -> SpendAction {
-        let spend = Self::spend(input);
-        let fits = |rate: u64| spend + rate <= input.ceiling_rate;
-        let within_floor = spend + input.standing_rate <= input.floor_rate;
+    pub fn next_action(self, input: &SpendInput) -> SpendAction {
+        let spend = Self::current_spend(input);
+        let fits = |rate: u64| spend + rate <= input.ceiling_cents_per_hour;
+        let within_floor = spend + input.standing_cents_per_hour <= input.floor_cents_per_hour;
         let running = input.standing + input.reclaimable;
-        if (input.standing < input.standing_min || within_floor) && fits(input.standing_rate) {
+        if (input.standing < input.standing_min || within_floor) && fits(input.standing_cents_per_hour) {
             return SpendAction::StartStanding;
         }
         if running < input.wanted {
-            if input.reclaimable_available && fits(input.reclaimable_rate) {
+            if input.reclaimable_available && fits(input.reclaimable_cents_per_hour) {
                 return SpendAction::StartReclaimable;
             }
-            if !input.reclaimable_available && fits(input.standing_rate) {
+            if !input.reclaimable_available && fits(input.standing_cents_per_hour) {
                 return SpendAction::StartStanding;
             }
             return SpendAction::Keep;
         }
-        if running > input.wanted && input.surplus_rounds >= SURPLUS_ROUNDS {
+        if running > input.wanted && input.surplus_ticks >= SURPLUS_ROUNDS {
             return Self::shrink(input, spend);
         }
         SpendAction::Keep
@@ -83,7 +84,7 @@
         if input.reclaimable > 0 {
             return SpendAction::StopReclaimable;
         }
-        let above_floor = spend.saturating_sub(input.standing_rate) >= input.floor_rate;
+        let above_floor = spend.saturating_sub(input.standing_cents_per_hour) >= input.floor_cents_per_hour;
         if input.standing > input.standing_min && above_floor {
             return SpendAction::StopStanding;
         }
--- a/crates/kernel/src/step_ledger.rs
+++ b/crates/kernel/src/step_ledger.rs
@@ -27,7 +27,7 @@
 impl StepSpec {
     /// Number of samples in the step.
     #[must_use]
-    pub fn samples(&self) -> usize {
+    pub fn sample_count(&self) -> usize {
         self.prompts.len().saturating_mul(self.group_size)
     }
 }
@@ -58,9 +58,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FinishOutcome {
     /// Whether the sample is now whole through this attempt.
-    pub counted: bool,
+    pub accepted: bool,
     /// Other attempts of the sample, which need not run any further.
-    pub losers: Vec<u64>,
+    pub superseded_attempts: Vec<u64>,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -87,7 +87,7 @@
     /// Opens a step under a staleness `bound` in versions; `published` is the newest known version.
     #[must_use]
     pub fn new(spec: StepSpec, bound: u64, published: u64) -> Self {
-        let samples = vec![SampleEntry::default(); spec.samples()];
+        let samples = vec![SampleEntry::default(); spec.sample_count()];
         Self {
             spec,
             bound,
@@ -107,7 +107,7 @@
     }
 
     /// A newer weight version was published: samples that became too old are run again.
-    pub fn publish(&mut self, version: u64) {
+    pub fn version_published(&mut self, version: u64) {
         if version <= self.published {
             return;
         }
@@ -138,14 +138,14 @@
     }
 
     /// An attempt ended without a whole sample.
-    pub fn failed(&mut self, order: DispatchOrder) {
+    pub fn attempt_failed(&mut self, order: DispatchOrder) {
         if let Some(entry) = self.samples.get_mut(order.sample) {
             entry.running.retain(|(attempt, _)| *attempt != order.attempt);
         }
     }
 
     /// An attempt produced a whole sample; only the first one of a sample counts.
-    pub fn finished(&mut self, order: DispatchOrder, result: SampleResult, now: TimePoint) -> FinishOutcome {
+    pub fn attempt_finished(&mut self, order: DispatchOrder, result: SampleResult, now: TimePoint) -> FinishOutcome {
         let floor = self.oldest_allowed();
         let open = order.sample < self.samples.len() && self.open(order.sample);
         let Some(entry) = self.samples.get_mut(order.sample) else { return FinishOutcome::default() };
@@ -160,13 +160,13 @@
         }
         entry.whole = Some(result);
         let losers = entry.running.drain(..).map(|(attempt, _)| attempt).collect();
-        FinishOutcome { counted: true, losers }
+        FinishOutcome { accepted: true, superseded_attempts: losers }
     }
 
     /// Hands over up to `max` whole samples that `cursor` lacks. The same cursor gets the same samples
     /// until the trainer confirms them or they grow too old. `published` is the version the trainer itself knows.
     pub fn fetch(&mut self, cursor: &FetchCursor, published: u64, max: usize) -> Vec<SampleResult> {
-        self.publish(published);
+        self.version_published(published);
         self.received.merge(cursor);
         for (sample, entry) in self.samples.iter_mut().enumerate() {
             if self.received.contains(sample) {
@@ -178,25 +178,25 @@
 
     /// Samples that the trainer confirmed.
     #[must_use]
-    pub fn confirmed(&self) -> usize {
+    pub fn confirmed_count(&self) -> usize {
         self.received.len()
     }
 
     /// Whether the trainer holds every sample.
     #[must_use]
-    pub fn complete(&self) -> bool {
-        self.confirmed() >= self.spec.samples()
+    pub fn is_complete(&self) -> bool {
+        self.confirmed_count() >= self.spec.sample_count()
     }
 
     /// Whole samples waiting for a fetch.
     #[must_use]
-    pub fn ready(&self) -> usize {
+    pub fn ready_count(&self) -> usize {
         self.samples.iter().filter(|entry| entry.whole.is_some()).count()
     }
 
     /// Attempts running.
     #[must_use]
-    pub fn running(&self) -> usize {
+    pub fn running_attempts(&self) -> usize {
         self.samples.iter().map(|entry| entry.running.len()).sum()
     }
 
@@ -241,7 +241,7 @@
 }
 
 fn too_old(result: &SampleResult, floor: u64) -> bool {
-    TokenSegment::oldest(&result.segments).is_none_or(|oldest| oldest < floor)
+    TokenSegment::oldest_version(&result.segments).is_none_or(|oldest| oldest < floor)
 }
 
 fn tokens(result: &SampleResult) -> u64 {
--- a/crates/kernel/src/stream_scanner.rs
+++ b/crates/kernel/src/stream_scanner.rs
@@ -36,13 +36,13 @@
 
     /// Whether the terminal marker was seen, so that the answer is whole.
     #[must_use]
-    pub fn finished(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.finished
     }
 
     /// Whether a line outgrew the limit, after which the stream cannot be trusted.
     #[must_use]
-    pub fn overlong(&self) -> bool {
+    pub fn has_overlong_line(&self) -> bool {
         self.overlong
     }
 
--- a/crates/kernel/src/suspect_table.rs
+++ b/crates/kernel/src/suspect_table.rs
@@ -30,7 +30,7 @@
 
 impl SuspectTable {
     /// Records that an upstream died while running `fingerprints`.
-    pub fn upstream_died(&mut self, fingerprints: &[u64], now: TimePoint) {
+    pub fn upstream_crashed(&mut self, fingerprints: &[u64], now: TimePoint) {
         if fingerprints.is_empty() || fingerprints.len() > BLAME_MAX {
             return;
         }
@@ -44,12 +44,12 @@
     }
 
     /// A suspect that ran to its end is cleared.
-    pub fn ran_clean(&mut self, fingerprint: u64) {
+    pub fn clear(&mut self, fingerprint: u64) {
         self.marks.remove(&fingerprint);
     }
 
     /// Takes in a peer's mark; the higher blame holds.
-    pub fn learn(&mut self, mark: SuspectMark) {
+    pub fn merge(&mut self, mark: SuspectMark) {
         let known = self.marks.entry(mark.fingerprint).or_insert(mark);
         known.blame = known.blame.max(mark.blame);
         known.deadline = known.deadline.max(mark.deadline);
@@ -57,18 +57,18 @@
 
     /// Whether the request may not be run at all.
     #[must_use]
-    pub fn quarantined(&self, fingerprint: u64, now: TimePoint) -> bool {
+    pub fn is_quarantined(&self, fingerprint: u64, now: TimePoint) -> bool {
         self.live(fingerprint, now).is_some_and(|mark| mark.blame >= QUARANTINE_BLAME)
     }
 
     /// Whether the request must run alone on its upstream.
     #[must_use]
-    pub fn suspected(&self, fingerprint: u64, now: TimePoint) -> bool {
+    pub fn is_suspect(&self, fingerprint: u64, now: TimePoint) -> bool {
         self.live(fingerprint, now).is_some()
     }
 
     /// Marks to share with peers, dropping those past their deadline.
-    pub fn marks(&mut self, now: TimePoint) -> Vec<SuspectMark> {
+    pub fn active_marks(&mut self, now: TimePoint) -> Vec<SuspectMark> {
         self.marks.retain(|_, mark| mark.deadline > now);
         self.marks.values().copied().collect()
     }
--- a/crates/kernel/src/token_segment.rs
+++ b/crates/kernel/src/token_segment.rs
@@ -26,7 +26,7 @@
 
     /// The oldest version among `segments`, which decides staleness.
     #[must_use]
-    pub fn oldest(segments: &[Self]) -> Option<u64> {
+    pub fn oldest_version(segments: &[Self]) -> Option<u64> {
         segments.iter().map(|segment| segment.version).min()
     }
 }
--- a/crates/kernel/src/usage_meter.rs
+++ b/crates/kernel/src/usage_meter.rs
@@ -25,7 +25,7 @@
 impl UsageCount {
     /// The growth from `earlier` to this count.
     #[must_use]
-    pub fn minus(self, earlier: Self) -> Self {
+    pub fn increase_since(self, earlier: Self) -> Self {
         Self {
             requests: self.requests.saturating_sub(earlier.requests),
             tokens: self.tokens.saturating_sub(earlier.tokens),
--- a/crates/kernel/src/usage_window.rs
+++ b/crates/kernel/src/usage_window.rs
@@ -53,7 +53,7 @@
         baseline.push(line.clone());
         return line.count;
     };
-    let growth = line.count.minus(old.count);
+    let growth = line.count.increase_since(old.count);
     old.count.add(growth);
     growth
 }
--- a/crates/kernel/tests/machines/fairness.rs
+++ b/crates/kernel/tests/machines/fairness.rs
@@ -38,7 +38,7 @@
             Command::Enter { organisation, tokens } => {
                 let name: SharedName = format!("o{organisation}").into();
                 let depth = waiting.values().filter(|owner| **owner == organisation).count();
-                let ticket = queue.enter(&name, 1, tokens.into(), DEPTH_MAX);
+                let ticket = queue.enqueue(&name, 1, tokens.into(), DEPTH_MAX);
                 if ticket.is_some() != (depth < DEPTH_MAX) {
                     return Err(format!("depth {depth} gave {ticket:?}"));
                 }
@@ -65,7 +65,7 @@
                 }
             }
             Command::Done if running > 0 => {
-                queue.done();
+                queue.release();
                 running -= 1;
             }
             Command::Done => {}
@@ -88,12 +88,12 @@
     let mut queue = FairQueue::default();
     let (flood, small): (SharedName, SharedName) = ("flood".into(), "small".into());
     for _ in 0..100 {
-        queue.enter(&flood, 1, 100, usize::MAX).expect("room");
+        queue.enqueue(&flood, 1, 100, usize::MAX).expect("room");
     }
     for _ in 0..5 {
         queue.admit(usize::MAX).expect("a ticket");
     }
-    let late = queue.enter(&small, 1, 100, usize::MAX).expect("room");
+    let late = queue.enqueue(&small, 1, 100, usize::MAX).expect("room");
     let place = (1..=100).find(|_| queue.admit(usize::MAX) == Some(late)).expect("it is admitted");
     assert!(place <= 2, "admitted after {place} others");
 }
@@ -104,8 +104,8 @@
     let (heavy, light): (SharedName, SharedName) = ("heavy".into(), "light".into());
     let mut owners = BTreeMap::new();
     for _ in 0..400 {
-        owners.insert(queue.enter(&heavy, 3, 10, usize::MAX).expect("room"), true);
-        owners.insert(queue.enter(&light, 1, 10, usize::MAX).expect("room"), false);
+        owners.insert(queue.enqueue(&heavy, 3, 10, usize::MAX).expect("room"), true);
+        owners.insert(queue.enqueue(&light, 1, 10, usize::MAX).expect("room"), false);
     }
     let heavy = (0..400).filter(|_| queue.admit(usize::MAX).is_some_and(|ticket| owners[&ticket])).count();
     assert!((298..=302).contains(&heavy), "{heavy} of 400 went to weight 3 against 1");
@@ -116,12 +116,12 @@
 fn accounts_are_settled_by_true_cost() {
     let mut queue = FairQueue::default();
     let (short, long): (SharedName, SharedName) = ("short".into(), "long".into());
-    queue.enter(&short, 1, 1_000, usize::MAX).expect("room");
-    queue.enter(&long, 1, 1_000, usize::MAX).expect("room");
+    queue.enqueue(&short, 1, 1_000, usize::MAX).expect("room");
+    queue.enqueue(&long, 1, 1_000, usize::MAX).expect("room");
     queue.admit(usize::MAX).expect("a ticket");
     queue.admit(usize::MAX).expect("a ticket");
-    queue.settle("short", 1, 1_000, 10);
-    queue.enter(&long, 1, 1_000, usize::MAX).expect("room");
-    let first = queue.enter(&short, 1, 1_000, usize::MAX).expect("room");
+    queue.adjust_cost("short", 1, 1_000, 10);
+    queue.enqueue(&long, 1, 1_000, usize::MAX).expect("room");
+    let first = queue.enqueue(&short, 1, 1_000, usize::MAX).expect("room");
     assert_eq!(queue.admit(usize::MAX), Some(first));
 }
--- a/crates/kernel/tests/machines/routes.rs
+++ b/crates/kernel/tests/machines/routes.rs
@@ -1,6 +1,8 @@
 //! Routing: where work goes, and where it must not go.
 
-use pimentoslip_kernel::{RoutePolicy, RouteQuery, RouteTable, TimePoint, UpstreamEntry, UpstreamState, policy_names};
+use pimentoslip_kernel::{
+    RoutePolicy, RouteQuery, RouteTable, TimePoint, UpstreamEntry, UpstreamState, route_policy_names,
+};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -12,12 +14,19 @@
 }
 
 fn query<'a>() -> RouteQuery<'a> {
-    RouteQuery { service: "drafts", failure_domain: "a", prefix: None, excluded: &[], alone: false, inflight_max: 100 }
+    RouteQuery {
+        service: "drafts",
+        failure_domain: "a",
+        prefix_hash: None,
+        excluded: &[],
+        exclusive: false,
+        inflight_max: 100,
+    }
 }
 
 fn table(names: &[(&str, &str)]) -> RouteTable {
     let mut table = RouteTable::new(RoutePolicy::TwoChoices);
-    table.sync(names.iter().map(|(name, domain)| entry(name, domain)).collect());
+    table.apply_list(names.iter().map(|(name, domain)| entry(name, domain)).collect());
     table
 }
 
@@ -26,7 +35,7 @@
     let mut counts = BTreeMap::new();
     for _ in 0..count {
         if let Some(entry) = table.pick(query, LATER, &mut rng) {
-            table.ended(&entry.name, false, LATER);
+            table.request_ended(&entry.name, false, LATER);
             *counts.entry(entry.name.to_string()).or_default() += 1;
         }
     }
@@ -35,9 +44,9 @@
 
 #[test]
 fn policies_register_themselves() {
-    assert_eq!(policy_names(), ["prefix-two-choices", "round-robin", "two-choices"]);
-    assert_eq!(RoutePolicy::named("round-robin"), Some(RoutePolicy::RoundRobin));
-    assert_eq!(RoutePolicy::named("nearest"), None);
+    assert_eq!(route_policy_names(), ["prefix-two-choices", "round-robin", "two-choices"]);
+    assert_eq!(RoutePolicy::from_name("round-robin"), Some(RoutePolicy::RoundRobin));
+    assert_eq!(RoutePolicy::from_name("nearest"), None);
 }
 
 #[test]
@@ -50,12 +59,12 @@
 #[test]
 fn a_leaving_upstream_gets_nothing_whoever_says_so() {
     let says: [fn(&mut RouteTable); 3] = [
-        |table| table.leaving("one"),
-        |table| table.sync(vec![entry("two", "a")]),
+        |table| table.draining_reported("one"),
+        |table| table.apply_list(vec![entry("two", "a")]),
         |table| {
             let mut leaving = entry("one", "a");
-            leaving.state = UpstreamState::Leaving;
-            table.sync(vec![leaving, entry("two", "a")]);
+            leaving.state = UpstreamState::Draining;
+            table.apply_list(vec![leaving, entry("two", "a")]);
         },
     ];
     for (case, say) in says.into_iter().enumerate() {
@@ -68,14 +77,14 @@
 #[test]
 fn a_notice_outlasts_the_lagging_list_and_a_gap_in_the_list_does_not_last() {
     let mut table = table(&[("one", "a"), ("two", "a")]);
-    table.leaving("one");
-    table.sync(vec![entry("one", "a"), entry("two", "a")]);
+    table.draining_reported("one");
+    table.apply_list(vec![entry("one", "a"), entry("two", "a")]);
     assert_eq!(table.capacity("drafts", 1), 1);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     table.pick(&query(), LATER, &mut rng).expect("two");
-    table.sync(Vec::new());
+    table.apply_list(Vec::new());
     assert_eq!(table.capacity("drafts", 1), 0);
-    table.sync(vec![entry("two", "a")]);
+    table.apply_list(vec![entry("two", "a")]);
     assert_eq!(table.capacity("drafts", 1), 1);
 }
 
@@ -83,11 +92,11 @@
 fn an_upstream_that_keeps_failing_is_ejected_but_never_more_than_half() {
     let mut table = table(&[("good", "a"), ("bad", "a")]);
     for _ in 0..3 {
-        table.ended("bad", true, LATER);
+        table.request_ended("bad", true, LATER);
     }
     assert_eq!(picks(&mut table, &query(), 50), BTreeMap::from([("good".to_owned(), 50)]));
     for _ in 0..3 {
-        table.ended("good", true, LATER);
+        table.request_ended("good", true, LATER);
     }
     assert_eq!(picks(&mut table, &query(), 50).values().sum::<usize>(), 50, "with all ejected, all are tried");
 }
@@ -95,10 +104,10 @@
 #[test]
 fn an_upstream_that_nothing_listens_at_is_left_out_at_once() {
     let mut table = table(&[("good", "a"), ("dead-1", "a"), ("dead-2", "a")]);
-    table.refused("dead-1", LATER);
-    table.refused("dead-2", LATER);
+    table.connection_refused("dead-1", LATER);
+    table.connection_refused("dead-2", LATER);
     assert_eq!(picks(&mut table, &query(), 50), BTreeMap::from([("good".to_owned(), 50)]));
-    table.refused("good", LATER);
+    table.connection_refused("good", LATER);
     assert_eq!(picks(&mut table, &query(), 50).values().sum::<usize>(), 50, "with nothing left, all are tried");
 }
 
@@ -106,7 +115,7 @@
 fn an_upstream_without_load_reports_is_ejected() {
     let mut table = table(&[("good", "a"), ("mute", "a")]);
     for _ in 0..3 {
-        table.report_missed("mute", LATER);
+        table.load_report_missed("mute", LATER);
     }
     assert_eq!(picks(&mut table, &query(), 50), BTreeMap::from([("good".to_owned(), 50)]));
 }
@@ -115,10 +124,10 @@
 fn a_suspect_runs_alone() {
     let mut table = table(&[("one", "a")]);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let alone = RouteQuery { alone: true, ..query() };
+    let alone = RouteQuery { exclusive: true, ..query() };
     table.pick(&alone, LATER, &mut rng).expect("idle");
     assert!(table.pick(&query(), LATER, &mut rng).is_none(), "nothing runs beside a suspect");
-    table.ended("one", false, LATER);
+    table.request_ended("one", false, LATER);
     table.pick(&query(), LATER, &mut rng).expect("idle again");
     assert!(table.pick(&alone, LATER, &mut rng).is_none(), "a suspect waits for an idle upstream");
 }
@@ -126,12 +135,12 @@
 #[test]
 fn equal_prefixes_go_to_one_upstream_until_it_is_loaded() {
     let mut table = RouteTable::new(RoutePolicy::PrefixTwoChoices);
-    table.sync(["one", "two", "three", "four"].map(|name| entry(name, "a")).to_vec());
-    let prefix = RouteQuery { prefix: Some(42), ..query() };
+    table.apply_list(["one", "two", "three", "four"].map(|name| entry(name, "a")).to_vec());
+    let prefix = RouteQuery { prefix_hash: Some(42), ..query() };
     let counts = picks(&mut table, &prefix, 50);
     assert_eq!(counts.len(), 1, "{counts:?}");
     let holder = counts.keys().next().expect("one").clone();
-    table.reported(&holder, 20, None);
+    table.load_reported(&holder, 20, None);
     let counts = picks(&mut table, &prefix, 50);
     assert!(!counts.contains_key(&holder), "{counts:?}");
 }
@@ -152,8 +161,8 @@
 fn a_slow_upstream_gets_its_share_by_pace() {
     let mut table = table(&[("fast", "a"), ("slow", "a")]);
     for _ in 0..20 {
-        table.took("fast", 100);
-        table.took("slow", 600);
+        table.duration_observed("fast", 100);
+        table.duration_observed("slow", 600);
     }
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let slow = (0..28).filter(|_| &*table.pick(&query(), LATER, &mut rng).expect("room").name == "slow").count();
--- a/crates/kernel/tests/machines/small_laws.rs
+++ b/crates/kernel/tests/machines/small_laws.rs
@@ -20,13 +20,13 @@
     for (connected, answered, refused, expected) in cases {
         let mut progress = RequestProgress::default();
         if connected {
-            progress.connected();
+            progress.connection_opened();
         }
         if answered {
-            progress.answered();
+            progress.response_received();
         }
         if refused {
-            progress.refused();
+            progress.refusal_received();
         }
         assert_eq!(progress.run_state(), expected);
     }
@@ -35,14 +35,14 @@
 #[test]
 fn only_what_may_repeat_is_retried() {
     let mut may_have_run = RequestProgress::default();
-    may_have_run.connected();
+    may_have_run.connection_opened();
     let not_run = RequestProgress::default();
     // Class, progress, attempt, and whether it is sent again.
     let cases = [
         (RequestClass::Idempotent, may_have_run, 1, true),
         (RequestClass::Idempotent, may_have_run, 3, false),
-        (RequestClass::Once, may_have_run, 1, false),
-        (RequestClass::Once, not_run, 1, true),
+        (RequestClass::AtMostOnce, may_have_run, 1, false),
+        (RequestClass::AtMostOnce, not_run, 1, true),
         (RequestClass::Claimed("k".into()), may_have_run, 1, false),
         (RequestClass::Claimed("k".into()), not_run, 1, true),
     ];
@@ -50,7 +50,7 @@
     for (class, progress, attempt, again) in cases {
         let failed = FailedAttempt { class: &class, progress, attempt, deadline: TimePoint(10_000) };
         let decision = RetryPolicy.decide(failed, TimePoint(0), &mut RetryBudget::default(), &mut rng);
-        assert_eq!(matches!(decision, RetryDecision::Again(_)), again, "{class:?} {progress:?} {attempt}");
+        assert_eq!(matches!(decision, RetryDecision::RetryAt(_)), again, "{class:?} {progress:?} {attempt}");
     }
     let late =
         FailedAttempt { class: &RequestClass::Idempotent, progress: not_run, attempt: 1, deadline: TimePoint(0) };
@@ -62,8 +62,8 @@
 fn retries_stay_a_tenth_of_requests() {
     let mut budget = RetryBudget::default();
     let retries = (0..10_000).filter(|_| {
-        budget.earn();
-        budget.spend()
+        budget.record_attempt();
+        budget.try_spend()
     });
     assert!(retries.count() <= 1_010);
 }
@@ -72,14 +72,14 @@
 fn requests_are_classified() {
     let cases = [
         ("GET", false, None, RequestClass::Idempotent),
-        ("POST", false, None, RequestClass::Once),
-        ("DELETE", false, None, RequestClass::Once),
+        ("POST", false, None, RequestClass::AtMostOnce),
+        ("DELETE", false, None, RequestClass::AtMostOnce),
         ("POST", true, None, RequestClass::Idempotent),
         ("POST", false, Some("k"), RequestClass::Claimed("k".into())),
         ("POST", true, Some("k"), RequestClass::Claimed("k".into())),
     ];
     for (method, repeatable, key, expected) in cases {
-        assert_eq!(RequestClass::of(method, repeatable, key), expected);
+        assert_eq!(RequestClass::classify(method, repeatable, key), expected);
     }
 }
 
@@ -87,19 +87,19 @@
 fn a_crasher_is_quarantined_and_its_neighbours_are_not() {
     let now = TimePoint(0);
     let mut suspects = SuspectTable::default();
-    suspects.upstream_died(&[1, 2, 3], now);
-    assert!(suspects.suspected(1, now) && !suspects.quarantined(1, now));
-    suspects.ran_clean(2);
-    assert!(!suspects.suspected(2, now), "a suspect that ran alone to its end is cleared");
-    suspects.upstream_died(&[1], now);
-    suspects.upstream_died(&[1], now);
-    assert!(suspects.quarantined(1, now));
-    assert!(!suspects.quarantined(1, now.plus_ms(3_600_000)), "quarantine expires");
-    suspects.upstream_died(&[4, 5, 6, 7, 8], now);
-    assert!(!suspects.suspected(4, now), "a crowd says nothing");
+    suspects.upstream_crashed(&[1, 2, 3], now);
+    assert!(suspects.is_suspect(1, now) && !suspects.is_quarantined(1, now));
+    suspects.clear(2);
+    assert!(!suspects.is_suspect(2, now), "a suspect that ran alone to its end is cleared");
+    suspects.upstream_crashed(&[1], now);
+    suspects.upstream_crashed(&[1], now);
+    assert!(suspects.is_quarantined(1, now));
+    assert!(!suspects.is_quarantined(1, now.plus_ms(3_600_000)), "quarantine expires");
+    suspects.upstream_crashed(&[4, 5, 6, 7, 8], now);
+    assert!(!suspects.is_suspect(4, now), "a crowd says nothing");
     let mut peer = SuspectTable::default();
-    suspects.marks(now).into_iter().for_each(|mark| peer.learn(mark));
-    assert!(peer.quarantined(1, now));
+    suspects.active_marks(now).into_iter().for_each(|mark| peer.merge(mark));
+    assert!(peer.is_quarantined(1, now));
 }
 
 #[test]
@@ -110,9 +110,9 @@
         let mut data = Vec::new();
         scanner.feed(&whole[..cut], |line| data.push(line.to_vec()));
         let marker_end = whole.len() - 1;
-        assert_eq!(scanner.finished(), cut >= marker_end, "cut at {cut}");
+        assert_eq!(scanner.is_finished(), cut >= marker_end, "cut at {cut}");
         scanner.feed(&whole[cut..], |line| data.push(line.to_vec()));
-        assert!(scanner.finished());
+        assert!(scanner.is_finished());
         assert_eq!(data, [b"{\"a\":1}".to_vec(), b"{\"b\":2}".to_vec()], "cut at {cut}");
     }
 }
@@ -147,11 +147,11 @@
         standing: 2,
         reclaimable: 0,
         reclaimable_available: true,
-        standing_rate: 100,
-        reclaimable_rate: 40,
-        floor_rate: 200,
-        ceiling_rate: 400,
-        surplus_rounds: 0,
+        standing_cents_per_hour: 100,
+        reclaimable_cents_per_hour: 40,
+        floor_cents_per_hour: 200,
+        ceiling_cents_per_hour: 400,
+        surplus_ticks: 0,
     };
     let cases = [
         (SpendInput { standing: 0, ..base }, SpendAction::StartStanding),
@@ -159,15 +159,15 @@
         (base, SpendAction::StartReclaimable),
         (SpendInput { reclaimable_available: false, ..base }, SpendAction::StartStanding),
         (SpendInput { reclaimable: 2, ..base }, SpendAction::Keep),
-        (SpendInput { ceiling_rate: 220, ..base }, SpendAction::Keep),
-        (SpendInput { ceiling_rate: 0, standing: 0, ..base }, SpendAction::Keep),
-        (SpendInput { wanted: 2, reclaimable: 1, surplus_rounds: 4, ..base }, SpendAction::Keep),
-        (SpendInput { wanted: 2, reclaimable: 1, surplus_rounds: 5, ..base }, SpendAction::StopReclaimable),
-        (SpendInput { wanted: 1, standing: 3, surplus_rounds: 5, ..base }, SpendAction::StopStanding),
-        (SpendInput { wanted: 1, standing: 2, surplus_rounds: 5, ..base }, SpendAction::Keep),
+        (SpendInput { ceiling_cents_per_hour: 220, ..base }, SpendAction::Keep),
+        (SpendInput { ceiling_cents_per_hour: 0, standing: 0, ..base }, SpendAction::Keep),
+        (SpendInput { wanted: 2, reclaimable: 1, surplus_ticks: 4, ..base }, SpendAction::Keep),
+        (SpendInput { wanted: 2, reclaimable: 1, surplus_ticks: 5, ..base }, SpendAction::StopReclaimable),
+        (SpendInput { wanted: 1, standing: 3, surplus_ticks: 5, ..base }, SpendAction::StopStanding),
+        (SpendInput { wanted: 1, standing: 2, surplus_ticks: 5, ..base }, SpendAction::Keep),
     ];
     for (input, expected) in cases {
-        assert_eq!(SpendPlanner.plan(&input), expected, "{input:?}");
+        assert_eq!(SpendPlanner.next_action(&input), expected, "{input:?}");
     }
 }
 
@@ -181,15 +181,15 @@
                     wanted,
                     standing_min: wanted.min(1),
                     reclaimable_available: available,
-                    standing_rate: 100,
-                    reclaimable_rate: 40,
-                    floor_rate: floor,
-                    ceiling_rate: 420,
-                    surplus_rounds: 9,
+                    standing_cents_per_hour: 100,
+                    reclaimable_cents_per_hour: 40,
+                    floor_cents_per_hour: floor,
+                    ceiling_cents_per_hour: 420,
+                    surplus_ticks: 9,
                     ..SpendInput::default()
                 };
                 let rested = (0..50).any(|_| {
-                    let action = SpendPlanner.plan(&input);
+                    let action = SpendPlanner.next_action(&input);
                     match action {
                         SpendAction::StartStanding => input.standing += 1,
                         SpendAction::StartReclaimable => input.reclaimable += 1,
@@ -197,7 +197,7 @@
                         SpendAction::StopReclaimable => input.reclaimable -= 1,
                         SpendAction::Keep => {}
                     }
-                    assert!(SpendPlanner::spend(&input) <= input.ceiling_rate, "{input:?}");
+                    assert!(SpendPlanner::current_spend(&input) <= input.ceiling_cents_per_hour, "{input:?}");
                     action == SpendAction::Keep
                 });
                 assert!(rested, "wanted {wanted}, floor {floor}, available {available}: {input:?}");
--- a/crates/kernel/tests/machines/steps.rs
+++ b/crates/kernel/tests/machines/steps.rs
@@ -145,13 +145,13 @@
                 let (home, process, order) = self.running.remove(usize::from(run) % self.running.len());
                 let sample = self.produce(order.sample, swaps, start);
                 if self.homes[home].0 == process {
-                    self.homes[home].1.finished(order, sample, self.now);
+                    self.homes[home].1.attempt_finished(order, sample, self.now);
                 }
             }
             Command::Fail { run } if !self.running.is_empty() => {
                 let (home, process, order) = self.running.remove(usize::from(run) % self.running.len());
                 if self.homes[home].0 == process {
-                    self.homes[home].1.failed(order);
+                    self.homes[home].1.attempt_failed(order);
                 }
             }
             Command::Finish { .. } | Command::Fail { .. } => {}
@@ -176,10 +176,10 @@
             self.fetch(0, SAMPLES, false)?;
             while let Some(order) = self.homes[0].1.dispatch(self.now, None) {
                 let sample = self.produce(order.sample, 0, 0);
-                self.homes[0].1.finished(order, sample, self.now);
+                self.homes[0].1.attempt_finished(order, sample, self.now);
             }
         }
-        if self.cursor.len() != SAMPLES || !self.homes[0].1.complete() {
+        if self.cursor.len() != SAMPLES || !self.homes[0].1.is_complete() {
             return Err(format!("{} of {SAMPLES} samples arrived", self.cursor.len()));
         }
         Ok(())
@@ -202,7 +202,7 @@
     let mut world = World::new();
     while let Some(order) = world.homes[0].1.dispatch(world.now, None) {
         let sample = world.produce(order.sample, 0, 0);
-        world.homes[0].1.finished(order, sample, world.now);
+        world.homes[0].1.attempt_finished(order, sample, world.now);
     }
     let first = world.homes[0].1.fetch(&world.cursor, 5, 4);
     let again = world.homes[0].1.fetch(&world.cursor, 5, 4);
@@ -218,10 +218,10 @@
     assert!(twin.hedge);
     let first = world.produce(twin.sample, 0, 0);
     let second = world.produce(twin.sample, 0, 0);
-    let outcome = world.homes[0].1.finished(twin, first.clone(), TimePoint(1_001));
-    assert!(outcome.counted);
-    assert_eq!(outcome.losers, [orders[twin.sample].attempt]);
-    assert!(!world.homes[0].1.finished(orders[twin.sample], second, TimePoint(1_002)).counted);
+    let outcome = world.homes[0].1.attempt_finished(twin, first.clone(), TimePoint(1_001));
+    assert!(outcome.accepted);
+    assert_eq!(outcome.superseded_attempts, [orders[twin.sample].attempt]);
+    assert!(!world.homes[0].1.attempt_finished(orders[twin.sample], second, TimePoint(1_002)).accepted);
     assert_eq!(world.homes[0].1.fetch(&world.cursor, 5, 9), [first]);
     assert_eq!(world.homes[0].1.wasted_tokens(), 2);
 }
@@ -231,6 +231,6 @@
     let mut world = World::new();
     let order = world.homes[0].1.dispatch(TimePoint(0), None).expect("a sample");
     let nothing = SampleResult { sample: order.sample, text: "x".to_owned(), segments: Vec::new() };
-    assert!(!world.homes[0].1.finished(order, nothing, TimePoint(1)).counted);
+    assert!(!world.homes[0].1.attempt_finished(order, nothing, TimePoint(1)).accepted);
     assert_eq!(world.homes[0].1.dispatch(TimePoint(1), None).map(|order| order.sample), Some(order.sample));
 }
--- a/crates/telemetry/src/bounded_sink.rs
+++ b/crates/telemetry/src/bounded_sink.rs
@@ -21,7 +21,7 @@
 
 /// Lines dropped so far because the writer fell behind.
 #[must_use]
-pub fn lines_dropped() -> u64 {
+pub fn dropped_lines() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
 
@@ -48,7 +48,7 @@
         while let Ok(next) = lines.try_recv() {
             text.push_str(&next);
         }
-        let dropped = lines_dropped();
+        let dropped = dropped_lines();
         if dropped > reported {
             text.push_str(&format!("level=warn event=log_lines_dropped count={}\n", dropped - reported));
             reported = dropped;
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -3,5 +3,5 @@
 mod bounded_sink;
 mod log_line;
 
-pub use bounded_sink::{BoundedSink, lines_dropped};
-pub use log_line::{LogLine, init_logs, init_stdout_logs, silence_logs};
+pub use bounded_sink::{BoundedSink, dropped_lines};
+pub use log_line::{LogLine, disable_logs, init_stderr_logs, init_stdout_logs};
--- a/crates/telemetry/src/log_line.rs
+++ b/crates/telemetry/src/log_line.rs
@@ -54,7 +54,7 @@
 }
 
 /// Sends logs to standard error, a line at a time.
-pub fn init_logs() {
+pub fn init_stderr_logs() {
     let sink = StdStreamSink::builder().std_stream(StdStream::Stderr).build();
     let Ok(sink) = sink else { return };
     install(sink);
@@ -63,7 +63,7 @@
 /// Sends logs to standard output through a bounded queue.
 pub fn init_stdout_logs() {
     // Without its writer a process still serves.
-    let Ok(sink) = BoundedSink::start() else { return init_logs() };
+    let Ok(sink) = BoundedSink::start() else { return init_stderr_logs() };
     install(sink);
 }
 
@@ -78,6 +78,6 @@
 }
 
 /// Writes no logs at all.
-pub fn silence_logs() {
+pub fn disable_logs() {
     spdlog::default_logger().set_level_filter(LevelFilter::Off);
 }
