--- a/crates/kernel/src/admission_policy.rs
+++ b/crates/kernel/src/admission_policy.rs
@@ -1,21 +1,21 @@
-//! Ways of ordering waiting requests, registered by name.
+//! Admission policies for waiting requests, registered under the names used in settings.
 
-/// In which order waiting requests are admitted.
+/// Order in which waiting requests are admitted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AdmissionPolicy {
-    /// By weighted fair shares of tokens between organisations.
+    /// Weighted fair shares of tokens between organisations.
     #[default]
     Fair,
-    /// In order of arrival.
+    /// Order of arrival.
     Fifo,
 }
 
-/// A policy's registration.
+/// Registration of an admission policy.
 #[derive(Debug)]
 pub struct AdmissionPlugin {
-    /// Name used in settings.
+    /// Name of the policy in settings.
     pub name: &'static str,
-    /// The policy it stands for.
+    /// Policy selected by the name.
     pub policy: AdmissionPolicy,
 }
 
@@ -24,7 +24,7 @@
 inventory::submit! { AdmissionPlugin { name: "fifo", policy: AdmissionPolicy::Fifo } }
 
 impl AdmissionPolicy {
-    /// The policy registered under `name`.
+    /// Policy registered under `name`; `None` if there is none.
     #[must_use]
     pub fn from_name(name: &str) -> Option<Self> {
         let mut plugins = inventory::iter::<AdmissionPlugin>.into_iter();
--- a/crates/kernel/src/fair_queue.rs
+++ b/crates/kernel/src/fair_queue.rs
@@ -1,30 +1,39 @@
-//! Weighted fair admission between organisations.
+//! Weighted fair queueing of requests between organisations.
 
 use crate::SharedName;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A place in the queue.
+/// Identifies a queued request; numbered in order of arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct QueueTicket(pub u64);
 
-/// Orders waiting requests by virtual finish time, so that an organisation's backlog delays only itself.
+/// Start-time fair queue: orders waiting requests by their virtual start time, so that the backlog of an organisation
+/// delays only its own requests.
 #[derive(Debug, Default)]
 pub struct FairQueue {
+    /// Highest virtual start time among the admitted requests.
     virtual_now: u64,
-    tickets: u64,
+    /// Number of the last ticket.
+    last_ticket: u64,
+    /// Waiting requests by virtual start time.
     waiting: BTreeSet<(u64, QueueTicket)>,
+    /// Organisation and virtual start time of each waiting request.
     owners: BTreeMap<QueueTicket, (SharedName, u64)>,
-    finish: BTreeMap<SharedName, u64>,
-    depth: BTreeMap<SharedName, usize>,
+    /// Virtual finish time of the last request of each organisation.
+    finish_times: BTreeMap<SharedName, u64>,
+    /// Number of waiting requests of each organisation.
+    depths: BTreeMap<SharedName, usize>,
+    /// Number of admitted requests that have not ended.
     running: usize,
 }
 
-/// Scale of virtual time, so that small requests of heavy organisations still advance it.
-const VIRTUAL_SCALE: u64 = 1_000;
+/// Virtual time units per token at weight 1. The scale keeps the quotient above zero for small requests of
+/// organisations with a high weight, so that they still advance virtual time.
+const VIRTUAL_UNITS_PER_TOKEN: u64 = 1_000;
 
 impl FairQueue {
-    /// Adds a request of `organisation` with `weight` that is expected to cost `tokens`.
-    /// None when the organisation has `depth_max` requests waiting.
+    /// Adds a request of `organisation` with `weight` and an expected cost of `tokens`.
+    /// Returns `None` if the organisation already has `depth_max` requests waiting.
     pub fn enqueue(
         &mut self,
         organisation: &SharedName,
@@ -32,68 +41,71 @@
         tokens: u64,
         depth_max: usize,
     ) -> Option<QueueTicket> {
-        let depth = self.depth.entry(organisation.clone()).or_default();
+        let depth = self.depths.entry(organisation.clone()).or_default();
         if *depth >= depth_max {
             return None;
         }
         *depth += 1;
-        self.tickets += 1;
-        let ticket = QueueTicket(self.tickets);
-        let last = self.finish.entry(organisation.clone()).or_default();
-        let start = self.virtual_now.max(*last);
-        *last = start + tokens.max(1) * VIRTUAL_SCALE / weight.max(1);
+        self.last_ticket += 1;
+        let ticket = QueueTicket(self.last_ticket);
+        let finish = self.finish_times.entry(organisation.clone()).or_default();
+        let start = self.virtual_now.max(*finish);
+        *finish = start + tokens.max(1) * VIRTUAL_UNITS_PER_TOKEN / weight.max(1);
         self.waiting.insert((start, ticket));
         self.owners.insert(ticket, (organisation.clone(), start));
         Some(ticket)
     }
 
-    /// Corrects an organisation's account once the true cost is known.
+    /// Corrects the organisation's virtual finish time once the actual cost of a request, in tokens, is known. Affects
+    /// only requests that are enqueued afterwards.
     pub fn adjust_cost(&mut self, organisation: &str, weight: u64, expected: u64, actual: u64) {
-        let Some(finish) = self.finish.get_mut(organisation) else { return };
+        let Some(finish) = self.finish_times.get_mut(organisation) else { return };
         let weight = weight.max(1);
-        *finish = (*finish + actual * VIRTUAL_SCALE / weight).saturating_sub(expected * VIRTUAL_SCALE / weight);
+        *finish = (*finish + actual * VIRTUAL_UNITS_PER_TOKEN / weight)
+            .saturating_sub(expected * VIRTUAL_UNITS_PER_TOKEN / weight);
     }
 
-    /// Lets the next request run if fewer than `running_max` do.
+    /// Admits the next waiting request. Returns `None` if `running_max` requests are running or none is waiting.
     pub fn admit(&mut self, running_max: usize) -> Option<QueueTicket> {
         if self.running >= running_max {
             return None;
         }
         let (start, ticket) = self.waiting.pop_first()?;
         self.virtual_now = self.virtual_now.max(start);
-        self.forget(ticket);
+        self.remove_owner(ticket);
         self.running += 1;
         Some(ticket)
     }
 
-    /// A waiting request gave up.
+    /// Removes a waiting request. Its expected cost stays charged to the organisation until
+    /// [`adjust_cost`](Self::adjust_cost) corrects it.
     pub fn cancel(&mut self, ticket: QueueTicket) {
         if let Some((_, start)) = self.owners.get(&ticket) {
             self.waiting.remove(&(*start, ticket));
-            self.forget(ticket);
+            self.remove_owner(ticket);
         }
     }
 
-    /// An admitted request ended.
+    /// Frees the slot of an admitted request that ended.
     pub fn release(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
 
-    /// Requests waiting.
+    /// Number of waiting requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether no request is waiting.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    fn forget(&mut self, ticket: QueueTicket) {
+    fn remove_owner(&mut self, ticket: QueueTicket) {
         let Some((organisation, _)) = self.owners.remove(&ticket) else { return };
-        if let Some(depth) = self.depth.get_mut(&organisation) {
+        if let Some(depth) = self.depths.get_mut(&organisation) {
             *depth -= 1;
         }
     }
--- a/crates/kernel/src/fetch_cursor.rs
+++ b/crates/kernel/src/fetch_cursor.rs
@@ -1,8 +1,9 @@
-//! The set of samples that a trainer already holds.
+//! Bitmap of the samples that a trainer has received.
 
 use serde::{Deserialize, Serialize};
 
-/// One bit a sample, carried by the trainer in every fetch. 4,096 samples take 512 bytes.
+/// Set of received samples with one bit for each sample of the step. The trainer sends it with every fetch; 4,096
+/// samples take 512 bytes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FetchCursor(#[serde(with = "serde_hex")] Vec<u8>);
 
@@ -16,36 +17,36 @@
         self.0[byte] |= 1 << (index % 8);
     }
 
-    /// Whether the trainer holds sample `index`.
+    /// Whether the trainer has received sample `index`.
     #[must_use]
     pub fn contains(&self, index: usize) -> bool {
         self.0.get(index / 8).is_some_and(|byte| byte & (1 << (index % 8)) != 0)
     }
 
-    /// How many samples the trainer holds.
+    /// Number of samples that the trainer has received.
     #[must_use]
     pub fn len(&self) -> usize {
         self.0.iter().map(|byte| byte.count_ones() as usize).sum()
     }
 
-    /// Whether the trainer holds nothing yet.
+    /// Whether the trainer has received no samples.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Adds everything that `other` holds.
+    /// Adds all samples in `other`.
     pub fn merge(&mut self, other: &Self) {
         if self.0.len() < other.0.len() {
             self.0.resize(other.0.len(), 0);
         }
-        for (mine, theirs) in self.0.iter_mut().zip(&other.0) {
-            *mine |= theirs;
+        for (own_byte, other_byte) in self.0.iter_mut().zip(&other.0) {
+            *own_byte |= other_byte;
         }
     }
 }
 
-/// Bitmaps travel as lowercase hexadecimal in JSON.
+/// Serialises the bitmap as a string of lowercase hexadecimal digits.
 mod serde_hex {
     use serde::{Deserialize, Deserializer, Serializer, de::Error};
 
@@ -57,11 +58,11 @@
     pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<u8>, D::Error> {
         let text = String::deserialize(deserializer)?;
         if text.len() % 2 != 0 || !text.is_ascii() {
-            return Err(D::Error::custom("a cursor is an even number of hexadecimal digits"));
+            return Err(D::Error::custom("malformed cursor; send an even number of hexadecimal digits"));
         }
         (0..text.len())
             .step_by(2)
-            .map(|at| u8::from_str_radix(&text[at..at + 2], 16).map_err(D::Error::custom))
+            .map(|start| u8::from_str_radix(&text[start..start + 2], 16).map_err(D::Error::custom))
             .collect()
     }
 }
--- a/crates/kernel/src/refusal_reason.rs
+++ b/crates/kernel/src/refusal_reason.rs
@@ -1,18 +1,18 @@
-//! The one list of reasons for which a daemon refuses a request.
+//! Complete list of the reasons for which a daemon refuses a request, with their codes, HTTP statuses and remedies.
 
-/// Whether the refused request reached an upstream. Of several attempts the greatest counts.
+/// Whether an upstream ran the request. A request with several attempts has the greatest state among them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RunState {
-    /// No upstream ran any part of it.
+    /// No upstream ran any part of the request.
     NotRun,
-    /// An upstream may have run it.
+    /// An upstream may have run the request.
     MayHaveRun,
-    /// An upstream ran it, though its answer could not be delivered whole.
+    /// An upstream ran the request, but its response could not be delivered completely.
     Ran,
 }
 
 impl RunState {
-    /// The spelling used in refusals and logs.
+    /// Text used in refusals and logs.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -25,12 +25,13 @@
 
 macro_rules! refusal_reasons {
     ($($variant:ident, $code:literal, $status:literal, $remedy:literal;)*) => {
-        /// Why a request was refused. The code is stable and labels the refusal counter.
+        /// Reason for refusing a request. Its code is stable and is a label of the refusal counter. The documentation of
+        /// each variant is the remedy that the caller receives.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
         pub enum RefusalReason { $(#[doc = $remedy] $variant,)* }
 
         impl RefusalReason {
-            /// Every reason, in the order of the documentation.
+            /// All reasons, in the order of the documentation.
             pub const ALL: &'static [Self] = &[$(Self::$variant,)*];
 
             /// Stable machine-readable code.
@@ -39,13 +40,13 @@
                 match self { $(Self::$variant => $code,)* }
             }
 
-            /// HTTP status of the refusal.
+            /// HTTP status code of the refusal.
             #[must_use]
             pub fn status(self) -> u16 {
                 match self { $(Self::$variant => $status,)* }
             }
 
-            /// What the caller can do about it.
+            /// Advice to the caller on how to resolve the refusal.
             #[must_use]
             pub fn remedy(self) -> &'static str {
                 match self { $(Self::$variant => $remedy,)* }
--- a/crates/kernel/src/request_class.rs
+++ b/crates/kernel/src/request_class.rs
@@ -1,20 +1,21 @@
-//! How often a request may be sent to an upstream.
+//! Classifies requests by whether they may be sent to an upstream more than once.
 
 use crate::SharedName;
 
-/// The repeat class of a request, decided before anything is sent.
+/// Repeat class of a request, determined before its first attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestClass {
-    /// Running it again has no further effect.
+    /// May run any number of times, because running it again has no further effect.
     Idempotent,
-    /// Must run at most once and carries nothing to recognise a repeat by.
+    /// Must run at most once. It has no idempotency key, so a repeat by the caller cannot be detected.
     AtMostOnce,
-    /// Must run at most once across daemons, recognised by the caller's idempotency key.
+    /// Must run at most once across all daemons. Repeats are detected by the caller's idempotency key, which is held
+    /// here.
     Claimed(SharedName),
 }
 
 impl RequestClass {
-    /// Classifies by HTTP method, the service's own setting, and the caller's idempotency key.
+    /// Classifies a request by its HTTP method, the service's `repeatable` setting and the caller's idempotency key.
     #[must_use]
     pub fn classify(method: &str, repeatable: bool, idempotency_key: Option<&str>) -> Self {
         if let Some(key) = idempotency_key {
--- a/crates/kernel/src/request_progress.rs
+++ b/crates/kernel/src/request_progress.rs
@@ -1,38 +1,39 @@
-//! What is known about whether a request ran.
+//! Tracks whether an upstream may have run a request.
 
 use crate::RunState;
 
-/// Tracks the bytes of one request towards one upstream, so that "not run" is said only when true.
+/// Progress of one attempt at one upstream. Ensures that "not run" is reported only if the upstream cannot have run
+/// the request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestProgress {
     connected: bool,
-    answered: bool,
+    responded: bool,
     refused: bool,
 }
 
 impl RequestProgress {
-    /// A connection to the upstream stands; from here on bytes may have left.
+    /// Records that a connection to the upstream was opened. From then on parts of the request may have been sent.
     pub fn connection_opened(&mut self) {
         self.connected = true;
     }
 
-    /// The upstream answered with a header that belongs to this request.
+    /// Records that the header of a response to this request was received.
     pub fn response_received(&mut self) {
-        self.answered = true;
+        self.responded = true;
     }
 
-    /// The upstream itself said that it refused the request before running it.
+    /// Records that the upstream reported refusing the request before running it.
     pub fn refusal_received(&mut self) {
         self.refused = true;
     }
 
-    /// What may be told to the caller.
+    /// Run state to report to the caller.
     #[must_use]
     pub fn run_state(self) -> RunState {
         if self.refused || !self.connected {
             return RunState::NotRun;
         }
-        if self.answered {
+        if self.responded {
             return RunState::Ran;
         }
         RunState::MayHaveRun
--- a/crates/kernel/src/retry_budget.rs
+++ b/crates/kernel/src/retry_budget.rs
@@ -1,13 +1,16 @@
-//! Caps retries to a share of first attempts.
+//! Limits retries to a share of first attempts.
 
-/// Credit units a first attempt earns; a retry costs [`RETRY_COST`].
-const ATTEMPT_CREDIT: u32 = 1;
-/// One retry for every ten first attempts.
-const RETRY_COST: u32 = 10;
+/// Credit added by a first attempt.
+const CREDIT_PER_ATTEMPT: u32 = 1;
+/// Credit taken by a retry. Ten first attempts pay for one retry.
+const CREDIT_PER_RETRY: u32 = 10;
+/// Maximum credit, enough for ten retries in a row.
 const CREDIT_MAX: u32 = 100;
+/// Initial credit, enough for three retries before any traffic has been seen.
 const CREDIT_START: u32 = 30;
 
-/// A token bucket filled by traffic rather than by time, so that an outage cannot multiply load.
+/// Token bucket that is filled by first attempts rather than by time, so that retries during an outage cannot multiply
+/// the load.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     credit: u32,
@@ -20,17 +23,17 @@
 }
 
 impl RetryBudget {
-    /// Counts a first attempt.
+    /// Adds the credit for a first attempt.
     pub fn record_attempt(&mut self) {
-        self.credit = (self.credit + ATTEMPT_CREDIT).min(CREDIT_MAX);
+        self.credit = (self.credit + CREDIT_PER_ATTEMPT).min(CREDIT_MAX);
     }
 
-    /// Takes one retry out of the budget; false when none is left.
+    /// Takes the credit for one retry. Returns false, and takes nothing, if there is not enough.
     pub fn try_spend(&mut self) -> bool {
-        if self.credit < RETRY_COST {
+        if self.credit < CREDIT_PER_RETRY {
             return false;
         }
-        self.credit -= RETRY_COST;
+        self.credit -= CREDIT_PER_RETRY;
         true
     }
 }
--- a/crates/kernel/src/retry_policy.rs
+++ b/crates/kernel/src/retry_policy.rs
@@ -1,31 +1,33 @@
-//! Decides whether a failed attempt is sent again.
+//! Decides whether a request is retried after a failed attempt.
 
 use crate::{RequestClass, RequestProgress, RetryBudget, RunState, TimePoint};
 use rand::Rng;
 
+/// Maximum number of attempts for one request, the first one included.
 const ATTEMPTS_MAX: u32 = 3;
+/// Base of the exponential backoff: the upper limit of the delay after attempt `n` is `BACKOFF_BASE_MS << n`.
 const BACKOFF_BASE_MS: u64 = 20;
 const BACKOFF_MAX_MS: u64 = 500;
 
-/// Why an attempt is repeated; labels the retry counter.
+/// Reason for a retry; used as a label of the retry counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RetryReason {
     /// No connection could be opened.
     ConnectFailed,
-    /// The upstream refused before running.
+    /// The upstream refused the request before running it.
     UpstreamRefused,
-    /// The upstream was lost while running an idempotent request.
+    /// The connection to the upstream was lost while it ran an idempotent request.
     UpstreamLost,
-    /// The answer carried another request's id.
+    /// The response carried the id of another request.
     AnswerMismatch,
 }
 
 impl RetryReason {
-    /// Every reason, in the order of the documentation.
+    /// All reasons, in the order of the documentation.
     pub const ALL: &'static [Self] =
         &[Self::ConnectFailed, Self::UpstreamRefused, Self::UpstreamLost, Self::AnswerMismatch];
 
-    /// Stable machine-readable code.
+    /// Stable machine-readable code, used as a metric label.
     #[must_use]
     pub fn code(self) -> &'static str {
         match self {
@@ -37,36 +39,37 @@
     }
 }
 
-/// What to do after a failed attempt.
+/// Decision after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Send it again at the given time.
+    /// Send the request again at the given time.
     RetryAt(TimePoint),
-    /// Tell the caller, with what is known about the run.
+    /// Report the failure to the caller, together with whether the request ran.
     Stop(RunState),
-    /// As `Stop`, because the budget is used up.
+    /// Report the failure to the caller as in `Stop`: a retry was allowed, but the retry budget is exhausted.
     BudgetExhausted(RunState),
 }
 
 /// An attempt that failed.
 #[derive(Clone, Copy, Debug)]
 pub struct FailedAttempt<'a> {
-    /// How often the request may be sent.
+    /// Repeat class of the request.
     pub class: &'a RequestClass,
-    /// What the upstream may have done.
+    /// How far the attempt got on the upstream.
     pub progress: RequestProgress,
     /// Number of the attempt, counted from 1.
     pub attempt: u32,
-    /// When the caller stops waiting.
+    /// Time at which the caller stops waiting.
     pub deadline: TimePoint,
 }
 
-/// The rules for repeating attempts.
+/// Retry policy: a limited number of attempts, exponential backoff with full jitter, and a shared retry budget.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RetryPolicy;
 
 impl RetryPolicy {
-    /// Decides on a request whose attempt failed at `now`.
+    /// Decides whether to retry a request whose attempt failed at `now`. Retries only a request that did not run or is
+    /// idempotent, and only before its deadline. Spends `budget` if the decision is a retry.
     pub fn decide<R: Rng>(
         self,
         failed: FailedAttempt<'_>,
@@ -75,18 +78,18 @@
         rng: &mut R,
     ) -> RetryDecision {
         let run_state = failed.progress.run_state();
-        let repeatable = run_state == RunState::NotRun || *failed.class == RequestClass::Idempotent;
-        if !repeatable || failed.attempt >= ATTEMPTS_MAX {
+        let may_repeat = run_state == RunState::NotRun || *failed.class == RequestClass::Idempotent;
+        if !may_repeat || failed.attempt >= ATTEMPTS_MAX {
             return RetryDecision::Stop(run_state);
         }
-        let ceiling_ms = (BACKOFF_BASE_MS << failed.attempt.min(8)).min(BACKOFF_MAX_MS);
-        let again = now.plus_ms(rng.random_range(0..=ceiling_ms));
-        if again >= failed.deadline {
+        let backoff_limit_ms = (BACKOFF_BASE_MS << failed.attempt.min(8)).min(BACKOFF_MAX_MS);
+        let retry_at = now.plus_ms(rng.random_range(0..=backoff_limit_ms));
+        if retry_at >= failed.deadline {
             return RetryDecision::Stop(run_state);
         }
         if !budget.try_spend() {
             return RetryDecision::BudgetExhausted(run_state);
         }
-        RetryDecision::RetryAt(again)
+        RetryDecision::RetryAt(retry_at)
     }
 }
--- a/crates/kernel/src/route_policy.rs
+++ b/crates/kernel/src/route_policy.rs
@@ -1,23 +1,24 @@
-//! Ways of choosing an upstream, registered by name.
+//! Load balancing policies, registered under the names used in settings.
 
-/// A way of choosing among eligible upstreams.
+/// Policy for choosing one of the eligible upstreams.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RoutePolicy {
-    /// Each in turn, whatever its load.
+    /// Each upstream in turn, regardless of its load.
     RoundRobin,
-    /// The less loaded of two random ones, same failure domain first.
+    /// The less loaded of two random upstreams. Between equals, the one in the daemon's failure domain.
     TwoChoices,
-    /// As `TwoChoices`, but the upstream that cached the prompt's prefix is one of the two.
+    /// `TwoChoices`, except that the upstream assigned to the prompt's prefix is preferred while it is not much more
+    /// loaded, because it is likely to have the prefix cached.
     #[default]
     PrefixTwoChoices,
 }
 
-/// A policy's registration.
+/// Registration of a load balancing policy.
 #[derive(Debug)]
 pub struct RoutePlugin {
-    /// Name used in settings.
+    /// Name of the policy in settings.
     pub name: &'static str,
-    /// The policy it stands for.
+    /// Policy selected by the name.
     pub policy: RoutePolicy,
 }
 
@@ -35,7 +36,7 @@
 }
 
 impl RoutePolicy {
-    /// The policy registered under `name`.
+    /// Policy registered under `name`; `None` if there is none.
     #[must_use]
     pub fn from_name(name: &str) -> Option<Self> {
         inventory::iter::<RoutePlugin>.into_iter().find(|plugin| plugin.name == name).map(|plugin| plugin.policy)
--- a/crates/kernel/src/route_table.rs
+++ b/crates/kernel/src/route_table.rs
@@ -1,73 +1,80 @@
-//! Upstreams known to a daemon, and the choice among them.
+//! Load balancing: tracks the upstreams of a daemon and picks one for each request.
 
 use crate::{RoutePolicy, SharedName, TimePoint, rendezvous};
 use rand::Rng;
 use std::collections::BTreeMap;
 
-/// Failures in a row that eject an upstream.
-const EJECT_FAILURES: u32 = 3;
-const EJECT_MS: u64 = 5_000;
-/// At most one upstream in this many is ejected at a time.
-const EJECT_CAP_DIVISOR: usize = 2;
-/// Span over which a new upstream's share of work rises to full.
+/// Consecutive failed requests, or missed load reports, after which an upstream is ejected.
+const EJECT_AFTER_FAILURES: u32 = 3;
+/// How long an ejected or unreachable upstream gets no requests.
+const EJECTION_MS: u64 = 5_000;
+/// Ejections are ignored while they would leave less than one in this many upstreams to pick from.
+const ELIGIBLE_MIN_DIVISOR: usize = 2;
+/// Time over which a new upstream's share of requests rises to its full share.
 const SLOW_START_MS: u64 = 10_000;
-/// Fraction of a request in which load is counted.
-const LOAD_UNIT: u64 = 8;
-/// A report's share in the moving average of others' load is one in this many.
-const REPORT_WEIGHT: u64 = 4;
-/// A request's share in the moving average is one in this many.
-const PACE_WEIGHT: u64 = 8;
-/// An upstream of unknown pace is taken for the fastest one.
-const PACE_UNKNOWN_MS: u64 = 1;
-/// Load by which the prefix holder may exceed the other choice.
-const PREFIX_BONUS: u64 = 1;
+/// Load units per request. Load is counted in fractions of a request to keep precision in the moving average.
+const LOAD_UNITS_PER_REQUEST: u64 = 8;
+/// A new load report has a weight of one in this many in the moving average.
+const REPORT_AVERAGE_DIVISOR: u64 = 4;
+/// A new request duration has a weight of one in this many in the moving average.
+const DURATION_AVERAGE_DIVISOR: u64 = 8;
+/// Duration assumed while no upstream has been measured. Once one has, an unmeasured upstream counts as fast as
+/// the fastest measured one.
+const UNMEASURED_DURATION_MS: u64 = 1;
+/// Requests by which the upstream that caches the prompt prefix may be more loaded and still be preferred.
+const PREFIX_BONUS_REQUESTS: u64 = 1;
 
-/// Standing of an upstream in the platform's list.
+/// State of an upstream in the platform's VM list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamState {
-    /// Takes new work.
+    /// Accepts new requests.
     Live,
-    /// Finishes its work and takes none.
+    /// Finishes its running requests and accepts no new ones.
     Draining,
 }
 
-/// One upstream and what this daemon knows of its load.
+/// An upstream, with its load and health as this daemon observes them.
 #[derive(Clone, Debug)]
 pub struct UpstreamEntry {
-    /// VM name.
+    /// Name of the upstream's VM.
     pub name: SharedName,
-    /// Service that it runs.
+    /// Service that the upstream runs.
     pub service: SharedName,
-    /// Failure domain.
+    /// Failure domain of the VM.
     pub failure_domain: SharedName,
-    /// `ip:port`.
+    /// Address that requests are sent to, as `ip:port`.
     pub address: SharedName,
-    /// Whether the platform may reclaim it.
+    /// Whether the platform may reclaim the VM at any time.
     pub reclaimable: bool,
-    /// Standing.
+    /// State in the last VM list.
     pub state: UpstreamState,
-    /// Weight version from its last load report.
+    /// Newest weight version that the upstream reported or confirmed; `None` before the first one.
     pub version: Option<u64>,
+    /// Requests of this daemon running on the upstream.
     inflight: u64,
-    /// Moving average of other daemons' load on it, in [`LOAD_UNIT`]ths.
-    others: u64,
-    failures: u32,
+    /// Moving average of the load from other daemons, in load units.
+    remote_load: u64,
+    consecutive_failures: u32,
     ejected_until: TimePoint,
-    full_at: TimePoint,
+    /// End of the slow start.
+    slow_start_end: TimePoint,
+    /// Whether the running request must not share the upstream.
     exclusive: bool,
-    /// It said itself that it leaves, which outlasts the lagging list.
-    noticed: bool,
-    /// It is missing from the list.
+    /// Whether the upstream itself reported that it is draining. Kept even if a VM list, which lags behind, still
+    /// shows it as live.
+    reported_draining: bool,
+    /// Whether the upstream is missing from the last VM list.
     delisted: bool,
+    /// Consecutive load reports that could not be read.
     missed_reports: u32,
-    /// Moving average of how long requests take on it, once one has ended.
-    pace_ms: Option<u64>,
-    /// Until then nothing is sent to it, because nothing listened at its address.
-    refused_until: TimePoint,
+    /// Moving average of the request duration; `None` before the first completed request.
+    mean_duration_ms: Option<u64>,
+    /// End of the time in which the upstream is avoided because its address refused a connection.
+    avoided_until: TimePoint,
 }
 
 impl UpstreamEntry {
-    /// Creates an entry first seen at `now`.
+    /// Creates a live entry whose slow start begins at `now`.
     #[must_use]
     pub fn new(
         name: SharedName,
@@ -86,127 +93,131 @@
             state: UpstreamState::Live,
             version: None,
             inflight: 0,
-            others: 0,
-            failures: 0,
+            remote_load: 0,
+            consecutive_failures: 0,
             ejected_until: TimePoint(0),
-            full_at: now.plus_ms(SLOW_START_MS),
+            slow_start_end: now.plus_ms(SLOW_START_MS),
             exclusive: false,
-            noticed: false,
+            reported_draining: false,
             delisted: false,
             missed_reports: 0,
-            pace_ms: None,
-            refused_until: TimePoint(0),
+            mean_duration_ms: None,
+            avoided_until: TimePoint(0),
         }
     }
 
-    /// Whether it may be given new work.
+    /// Whether the upstream accepts new requests: it is listed, live and not draining.
     #[must_use]
     pub fn accepts_requests(&self) -> bool {
-        self.state == UpstreamState::Live && !self.noticed && !self.delisted
+        self.state == UpstreamState::Live && !self.reported_draining && !self.delisted
     }
 
-    /// Requests of this daemon running on it.
+    /// Number of this daemon's requests running on the upstream.
     #[must_use]
     pub fn inflight(&self) -> u64 {
         self.inflight
     }
 
-    /// This daemon's own requests, known exactly, and the smoothed load of others, whose reports lag. In
-    /// [`LOAD_UNIT`]ths; raised while the upstream is new.
+    /// Load in load units: this daemon's own requests, which are counted exactly, plus the moving average of the
+    /// load from other daemons, whose reports lag. During the slow start up to four own requests count twice.
     fn load(&self, now: TimePoint) -> u64 {
-        let load = self.inflight * LOAD_UNIT + self.others;
-        let warming = self.full_at.since_ms(now) * 4 / SLOW_START_MS;
-        load + warming.min(self.inflight) * LOAD_UNIT
+        let load = self.inflight * LOAD_UNITS_PER_REQUEST + self.remote_load;
+        let slow_start_penalty = self.slow_start_end.since_ms(now) * 4 / SLOW_START_MS;
+        load + slow_start_penalty.min(self.inflight) * LOAD_UNITS_PER_REQUEST
     }
 }
 
-/// What a request needs of its upstream.
+/// Requirements of a request on its upstream.
 #[derive(Clone, Debug)]
 pub struct RouteQuery<'a> {
-    /// Service to run on.
+    /// Service that the upstream must run.
     pub service: &'a str,
-    /// Failure domain of the daemon.
+    /// Failure domain of this daemon, preferred between equally loaded upstreams.
     pub failure_domain: &'a str,
-    /// Hash of the prompt's beginning.
+    /// Hash of the start of the prompt, used to pick an upstream that has the prefix cached.
     pub prefix_hash: Option<u64>,
-    /// Upstreams already tried.
+    /// Names of upstreams that must not be picked, such as those already tried.
     pub excluded: &'a [SharedName],
-    /// Whether it must run with nothing beside it.
+    /// Whether the request must be the only one of this daemon on its upstream.
     pub exclusive: bool,
-    /// Most requests of this daemon on one upstream.
+    /// Maximum number of this daemon's requests on one upstream.
     pub inflight_max: u64,
 }
 
-/// The upstreams of a daemon.
+/// Upstreams of a daemon by name, and the policy that picks among them.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     policy: RoutePolicy,
     entries: BTreeMap<SharedName, UpstreamEntry>,
-    turn: usize,
+    round_robin_index: usize,
 }
 
 impl RouteTable {
-    /// Creates an empty table that chooses by `policy`.
+    /// Creates an empty table that picks upstreams by `policy`.
     #[must_use]
     pub fn new(policy: RoutePolicy) -> Self {
         Self { policy, ..Self::default() }
     }
 
-    /// Takes in the platform's list. Upstreams missing from it take no new work.
-    pub fn apply_list(&mut self, listed: Vec<UpstreamEntry>) {
+    /// Updates the table from the platform's VM list. An upstream missing from the list gets no new requests and is
+    /// removed once its last request has ended. An upstream at a new address replaces the previous entry.
+    pub fn apply_list(&mut self, list: Vec<UpstreamEntry>) {
         for entry in self.entries.values_mut() {
-            entry.delisted = !listed.iter().any(|new| new.name == entry.name);
+            entry.delisted = !list.iter().any(|listed| listed.name == entry.name);
         }
-        for new in listed {
-            match self.entries.get_mut(&new.name) {
-                Some(old) if old.address == new.address => {
-                    old.state = new.state;
-                    old.reclaimable = new.reclaimable;
+        for listed in list {
+            match self.entries.get_mut(&listed.name) {
+                Some(entry) if entry.address == listed.address => {
+                    entry.state = listed.state;
+                    entry.reclaimable = listed.reclaimable;
                 }
                 _ => {
-                    self.entries.insert(new.name.clone(), new);
+                    self.entries.insert(listed.name.clone(), listed);
                 }
             }
         }
         self.entries.retain(|_, entry| !entry.delisted || entry.inflight > 0);
     }
 
-    /// Stops new work for an upstream that said that it leaves, until it is off the list.
+    /// Records that an upstream is draining, so that it gets no new requests until it is removed from the list.
     pub fn draining_reported(&mut self, name: &str) {
         if let Some(entry) = self.entries.get_mut(name) {
-            entry.noticed = true;
+            entry.reported_draining = true;
         }
     }
 
-    /// A load report did not come. An upstream that stays silent is ejected.
+    /// Records that a load report could not be read, and ejects the upstream after several in a row.
     pub fn load_report_missed(&mut self, name: &str, now: TimePoint) {
         let Some(entry) = self.entries.get_mut(name) else { return };
         entry.missed_reports += 1;
-        if entry.missed_reports >= EJECT_FAILURES {
-            entry.ejected_until = now.plus_ms(EJECT_MS);
+        if entry.missed_reports >= EJECT_AFTER_FAILURES {
+            entry.ejected_until = now.plus_ms(EJECTION_MS);
         }
     }
 
-    /// Takes in a load report.
+    /// Applies a load report of an upstream: its number of running and waiting requests from all daemons, and the
+    /// weight version it serves.
     pub fn load_reported(&mut self, name: &str, load: u64, version: Option<u64>) {
         if let Some(entry) = self.entries.get_mut(name) {
-            let others = load.saturating_sub(entry.inflight) * LOAD_UNIT;
-            entry.others = (entry.others * (REPORT_WEIGHT - 1) + others) / REPORT_WEIGHT;
+            let remote_load = load.saturating_sub(entry.inflight) * LOAD_UNITS_PER_REQUEST;
+            entry.remote_load =
+                (entry.remote_load * (REPORT_AVERAGE_DIVISOR - 1) + remote_load) / REPORT_AVERAGE_DIVISOR;
             entry.missed_reports = 0;
             entry.version = version.or(entry.version);
         }
     }
 
-    /// An upstream confirmed that it loaded a weight version.
+    /// Records that an upstream confirmed loading weight `version`.
     pub fn weights_loaded(&mut self, name: &str, version: u64) {
         if let Some(entry) = self.entries.get_mut(name) {
             entry.version = Some(version);
         }
     }
 
-    /// Chooses an upstream and counts the request on it.
+    /// Picks an upstream for a request and counts the request as running on it. Returns `None` if no upstream meets
+    /// the query. Every pick must be followed by [`request_ended`](Self::request_ended).
     pub fn pick<R: Rng>(&mut self, query: &RouteQuery<'_>, now: TimePoint, rng: &mut R) -> Option<UpstreamEntry> {
-        let all: Vec<&UpstreamEntry> = self
+        let candidates: Vec<&UpstreamEntry> = self
             .entries
             .values()
             .filter(|entry| &*entry.service == query.service && entry.accepts_requests())
@@ -214,64 +225,70 @@
             .filter(|entry| entry.inflight < query.inflight_max && !entry.exclusive)
             .filter(|entry| !query.exclusive || entry.inflight == 0)
             .collect();
-        let listening: Vec<&UpstreamEntry> = all.iter().copied().filter(|entry| entry.refused_until <= now).collect();
-        let all = if listening.is_empty() { all } else { listening };
+        let reachable: Vec<&UpstreamEntry> =
+            candidates.iter().copied().filter(|entry| entry.avoided_until <= now).collect();
+        let candidates = if reachable.is_empty() { candidates } else { reachable };
         let mut eligible: Vec<&UpstreamEntry> =
-            all.iter().copied().filter(|entry| entry.ejected_until <= now).collect();
-        if eligible.len() * EJECT_CAP_DIVISOR < all.len() {
-            eligible = all;
+            candidates.iter().copied().filter(|entry| entry.ejected_until <= now).collect();
+        if eligible.len() * ELIGIBLE_MIN_DIVISOR < candidates.len() {
+            eligible = candidates;
         }
         let name = self.choose(&eligible, query, now, rng)?;
-        self.turn = self.turn.wrapping_add(1);
+        self.round_robin_index = self.round_robin_index.wrapping_add(1);
         let entry = self.entries.get_mut(&name)?;
         entry.inflight += 1;
         entry.exclusive = query.exclusive;
         Some(entry.clone())
     }
 
-    /// A request ended; `failed` when the upstream was lost or unreachable.
+    /// Records that a picked request ended, and ejects the upstream after several failures in a row. `failed` is set
+    /// when the upstream was lost, unreachable or refused the request.
     pub fn request_ended(&mut self, name: &str, failed: bool, now: TimePoint) {
         let Some(entry) = self.entries.get_mut(name) else { return };
         entry.inflight = entry.inflight.saturating_sub(1);
         entry.exclusive = false;
         if !failed {
-            entry.failures = 0;
+            entry.consecutive_failures = 0;
             return;
         }
-        entry.failures += 1;
-        if entry.failures >= EJECT_FAILURES {
-            entry.ejected_until = now.plus_ms(EJECT_MS);
-            entry.failures = 0;
+        entry.consecutive_failures += 1;
+        if entry.consecutive_failures >= EJECT_AFTER_FAILURES {
+            entry.ejected_until = now.plus_ms(EJECTION_MS);
+            entry.consecutive_failures = 0;
         }
     }
 
-    /// Requests that the service's live upstreams take at a time.
+    /// Number of requests that the upstreams of `service` can run at the same time.
     #[must_use]
     pub fn capacity(&self, service: &str, inflight_max: u64) -> usize {
         let live = self.iter().filter(|entry| &*entry.service == service && entry.accepts_requests()).count();
         live * usize::try_from(inflight_max).unwrap_or(usize::MAX)
     }
 
-    /// A request ran to its end on an upstream in `ms`.
-    pub fn duration_observed(&mut self, name: &str, ms: u64) {
+    /// Records the duration of a request that completed on an upstream.
+    pub fn duration_observed(&mut self, name: &str, duration_ms: u64) {
         if let Some(entry) = self.entries.get_mut(name) {
-            let pace_ms = entry.pace_ms.map_or(ms, |pace| (pace * (PACE_WEIGHT - 1) + ms) / PACE_WEIGHT);
-            entry.pace_ms = Some(pace_ms.max(1));
+            let mean_ms = entry.mean_duration_ms.map_or(duration_ms, |mean_ms| {
+                (mean_ms * (DURATION_AVERAGE_DIVISOR - 1) + duration_ms) / DURATION_AVERAGE_DIVISOR
+            });
+            entry.mean_duration_ms = Some(mean_ms.max(1));
         }
     }
 
-    /// Nothing listens at an upstream's address: its process has ended.
+    /// Records that an upstream's address refused a connection, which means that its process has ended. The
+    /// upstream is then avoided for a while.
     pub fn connection_refused(&mut self, name: &str, now: TimePoint) {
         if let Some(entry) = self.entries.get_mut(name) {
-            entry.refused_until = now.plus_ms(EJECT_MS);
+            entry.avoided_until = now.plus_ms(EJECTION_MS);
         }
     }
 
-    /// All upstreams, sorted by name.
+    /// Iterates over all upstreams, sorted by name.
     pub fn iter(&self) -> impl Iterator<Item = &UpstreamEntry> {
         self.entries.values()
     }
 
+    /// Chooses one of the `eligible` upstreams by the table's policy.
     fn choose<R: Rng>(
         &self,
         eligible: &[&UpstreamEntry],
@@ -283,29 +300,32 @@
             return None;
         }
         if self.policy == RoutePolicy::RoundRobin {
-            return Some(eligible[self.turn % eligible.len()].name.clone());
+            return Some(eligible[self.round_robin_index % eligible.len()].name.clone());
         }
         let count = eligible.len();
         let first = rng.random_range(0..count);
-        let step = if count > 1 { rng.random_range(1..count) } else { 0 };
-        let (first, second) = (eligible[first], eligible[(first + step) % count]);
-        let fastest_ms = eligible.iter().filter_map(|entry| entry.pace_ms).min().unwrap_or(PACE_UNKNOWN_MS);
-        // Expected wait: what is ahead of the request, and itself, at the upstream's pace. Between equals the
-        // own failure domain comes first.
-        let cost_above = |entry: &UpstreamEntry, load: u64| {
-            let away = &*entry.failure_domain != query.failure_domain;
-            ((load + LOAD_UNIT) * entry.pace_ms.unwrap_or(fastest_ms), away)
+        let offset = if count > 1 { rng.random_range(1..count) } else { 0 };
+        let (first, second) = (eligible[first], eligible[(first + offset) % count]);
+        let fastest_ms =
+            eligible.iter().filter_map(|entry| entry.mean_duration_ms).min().unwrap_or(UNMEASURED_DURATION_MS);
+        // The cost is the expected wait: the requests ahead of this one, and this one, times the mean duration on the
+        // upstream. Between equal costs the daemon's own failure domain is preferred.
+        let cost_at_load = |entry: &UpstreamEntry, load: u64| {
+            let in_other_domain = &*entry.failure_domain != query.failure_domain;
+            ((load + LOAD_UNITS_PER_REQUEST) * entry.mean_duration_ms.unwrap_or(fastest_ms), in_other_domain)
         };
-        let cost = |entry: &UpstreamEntry| cost_above(entry, entry.load(now));
-        let lighter = if cost(second) < cost(first) { second } else { first };
+        let cost = |entry: &UpstreamEntry| cost_at_load(entry, entry.load(now));
+        let cheaper = if cost(second) < cost(first) { second } else { first };
         if let (RoutePolicy::PrefixTwoChoices, Some(prefix)) = (self.policy, query.prefix_hash) {
             let names: Vec<&str> = eligible.iter().map(|entry| &*entry.name).collect();
-            let holder = rendezvous::owner(&format!("{prefix:x}"), &names)?;
-            let holder = eligible.iter().find(|entry| &*entry.name == *holder)?;
-            if cost(holder) <= cost_above(lighter, lighter.load(now) + PREFIX_BONUS * LOAD_UNIT) {
-                return Some(holder.name.clone());
+            let prefix_owner = rendezvous::owner(&format!("{prefix:x}"), &names)?;
+            let prefix_owner = eligible.iter().find(|entry| &*entry.name == *prefix_owner)?;
+            if cost(prefix_owner)
+                <= cost_at_load(cheaper, cheaper.load(now) + PREFIX_BONUS_REQUESTS * LOAD_UNITS_PER_REQUEST)
+            {
+                return Some(prefix_owner.name.clone());
             }
         }
-        Some(lighter.name.clone())
+        Some(cheaper.name.clone())
     }
 }
--- a/crates/kernel/src/spend_planner.rs
+++ b/crates/kernel/src/spend_planner.rs
@@ -1,91 +1,97 @@
-//! Decides which upstreams to order and to stop.
+//! Plans which upstreams to start or stop, given the demand and the spend limits.
 
-/// What a failure domain runs and needs for one service. Rates are in thousandths of a currency unit an hour.
+/// Demand, running upstreams, prices and spend limits of one service in one failure domain. Standing upstreams are
+/// those that the platform cannot reclaim.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SpendInput {
-    /// Upstreams needed by the present load.
+    /// Number of upstreams that should run.
     pub wanted: u32,
-    /// Upstreams that must stay on the kind that cannot be reclaimed.
+    /// Minimum number of standing upstreams.
     pub standing_min: u32,
-    /// Running upstreams that cannot be reclaimed.
+    /// Number of standing upstreams that are running or starting.
     pub standing: u32,
-    /// Running upstreams that can be reclaimed.
+    /// Number of reclaimable upstreams that are running or starting.
     pub reclaimable: u32,
-    /// Whether the reclaimable kind can be had.
+    /// Whether the platform has reclaimable upstreams available.
     pub reclaimable_available: bool,
-    /// Price of one that cannot be reclaimed.
+    /// Price of one standing upstream.
     pub standing_cents_per_hour: u64,
-    /// Price of one that can.
+    /// Price of one reclaimable upstream.
     pub reclaimable_cents_per_hour: u64,
-    /// Minimum spend, owed whether used or not.
+    /// Minimum spend, which is charged even if it is not used.
     pub floor_cents_per_hour: u64,
-    /// Most that may be spent.
+    /// Maximum spend.
     pub ceiling_cents_per_hour: u64,
-    /// Rounds in a row in which fewer were wanted than run.
+    /// Number of consecutive planner ticks in which more upstreams ran than were wanted.
     pub surplus_ticks: u32,
 }
 
-/// One step of the planner.
+/// Next action of the planner; at most one upstream is started or stopped at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SpendAction {
-    /// Order one that cannot be reclaimed.
+    /// Start one standing upstream.
     StartStanding,
-    /// Order one that can.
+    /// Start one reclaimable upstream.
     StartReclaimable,
-    /// Stop one that cannot be reclaimed.
+    /// Stop one standing upstream.
     StopStanding,
-    /// Stop one that can.
+    /// Stop one reclaimable upstream.
     StopReclaimable,
-    /// Leave things as they are.
+    /// Change nothing.
     Keep,
 }
 
-/// Rounds of surplus before an upstream is stopped, since starts and stops cost money.
-const SURPLUS_ROUNDS: u32 = 5;
+/// Consecutive ticks with a surplus before an upstream is stopped. The delay avoids repeated starts and stops, which
+/// cost money.
+const SURPLUS_TICKS_MIN: u32 = 5;
 
-/// The pure planner.
+/// Stateless planner of upstream starts and stops.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SpendPlanner;
 
 impl SpendPlanner {
-    /// Spend of what runs.
+    /// Spend of the running upstreams, in cents per hour.
     #[must_use]
     pub fn current_spend(input: &SpendInput) -> u64 {
         u64::from(input.standing) * input.standing_cents_per_hour
             + u64::from(input.reclaimable) * input.reclaimable_cents_per_hour
     }
 
-    /// The next step: the floor is filled first, then the cheaper kind, then the dearer, never past the ceiling.
+    /// Next action. Starts standing upstreams until their minimum and the minimum spend are reached, then reclaimable
+    /// ones, or standing ones if no reclaimable ones are available. Never exceeds the maximum spend.
     #[must_use]
     pub fn next_action(self, input: &SpendInput) -> SpendAction {
         let spend = Self::current_spend(input);
-        let fits = |rate: u64| spend + rate <= input.ceiling_cents_per_hour;
-        let within_floor = spend + input.standing_cents_per_hour <= input.floor_cents_per_hour;
+        let is_within_ceiling = |price: u64| spend + price <= input.ceiling_cents_per_hour;
+        let is_within_floor = spend + input.standing_cents_per_hour <= input.floor_cents_per_hour;
         let running = input.standing + input.reclaimable;
-        if (input.standing < input.standing_min || within_floor) && fits(input.standing_cents_per_hour) {
+        if (input.standing < input.standing_min || is_within_floor) && is_within_ceiling(input.standing_cents_per_hour)
+        {
             return SpendAction::StartStanding;
         }
         if running < input.wanted {
-            if input.reclaimable_available && fits(input.reclaimable_cents_per_hour) {
+            if input.reclaimable_available && is_within_ceiling(input.reclaimable_cents_per_hour) {
                 return SpendAction::StartReclaimable;
             }
-            if !input.reclaimable_available && fits(input.standing_cents_per_hour) {
+            if !input.reclaimable_available && is_within_ceiling(input.standing_cents_per_hour) {
                 return SpendAction::StartStanding;
             }
             return SpendAction::Keep;
         }
-        if running > input.wanted && input.surplus_ticks >= SURPLUS_ROUNDS {
-            return Self::shrink(input, spend);
+        if running > input.wanted && input.surplus_ticks >= SURPLUS_TICKS_MIN {
+            return Self::surplus_action(input, spend);
         }
         SpendAction::Keep
     }
 
-    fn shrink(input: &SpendInput, spend: u64) -> SpendAction {
+    /// Action for a surplus: stops reclaimable upstreams first, and standing ones only while the spend stays at or above
+    /// the minimum.
+    fn surplus_action(input: &SpendInput, spend: u64) -> SpendAction {
         if input.reclaimable > 0 {
             return SpendAction::StopReclaimable;
         }
-        let above_floor = spend.saturating_sub(input.standing_cents_per_hour) >= input.floor_cents_per_hour;
-        if input.standing > input.standing_min && above_floor {
+        let stays_above_floor = spend.saturating_sub(input.standing_cents_per_hour) >= input.floor_cents_per_hour;
+        if input.standing > input.standing_min && stays_above_floor {
             return SpendAction::StopStanding;
         }
         SpendAction::Keep
--- a/crates/kernel/src/step_ledger.rs
+++ b/crates/kernel/src/step_ledger.rs
@@ -1,26 +1,27 @@
-//! A trainer's step at its home: which samples run, which are whole, which were handed over.
+//! Schedules the samples of a training step on the daemon that owns the step, and tracks which samples are running,
+//! complete or confirmed by the trainer.
 
 use crate::{FetchCursor, SharedName, TimePoint, TokenSegment};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Attempts running for one sample, counting its hedge.
-const ATTEMPTS_MAX: u32 = 2;
+/// Maximum number of concurrent attempts at one sample, its hedge included.
+const CONCURRENT_ATTEMPTS_MAX: u32 = 2;
 
 /// Position of a sample within its step: `group * group_size + index`.
 pub type SampleId = usize;
 
-/// What a trainer asks for.
+/// Specification of a step, as requested by the trainer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StepSpec {
-    /// Service that samples.
+    /// Service whose engines generate the samples.
     pub service: SharedName,
-    /// One prompt a group.
+    /// Prompts, one for each group of samples.
     pub prompts: Vec<SharedName>,
-    /// Samples wanted of each prompt.
+    /// Number of samples to generate for each prompt.
     pub group_size: usize,
-    /// Most tokens of a sample.
+    /// Maximum number of tokens in a sample.
     pub max_tokens: u32,
 }
 
@@ -32,218 +33,236 @@
     }
 }
 
-/// A whole sample.
+/// A complete sample.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SampleResult {
     /// Position in the step.
     pub sample: SampleId,
     /// Generated text.
     pub text: String,
-    /// Which version produced which tokens.
+    /// Weight versions that generated the tokens, in token order.
     pub segments: Vec<TokenSegment>,
 }
 
-/// A sample to send to an engine.
+/// An order to start one attempt at a sample on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DispatchOrder {
     /// Position in the step.
     pub sample: SampleId,
     /// Number of the attempt, unique in the step.
     pub attempt: u64,
-    /// Whether another attempt is still running.
+    /// Whether this attempt is a hedge: another attempt at the same sample is still running.
     pub hedge: bool,
 }
 
-/// What the end of an attempt means.
+/// Outcome of an attempt that generated a complete sample.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FinishOutcome {
-    /// Whether the sample is now whole through this attempt.
+    /// Whether the attempt's result was accepted as the sample's result.
     pub accepted: bool,
-    /// Other attempts of the sample, which need not run any further.
+    /// Other running attempts at the sample, which can be aborted.
     pub superseded_attempts: Vec<u64>,
 }
 
 #[derive(Clone, Debug, Default)]
 struct SampleEntry {
-    running: Vec<(u64, TimePoint)>,
-    whole: Option<SampleResult>,
+    /// Running attempts, by number and start time.
+    attempts: Vec<(u64, TimePoint)>,
+    /// Accepted result that the trainer has not confirmed yet.
+    result: Option<SampleResult>,
 }
 
-/// All samples of one step.
+/// State of all samples of one step.
 #[derive(Debug)]
 pub struct StepLedger {
     spec: StepSpec,
-    bound: u64,
-    published: u64,
-    received: FetchCursor,
+    /// Number of versions by which a sample may lag behind the published version.
+    staleness_bound: u64,
+    published_version: u64,
+    /// Samples that the trainer confirmed.
+    confirmed: FetchCursor,
     samples: Vec<SampleEntry>,
-    attempts: u64,
-    /// Tokens of samples that were whole but too old, or second of a pair.
+    /// Number of attempts started so far, which is also the number of the last one.
+    attempt_count: u64,
+    /// Tokens of complete samples that were too old, or that another attempt had already produced.
     wasted_tokens: u64,
-    durations: BTreeMap<u64, u32>,
+    /// Number of finished attempts by their duration in milliseconds.
+    duration_counts: BTreeMap<u64, u32>,
 }
 
 impl StepLedger {
-    /// Opens a step under a staleness `bound` in versions; `published` is the newest known version.
+    /// Creates the ledger of a step that has not started. `bound` is the number of versions by which a sample may lag
+    /// behind the newest one; `published` is the newest version observed so far.
     #[must_use]
     pub fn new(spec: StepSpec, bound: u64, published: u64) -> Self {
         let samples = vec![SampleEntry::default(); spec.sample_count()];
         Self {
             spec,
-            bound,
-            published,
-            received: FetchCursor::default(),
+            staleness_bound: bound,
+            published_version: published,
+            confirmed: FetchCursor::default(),
             samples,
-            attempts: 0,
+            attempt_count: 0,
             wasted_tokens: 0,
-            durations: BTreeMap::new(),
+            duration_counts: BTreeMap::new(),
         }
     }
 
-    /// What the trainer asked for.
+    /// Specification of the step.
     #[must_use]
     pub fn spec(&self) -> &StepSpec {
         &self.spec
     }
 
-    /// A newer weight version was published: samples that became too old are run again.
+    /// Records that a weight version was published, and drops unconfirmed results that are now too old, so that their
+    /// samples run again. An older version than the recorded one is ignored.
     pub fn version_published(&mut self, version: u64) {
-        if version <= self.published {
+        if version <= self.published_version {
             return;
         }
-        self.published = version;
-        let floor = self.oldest_allowed();
+        self.published_version = version;
+        let oldest_allowed = self.oldest_allowed_version();
         for entry in &mut self.samples {
-            let stale = entry.whole.as_ref().is_some_and(|whole| too_old(whole, floor));
-            if stale && let Some(whole) = entry.whole.take() {
-                self.wasted_tokens += tokens(&whole);
+            let stale = entry.result.as_ref().is_some_and(|result| is_stale(result, oldest_allowed));
+            if stale && let Some(result) = entry.result.take() {
+                self.wasted_tokens += token_count(&result);
             }
         }
     }
 
-    /// The next sample to run, unstarted ones first. With none left, the longest-running one whose
-    /// time exceeds `hedge_after_ms` is hedged.
+    /// Starts the next attempt: at the first sample without a running one, otherwise a hedge of the sample that has
+    /// been running longest, if all its attempts started at least `hedge_after_ms` ago. Returns `None` if there is
+    /// nothing to start.
     pub fn dispatch(&mut self, now: TimePoint, hedge_after_ms: Option<u64>) -> Option<DispatchOrder> {
-        let unstarted =
-            (0..self.samples.len()).find(|&sample| self.open(sample) && self.samples[sample].running.is_empty());
+        let unstarted = (0..self.samples.len())
+            .find(|&sample| self.is_unfinished(sample) && self.samples[sample].attempts.is_empty());
         if let Some(sample) = unstarted {
-            return Some(self.start(sample, false, now));
+            return Some(self.start_attempt(sample, false, now));
         }
         let hedge_after_ms = hedge_after_ms?;
         let straggler = (0..self.samples.len())
-            .filter(|&sample| self.open(sample) && (self.samples[sample].running.len() as u32) < ATTEMPTS_MAX)
-            .filter(|&sample| self.samples[sample].running.iter().all(|(_, at)| now.since_ms(*at) >= hedge_after_ms))
-            .min_by_key(|&sample| self.samples[sample].running.iter().map(|(_, at)| *at).min())?;
-        Some(self.start(straggler, true, now))
+            .filter(|&sample| {
+                self.is_unfinished(sample) && (self.samples[sample].attempts.len() as u32) < CONCURRENT_ATTEMPTS_MAX
+            })
+            .filter(|&sample| {
+                self.samples[sample].attempts.iter().all(|(_, started)| now.since_ms(*started) >= hedge_after_ms)
+            })
+            .min_by_key(|&sample| self.samples[sample].attempts.iter().map(|(_, started)| *started).min())?;
+        Some(self.start_attempt(straggler, true, now))
     }
 
-    /// An attempt ended without a whole sample.
+    /// Records that an attempt ended without a complete sample.
     pub fn attempt_failed(&mut self, order: DispatchOrder) {
         if let Some(entry) = self.samples.get_mut(order.sample) {
-            entry.running.retain(|(attempt, _)| *attempt != order.attempt);
+            entry.attempts.retain(|(attempt, _)| *attempt != order.attempt);
         }
     }
 
-    /// An attempt produced a whole sample; only the first one of a sample counts.
+    /// Records that an attempt generated a complete sample. Only the first result of a sample is accepted, and only if
+    /// it names its weight versions and they are recent enough; other results count as wasted tokens.
     pub fn attempt_finished(&mut self, order: DispatchOrder, result: SampleResult, now: TimePoint) -> FinishOutcome {
-        let floor = self.oldest_allowed();
-        let open = order.sample < self.samples.len() && self.open(order.sample);
+        let oldest_allowed = self.oldest_allowed_version();
+        let unfinished = order.sample < self.samples.len() && self.is_unfinished(order.sample);
         let Some(entry) = self.samples.get_mut(order.sample) else { return FinishOutcome::default() };
-        if let Some((_, started)) = entry.running.iter().find(|(attempt, _)| *attempt == order.attempt) {
-            *self.durations.entry(now.since_ms(*started)).or_default() += 1;
+        if let Some((_, started)) = entry.attempts.iter().find(|(attempt, _)| *attempt == order.attempt) {
+            *self.duration_counts.entry(now.since_ms(*started)).or_default() += 1;
         }
-        entry.running.retain(|(attempt, _)| *attempt != order.attempt);
-        let usable = open && !result.segments.is_empty() && !too_old(&result, floor);
+        entry.attempts.retain(|(attempt, _)| *attempt != order.attempt);
+        let usable = unfinished && !result.segments.is_empty() && !is_stale(&result, oldest_allowed);
         if !usable {
-            self.wasted_tokens += tokens(&result);
+            self.wasted_tokens += token_count(&result);
             return FinishOutcome::default();
         }
-        entry.whole = Some(result);
-        let losers = entry.running.drain(..).map(|(attempt, _)| attempt).collect();
-        FinishOutcome { accepted: true, superseded_attempts: losers }
+        entry.result = Some(result);
+        let superseded_attempts = entry.attempts.drain(..).map(|(attempt, _)| attempt).collect();
+        FinishOutcome { accepted: true, superseded_attempts }
     }
 
-    /// Hands over up to `max` whole samples that `cursor` lacks. The same cursor gets the same samples
-    /// until the trainer confirms them or they grow too old. `published` is the version the trainer itself knows.
+    /// Returns up to `max` complete samples that are missing from `cursor`, and records the samples in it as confirmed.
+    /// Fetches with the same cursor return the same samples until the trainer confirms them or they become too old.
+    /// `published` is the newest version that the trainer published.
     pub fn fetch(&mut self, cursor: &FetchCursor, published: u64, max: usize) -> Vec<SampleResult> {
         self.version_published(published);
-        self.received.merge(cursor);
+        self.confirmed.merge(cursor);
         for (sample, entry) in self.samples.iter_mut().enumerate() {
-            if self.received.contains(sample) {
-                entry.whole = None;
+            if self.confirmed.contains(sample) {
+                entry.result = None;
             }
         }
-        self.samples.iter().filter_map(|entry| entry.whole.clone()).take(max).collect()
+        self.samples.iter().filter_map(|entry| entry.result.clone()).take(max).collect()
     }
 
-    /// Samples that the trainer confirmed.
+    /// Number of samples that the trainer confirmed.
     #[must_use]
     pub fn confirmed_count(&self) -> usize {
-        self.received.len()
+        self.confirmed.len()
     }
 
-    /// Whether the trainer holds every sample.
+    /// Whether the trainer confirmed every sample.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         self.confirmed_count() >= self.spec.sample_count()
     }
 
-    /// Whole samples waiting for a fetch.
+    /// Number of complete samples that the trainer has not confirmed yet.
     #[must_use]
     pub fn ready_count(&self) -> usize {
-        self.samples.iter().filter(|entry| entry.whole.is_some()).count()
+        self.samples.iter().filter(|entry| entry.result.is_some()).count()
     }
 
-    /// Attempts running.
+    /// Number of running attempts.
     #[must_use]
     pub fn running_attempts(&self) -> usize {
-        self.samples.iter().map(|entry| entry.running.len()).sum()
+        self.samples.iter().map(|entry| entry.attempts.len()).sum()
     }
 
-    /// Tokens generated in vain.
+    /// Number of tokens in complete samples that were not accepted or became too old.
     #[must_use]
     pub fn wasted_tokens(&self) -> u64 {
         self.wasted_tokens
     }
 
-    /// Three times the median duration of finished attempts, once enough have finished.
+    /// Time after which a running attempt is hedged: three times the median duration of finished attempts, in
+    /// milliseconds. `None` until enough attempts have finished.
     #[must_use]
     pub fn hedge_after_ms(&self) -> Option<u64> {
-        const SAMPLES_MIN: u32 = 8;
-        const HEDGE_FACTOR: u64 = 3;
-        let count: u32 = self.durations.values().sum();
-        if count < SAMPLES_MIN {
+        const FINISHED_ATTEMPTS_MIN: u32 = 8;
+        const MEDIAN_FACTOR: u64 = 3;
+        let finished: u32 = self.duration_counts.values().sum();
+        if finished < FINISHED_ATTEMPTS_MIN {
             return None;
         }
-        let mut seen = 0;
-        for (duration_ms, times) in &self.durations {
-            seen += times;
-            if seen * 2 >= count {
-                return Some(duration_ms.saturating_mul(HEDGE_FACTOR).max(1));
+        let mut cumulative = 0;
+        for (duration_ms, count) in &self.duration_counts {
+            cumulative += count;
+            if cumulative * 2 >= finished {
+                return Some(duration_ms.saturating_mul(MEDIAN_FACTOR).max(1));
             }
         }
         None
     }
 
-    fn oldest_allowed(&self) -> u64 {
-        self.published.saturating_sub(self.bound)
+    fn oldest_allowed_version(&self) -> u64 {
+        self.published_version.saturating_sub(self.staleness_bound)
     }
 
-    fn open(&self, sample: SampleId) -> bool {
-        self.samples[sample].whole.is_none() && !self.received.contains(sample)
+    /// Whether the sample has neither an accepted result nor a confirmation by the trainer.
+    fn is_unfinished(&self, sample: SampleId) -> bool {
+        self.samples[sample].result.is_none() && !self.confirmed.contains(sample)
     }
 
-    fn start(&mut self, sample: SampleId, hedge: bool, now: TimePoint) -> DispatchOrder {
-        self.attempts += 1;
-        self.samples[sample].running.push((self.attempts, now));
-        DispatchOrder { sample, attempt: self.attempts, hedge }
+    fn start_attempt(&mut self, sample: SampleId, hedge: bool, now: TimePoint) -> DispatchOrder {
+        self.attempt_count += 1;
+        self.samples[sample].attempts.push((self.attempt_count, now));
+        DispatchOrder { sample, attempt: self.attempt_count, hedge }
     }
 }
 
-fn too_old(result: &SampleResult, floor: u64) -> bool {
-    TokenSegment::oldest_version(&result.segments).is_none_or(|oldest| oldest < floor)
+/// Whether any token was generated by a version older than `oldest_allowed`, or no version is named at all.
+fn is_stale(result: &SampleResult, oldest_allowed: u64) -> bool {
+    TokenSegment::oldest_version(&result.segments).is_none_or(|oldest| oldest < oldest_allowed)
 }
 
-fn tokens(result: &SampleResult) -> u64 {
+fn token_count(result: &SampleResult) -> u64 {
     result.segments.last().map_or(0, |segment| u64::from(segment.end))
 }
--- a/crates/kernel/src/stream_scanner.rs
+++ b/crates/kernel/src/stream_scanner.rs
@@ -1,52 +1,57 @@
-//! Finds the terminal marker of a server-sent event stream without buffering it.
+//! Scans a server-sent event stream for its `[DONE]` marker without buffering the whole stream.
 
 use memchr::memchr;
 
+/// Line that marks the end of a complete stream.
 const TERMINAL_LINE: &[u8] = b"data: [DONE]";
+/// Maximum length of a line that spans several chunks. Limits the memory for one stream.
 const LINE_BYTES_MAX: usize = 1 << 20;
 
-/// Splits a stream into lines across chunk borders and remembers whether its end marker was seen.
+/// Splits a stream into lines across chunk boundaries and records whether its terminal marker was seen.
 #[derive(Debug, Default)]
 pub struct StreamScanner {
-    partial: Vec<u8>,
+    /// Start of a line whose end has not been received.
+    partial_line: Vec<u8>,
     finished: bool,
     overlong: bool,
 }
 
 impl StreamScanner {
-    /// Feeds a chunk and calls `on_data` with the payload of each whole `data:` line but the marker.
+    /// Scans the next chunk and calls `on_data` with the payload of each complete `data:` line, except the terminal
+    /// marker.
     pub fn feed(&mut self, chunk: &[u8], mut on_data: impl FnMut(&[u8])) {
         let mut rest = chunk;
-        while let Some(at) = memchr(b'\n', rest) {
-            if self.partial.is_empty() {
-                self.line(&rest[..at], &mut on_data);
+        while let Some(end) = memchr(b'\n', rest) {
+            if self.partial_line.is_empty() {
+                self.scan_line(&rest[..end], &mut on_data);
             } else {
-                self.partial.extend_from_slice(&rest[..at]);
-                let line = std::mem::take(&mut self.partial);
-                self.line(&line, &mut on_data);
+                self.partial_line.extend_from_slice(&rest[..end]);
+                let line = std::mem::take(&mut self.partial_line);
+                self.scan_line(&line, &mut on_data);
             }
-            rest = &rest[at + 1..];
+            rest = &rest[end + 1..];
         }
-        if self.partial.len() + rest.len() > LINE_BYTES_MAX {
+        if self.partial_line.len() + rest.len() > LINE_BYTES_MAX {
             self.overlong = true;
             return;
         }
-        self.partial.extend_from_slice(rest);
+        self.partial_line.extend_from_slice(rest);
     }
 
-    /// Whether the terminal marker was seen, so that the answer is whole.
+    /// Whether the terminal marker was seen, which means that the response is complete.
     #[must_use]
     pub fn is_finished(&self) -> bool {
         self.finished
     }
 
-    /// Whether a line outgrew the limit, after which the stream cannot be trusted.
+    /// Whether a line exceeded the length limit. Part of the line is then missing, so the rest of the stream is not
+    /// reliable.
     #[must_use]
     pub fn has_overlong_line(&self) -> bool {
         self.overlong
     }
 
-    fn line(&mut self, line: &[u8], on_data: &mut impl FnMut(&[u8])) {
+    fn scan_line(&mut self, line: &[u8], on_data: &mut impl FnMut(&[u8])) {
         let line = line.strip_suffix(b"\r").unwrap_or(line);
         if line == TERMINAL_LINE {
             self.finished = true;
--- a/crates/kernel/src/suspect_table.rs
+++ b/crates/kernel/src/suspect_table.rs
@@ -1,79 +1,83 @@
-//! Quarantine for requests that end the upstreams that run them.
+//! Detects and quarantines requests that crash the upstreams running them.
 
 use crate::TimePoint;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// More requests in flight than this say nothing about which one was to blame.
-const BLAME_MAX: usize = 4;
-/// Blame from two lone deaths, or from four deaths shared with a neighbour.
+/// Maximum number of requests in flight on a crashed upstream for which blame is assigned. With more of them, the crash
+/// does not indicate which one caused it.
+const BLAMED_REQUESTS_MAX: usize = 4;
+/// Blame at which a request is quarantined: two crashes while it ran alone, or four while one other request ran too.
 const QUARANTINE_BLAME: u32 = 200;
-const LONE_BLAME: u32 = 100;
-const MARK_LIFE_MS: u64 = 600_000;
+/// Blame for one crash, divided among the requests in flight.
+const CRASH_BLAME: u32 = 100;
+/// Time after the last crash at which a mark expires.
+const MARK_TTL_MS: u64 = 600_000;
 
-/// Blame gathered by one request fingerprint, as shared between daemons.
+/// Blame assigned to one request fingerprint; exchanged between daemons.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectMark {
-    /// Fingerprint over organisation and body.
+    /// Fingerprint of the request's organisation and body.
     pub fingerprint: u64,
-    /// Blame in hundredths of an upstream that died running only this request.
+    /// Blame for crashes: 100 for each crash of an upstream that ran only this request, less if others ran too.
     pub blame: u32,
-    /// When the mark is forgotten.
+    /// Time at which the mark expires.
     pub deadline: TimePoint,
 }
 
-/// Fingerprints that were in flight on an upstream when it died.
+/// Marks of requests that were in flight on an upstream when it crashed.
 #[derive(Debug, Default)]
 pub struct SuspectTable {
     marks: HashMap<u64, SuspectMark>,
 }
 
 impl SuspectTable {
-    /// Records that an upstream died while running `fingerprints`.
+    /// Records that an upstream crashed while running the requests with `fingerprints`, and divides the blame among
+    /// them.
     pub fn upstream_crashed(&mut self, fingerprints: &[u64], now: TimePoint) {
-        if fingerprints.is_empty() || fingerprints.len() > BLAME_MAX {
+        if fingerprints.is_empty() || fingerprints.len() > BLAMED_REQUESTS_MAX {
             return;
         }
-        let share = LONE_BLAME / fingerprints.len() as u32;
+        let share = CRASH_BLAME / fingerprints.len() as u32;
         for &fingerprint in fingerprints {
-            let deadline = now.plus_ms(MARK_LIFE_MS);
+            let deadline = now.plus_ms(MARK_TTL_MS);
             let mark = self.marks.entry(fingerprint).or_insert(SuspectMark { fingerprint, blame: 0, deadline });
             mark.blame = mark.blame.saturating_add(share);
             mark.deadline = deadline;
         }
     }
 
-    /// A suspect that ran to its end is cleared.
+    /// Removes the mark of a request that completed without a crash.
     pub fn clear(&mut self, fingerprint: u64) {
         self.marks.remove(&fingerprint);
     }
 
-    /// Takes in a peer's mark; the higher blame holds.
+    /// Merges a mark received from a peer. The higher blame and the later expiry are kept.
     pub fn merge(&mut self, mark: SuspectMark) {
-        let known = self.marks.entry(mark.fingerprint).or_insert(mark);
-        known.blame = known.blame.max(mark.blame);
-        known.deadline = known.deadline.max(mark.deadline);
+        let own = self.marks.entry(mark.fingerprint).or_insert(mark);
+        own.blame = own.blame.max(mark.blame);
+        own.deadline = own.deadline.max(mark.deadline);
     }
 
-    /// Whether the request may not be run at all.
+    /// Whether the request must not be run at all.
     #[must_use]
     pub fn is_quarantined(&self, fingerprint: u64, now: TimePoint) -> bool {
-        self.live(fingerprint, now).is_some_and(|mark| mark.blame >= QUARANTINE_BLAME)
+        self.active_mark(fingerprint, now).is_some_and(|mark| mark.blame >= QUARANTINE_BLAME)
     }
 
-    /// Whether the request must run alone on its upstream.
+    /// Whether the request must run alone on its upstream, so that another crash can be attributed to it.
     #[must_use]
     pub fn is_suspect(&self, fingerprint: u64, now: TimePoint) -> bool {
-        self.live(fingerprint, now).is_some()
+        self.active_mark(fingerprint, now).is_some()
     }
 
-    /// Marks to share with peers, dropping those past their deadline.
+    /// Unexpired marks, to be sent to peers. Removes the expired ones.
     pub fn active_marks(&mut self, now: TimePoint) -> Vec<SuspectMark> {
         self.marks.retain(|_, mark| mark.deadline > now);
         self.marks.values().copied().collect()
     }
 
-    fn live(&self, fingerprint: u64, now: TimePoint) -> Option<&SuspectMark> {
+    fn active_mark(&self, fingerprint: u64, now: TimePoint) -> Option<&SuspectMark> {
         self.marks.get(&fingerprint).filter(|mark| mark.deadline > now)
     }
 }
--- a/crates/kernel/src/usage_meter.rs
+++ b/crates/kernel/src/usage_meter.rs
@@ -1,29 +1,29 @@
-//! Cumulative usage counters of one daemon incarnation.
+//! Cumulative usage counters of one daemon incarnation, from which usage windows are billed.
 
 use crate::SharedName;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Whom and what a count is billed to.
+/// Organisation and service that usage is billed to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct UsageKey {
     /// Organisation that sent the requests.
     pub organisation: SharedName,
-    /// Service that ran them.
+    /// Service that ran the requests.
     pub service: SharedName,
 }
 
-/// What was used.
+/// Amount of usage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageCount {
-    /// Requests answered.
+    /// Number of answered requests.
     pub requests: u64,
-    /// Tokens generated.
+    /// Number of generated tokens.
     pub tokens: u64,
 }
 
 impl UsageCount {
-    /// The growth from `earlier` to this count.
+    /// Increase from the `earlier` count to this one; zero where this one is lower.
     #[must_use]
     pub fn increase_since(self, earlier: Self) -> Self {
         Self {
@@ -39,19 +39,19 @@
     }
 }
 
-/// Counters that only grow while the process lives.
+/// Usage counters by organisation and service. They start at zero with the process and never decrease.
 #[derive(Clone, Debug, Default)]
 pub struct UsageMeter {
     counts: BTreeMap<UsageKey, UsageCount>,
 }
 
 impl UsageMeter {
-    /// Counts work done for `key`.
+    /// Adds `count` to the counter of `key`.
     pub fn record(&mut self, key: UsageKey, count: UsageCount) {
         self.counts.entry(key).or_default().add(count);
     }
 
-    /// Every counter with its cumulative value.
+    /// All counters with their cumulative values.
     #[must_use]
     pub fn totals(&self) -> Vec<(UsageKey, UsageCount)> {
         self.counts.iter().map(|(key, count)| (key.clone(), *count)).collect()
--- a/crates/kernel/src/usage_window.rs
+++ b/crates/kernel/src/usage_window.rs
@@ -1,32 +1,34 @@
-//! Figures of one billing window, sealed before they are first sent.
+//! Computes the billed usage of one window. A window is sealed before it is first reported, so that every report of it is
+//! the same.
 
 use crate::{SharedName, UsageCount, UsageKey};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// One billed line.
+/// Usage of one organisation at one service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageLine {
-    /// Whom and what the line bills.
+    /// Organisation and service that the usage is billed to.
     pub key: UsageKey,
-    /// What was used in the window, with what came late for earlier ones.
+    /// In the lines of a window: usage billed in it, including late usage of earlier windows. In lists of totals: the
+    /// cumulative counter.
     pub count: UsageCount,
 }
 
-/// A sealed window: what is billed, and how far each daemon's counters are billed by it.
+/// Sealed usage window: the usage billed in it, and the counter values up to which usage is billed so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageWindow {
-    /// Number of the window since the Unix epoch.
+    /// Number of the window, counted in window lengths since the Unix epoch.
     pub index: u64,
-    /// Billed lines.
+    /// Usage billed in this window.
     pub lines: Vec<UsageLine>,
-    /// Billed cumulative counters by daemon incarnation.
+    /// Cumulative counters billed so far, by daemon incarnation.
     pub billed: BTreeMap<SharedName, Vec<UsageLine>>,
 }
 
 impl UsageWindow {
-    /// Computes window `index` from the previous sealed window and the latest totals of each daemon
-    /// incarnation. What was not yet billed for an earlier window is billed in this one.
+    /// Computes window `index` from the previous sealed window and the latest counters (`totals`) of each daemon
+    /// incarnation. Usage of earlier windows that is not billed yet is billed in this one.
     #[must_use]
     pub fn seal(index: u64, previous: &Self, totals: &BTreeMap<SharedName, Vec<UsageLine>>) -> Self {
         let mut sums: BTreeMap<UsageKey, UsageCount> = BTreeMap::new();
@@ -34,8 +36,8 @@
         for (incarnation, lines) in totals {
             let baseline = billed.entry(incarnation.clone()).or_default();
             for line in lines {
-                let growth = raise_baseline(baseline, line);
-                sums.entry(line.key.clone()).or_default().add(growth);
+                let increase = raise_baseline(baseline, line);
+                sums.entry(line.key.clone()).or_default().add(increase);
             }
         }
         let lines = sums
@@ -47,13 +49,13 @@
     }
 }
 
-/// Lifts the billed counter of `line` to its new total and returns the growth.
+/// Raises the billed counter of `line` to its new value and returns the increase.
 fn raise_baseline(baseline: &mut Vec<UsageLine>, line: &UsageLine) -> UsageCount {
-    let Some(old) = baseline.iter_mut().find(|old| old.key == line.key) else {
+    let Some(billed) = baseline.iter_mut().find(|billed| billed.key == line.key) else {
         baseline.push(line.clone());
         return line.count;
     };
-    let growth = line.count.increase_since(old.count);
-    old.count.add(growth);
-    growth
+    let increase = line.count.increase_since(billed.count);
+    billed.count.add(increase);
+    increase
 }
