--- a/crates/daemon/src/task/exchange_task.rs
+++ b/crates/daemon/src/task/exchange_task.rs
@@ -138,7 +138,7 @@
         from: shared.me(),
         complete: shared.config().complete_revision(),
         records,
-        suspects: shared.suspects().marks(now),
+        suspects: shared.suspects().active_marks(now),
         members_digest: members_digest(shared),
     }
 }
@@ -189,7 +189,7 @@
     }
     drop(members);
     let mut suspects = shared.suspects();
-    answer.suspects.into_iter().for_each(|mark| suspects.learn(mark));
+    answer.suspects.into_iter().for_each(|mark| suspects.merge(mark));
 }
 
 /// Answers a peer's exchange.
@@ -201,7 +201,7 @@
     log_applied(&name, &new);
     {
         let mut suspects = shared.suspects();
-        request.suspects.into_iter().for_each(|mark| suspects.learn(mark));
+        request.suspects.into_iter().for_each(|mark| suspects.merge(mark));
     }
     shared.members().peer_seen(MemberEntry::from(request.from), now);
     let members = if members_digest(shared) == request.members_digest { Vec::new() } else { known_members(shared) };
@@ -212,7 +212,7 @@
         complete: config.complete_revision(),
         records: config.entries_since(request.complete),
         age_ms,
-        suspects: shared.suspects().marks(now),
+        suspects: shared.suspects().active_marks(now),
         members,
     }
 }
