--- a/crates/edge/src/duty/duty_task.rs
+++ b/crates/edge/src/duty/duty_task.rs
@@ -35,10 +35,10 @@
         let _ = actix_rt::time::timeout(ROUND_PERIOD, state.upstreams_changed.notified()).await;
         let now = state.now();
         if is_held(&state, &term) {
-            loads.round();
-            sizes.round().await;
-            usage.round().await;
-            retire.round().await;
+            loads.tick();
+            sizes.tick().await;
+            usage.tick().await;
+            retire.tick().await;
             vacant_since = None;
             continue;
         }
--- a/crates/edge/src/duty/load_duty.rs
+++ b/crates/edge/src/duty/load_duty.rs
@@ -40,7 +40,7 @@
     }
 
     /// Gives the orders that are due.
-    pub fn round(&mut self) {
+    pub fn tick(&mut self) {
         let now = self.state.now();
         let may_act = self.term.borrow().is_some_and(|term| term.may_act(now, ORDER_MS));
         let Some(config) = self.state.config().filter(|_| may_act) else { return };
--- a/crates/edge/src/duty/mod.rs
+++ b/crates/edge/src/duty/mod.rs
@@ -12,4 +12,4 @@
 pub use duty_task::hold_duty;
 pub use run_report_task::{RUNS_PATH, report_runs};
 pub use usage_collector::{USAGE_PATH, UsageCollector};
-pub use usage_count_task::{record_usage, record_usage_now};
+pub use usage_count_task::{flush_usage, record_usage};
--- a/crates/edge/src/duty/retire_duty.rs
+++ b/crates/edge/src/duty/retire_duty.rs
@@ -21,7 +21,7 @@
     }
 
     /// Answers what was asked since the last round.
-    pub async fn round(&mut self) {
+    pub async fn tick(&mut self) {
         let asked = self.state.retired_vms().clone();
         self.said.retain(|vm| asked.contains(vm));
         for vm in asked {
--- a/crates/edge/src/duty/size_duty.rs
+++ b/crates/edge/src/duty/size_duty.rs
@@ -40,7 +40,7 @@
     }
 
     /// Gives the orders that are due.
-    pub async fn round(&mut self) {
+    pub async fn tick(&mut self) {
         let (Some(provider), Some(config)) = (self.provider.clone(), self.state.config()) else { return };
         for service in config.services.values() {
             let Some(rule) = &service.scaling else { continue };
--- a/crates/edge/src/duty/usage_collector.rs
+++ b/crates/edge/src/duty/usage_collector.rs
@@ -45,7 +45,7 @@
     }
 
     /// Takes counts in; true once they are on record.
-    pub async fn take(&self, push: UsagePush) -> bool {
+    pub async fn collect(&self, push: UsagePush) -> bool {
         let (done, outcome) = oneshot::channel();
         let is_first = {
             let mut pending = self.pending.borrow_mut();
--- a/crates/edge/src/duty/usage_count_task.rs
+++ b/crates/edge/src/duty/usage_count_task.rs
@@ -27,7 +27,7 @@
 }
 
 /// Records what was counted so far, before the process ends.
-pub async fn record_usage_now(state: &EdgeState, store: &StoreAccess, peers: &PeerClient) {
+pub async fn flush_usage(state: &EdgeState, store: &StoreAccess, peers: &PeerClient) {
     let batches = state.usage().close_ended(u64::MAX);
     for batch in batches {
         record(state, store, peers, batch).await;
--- a/crates/edge/src/duty/usage_duty.rs
+++ b/crates/edge/src/duty/usage_duty.rs
@@ -44,7 +44,7 @@
     }
 
     /// Seals the next window if it is due, and reports what is sealed.
-    pub async fn round(&mut self) {
+    pub async fn tick(&mut self) {
         let now = self.state.now();
         let held = self.term.borrow().filter(|term| term.may_act(now, DutyClient::CALL_MS));
         let (Some(term), true) = (held, self.provider.is_some()) else { return };
--- a/crates/edge/src/http/batch_api.rs
+++ b/crates/edge/src/http/batch_api.rs
@@ -6,7 +6,7 @@
     request_context::{RequestContext, text},
 };
 use crate::{
-    job::{self, BoundedRead, JobView, NewJob, SubmitOutcome},
+    job::{self, JobView, ResultsQuery, SubmitOutcome, SubmittedJob},
     worker_parts::WorkerParts,
 };
 use actix_web::{HttpRequest, HttpResponse, http::Method, web};
@@ -57,8 +57,8 @@
     let (step, items) = (submission.step, submission.items.len());
     let deadline = context.deadline.min(parts.state.now().plus_ms(WRITE_MS_MAX));
     let submission = Arc::new(submission);
-    let new = NewJob { id: context.id.clone(), entry, kind: rule.name.clone(), body, submission };
-    let outcome = job::submit(parts, &new, deadline).await;
+    let new = SubmittedJob { id: context.id.clone(), entry, placement_key: rule.name.clone(), body, submission };
+    let outcome = job::submit_job(parts, &new, deadline).await;
     LogLine::new("job_submitted")
         .field("job", &context.id)
         .field("route", &rule.name)
@@ -82,7 +82,7 @@
     id: &str,
 ) -> Result<JobView, ApiRefusal> {
     let grant = context.grant(request)?;
-    let view = job::view(&parts.state, &parts.store, id).await.map_err(|error| {
+    let view = job::read_job(&parts.state, &parts.store, id).await.map_err(|error| {
         LogLine::new("job_unread").field("job", id).field("reason", error).warn();
         ApiRefusal::StoreAway
     })?;
@@ -110,9 +110,9 @@
     let position = position.map_err(|_| ApiRefusal::Malformed)?;
     let wait_ms = text(request.headers(), header::WAIT_MS).and_then(|text| text.trim().parse().ok()).unwrap_or(0);
     let wait_ms = if position >= view.entry.items { 0 } else { READ_WAIT_MS_MAX.min(wait_ms) };
-    let until = context.arrived.plus_ms(wait_ms).min(context.deadline);
-    let read = BoundedRead { position, bytes_max: PAGE_BYTES_MAX, until };
-    let results = job::read_page(&parts.state, &parts.store, &parts.peers, &id.into(), &read).await;
+    let wait_until = context.arrived.plus_ms(wait_ms).min(context.deadline);
+    let read = ResultsQuery { position, bytes_max: PAGE_BYTES_MAX, wait_until };
+    let results = job::read_results(&parts.state, &parts.store, &parts.peers, &id.into(), &read).await;
     let results = results.map_err(|error| {
         LogLine::new("results_unread").field("job", id).field("position", position).field("reason", error).warn();
         ApiRefusal::StoreAway
@@ -142,10 +142,11 @@
 ) -> Result<HttpResponse, ApiRefusal> {
     find(parts, context, request, id).await?;
     let item = parameter(request, ITEM_PARAMETER).ok_or(ApiRefusal::Malformed)?;
-    let body = job::read_body(&parts.state, &parts.store, &parts.peers, &id.into(), &item).await.map_err(|error| {
-        LogLine::new("item_unread").field("job", id).field("item", &item).field("reason", error).warn();
-        ApiRefusal::StoreAway
-    })?;
+    let body =
+        job::read_item_body(&parts.state, &parts.store, &parts.peers, &id.into(), &item).await.map_err(|error| {
+            LogLine::new("item_unread").field("job", id).field("item", &item).field("reason", error).warn();
+            ApiRefusal::StoreAway
+        })?;
     let body = body.ok_or(ApiRefusal::JobUnknown)?;
     Ok(HttpResponse::Ok().content_type("application/octet-stream").body(body))
 }
@@ -159,7 +160,7 @@
 ) -> Result<HttpResponse, ApiRefusal> {
     find(parts, context, request, id).await?;
     let deadline = context.deadline.min(parts.state.now().plus_ms(WRITE_MS_MAX));
-    let ended = job::end(&parts.state, &parts.store, id, deadline).await;
+    let ended = job::end_job(&parts.state, &parts.store, id, deadline).await;
     LogLine::new("job_end").field("job", id).field("request_id", &context.id).field("done", ended).info();
     if ended { Ok(HttpResponse::Ok().finish()) } else { Err(ApiRefusal::StoreAway) }
 }
--- a/crates/edge/src/http/peer_api.rs
+++ b/crates/edge/src/http/peer_api.rs
@@ -1,7 +1,7 @@
 //! What daemons send each other.
 
 use crate::{
-    job::{BoundedRead, NewJob, owned_item, owned_results, receive},
+    job::{ResultsQuery, SubmittedJob, local_item, local_results, receive_job},
     store::RELAY_PATH,
     worker_parts::WorkerParts,
 };
@@ -50,15 +50,15 @@
         Ok(request) => request,
         Err(error) => return malformed(&error),
     };
-    let until = parts.state.now().plus_ms(request.wait_ms);
-    let read = BoundedRead { position: request.position, bytes_max: request.bytes_max, until };
-    answer(&owned_results(&parts.state, &request.job, &read).await)
+    let wait_until = parts.state.now().plus_ms(request.wait_ms);
+    let read = ResultsQuery { position: request.position, bytes_max: request.bytes_max, wait_until };
+    answer(&local_results(&parts.state, &request.job, &read).await)
 }
 
 /// Reads the body of an item for another daemon.
 pub async fn item(parts: web::Data<WorkerParts>, body: web::Bytes) -> HttpResponse {
     match decode::<ItemRequest>(&body) {
-        Ok(request) => answer(&owned_item(&parts.state, &request.job, &request.item)),
+        Ok(request) => answer(&local_item(&parts.state, &request.job, &request.item)),
         Err(error) => malformed(&error),
     }
 }
@@ -78,7 +78,7 @@
 /// Takes usage counts in, and answers once it is known whether they are on record.
 pub async fn usage(parts: web::Data<WorkerParts>, body: web::Bytes) -> HttpResponse {
     match decode::<UsagePush>(&body) {
-        Ok(push) => answer(&parts.collector.take(push).await),
+        Ok(push) => answer(&parts.collector.collect(push).await),
         Err(error) => malformed(&error),
     }
 }
@@ -117,7 +117,8 @@
             return HttpResponse::BadRequest().finish();
         }
     };
-    let job = NewJob { id: push.job, entry: push.entry, kind: "".into(), body: push.body.into(), submission };
-    receive(state, &job, Some(owner), push.state);
+    let job =
+        SubmittedJob { id: push.job, entry: push.entry, placement_key: "".into(), body: push.body.into(), submission };
+    receive_job(state, &job, Some(owner), push.state);
     HttpResponse::Ok().finish()
 }
--- a/crates/edge/src/job/claim_task.rs
+++ b/crates/edge/src/job/claim_task.rs
@@ -20,7 +20,7 @@
         let claims = {
             let regained_at = state.store_regained_at();
             let jobs = state.jobs();
-            state.ownership().claims(now, regained_at, |job| jobs.is_held(job))
+            state.ownership().claims(now, regained_at, |job| jobs.has_state(job))
         };
         let lease = state.lease().lease;
         if let Some(lease) = lease {
@@ -63,10 +63,10 @@
     let owned: Vec<SharedName> = {
         let (jobs, ownership) = (state.jobs(), state.ownership());
         let open = jobs.iter().filter(|(_, view)| !view.ended && !view.settled);
-        open.map(|(job, _)| job.clone()).filter(|job| ownership.may_begin(job, jobs.has_submission(job), now)).collect()
+        open.map(|(job, _)| job.clone()).filter(|job| ownership.may_begin(job, jobs.is_pending(job), now)).collect()
     };
     for job in owned {
-        if state.jobs().hold(job.clone()) {
+        if state.jobs().try_mark_running(job.clone()) {
             EdgeMetrics::global().jobs_owned.inc();
             actix_rt::spawn(run_job(state.clone(), upstreams.clone(), store.clone(), job));
         }
--- a/crates/edge/src/job/item_run.rs
+++ b/crates/edge/src/job/item_run.rs
@@ -66,7 +66,7 @@
         .field("result", report.reason)
         .info();
     if report.end == RunEnd::NotRun
-        && let Some(model) = model(&job, work.index)
+        && let Some(model) = item_model(&job, work.index)
     {
         state.samplers().model_refused(&guard.record.id, &model, state.now());
     }
@@ -77,7 +77,7 @@
 
 /// Version of the item's model at the upstream, as the list says.
 fn listed_version(job: &OwnedJob, index: usize, guard: &SamplerGuard) -> u64 {
-    let version = model(job, index).and_then(|model| guard.record.versions.get(&model).copied());
+    let version = item_model(job, index).and_then(|model| guard.record.versions.get(&model).copied());
     version.unwrap_or(0)
 }
 
@@ -186,7 +186,7 @@
 
 /// Milliseconds of an event at the fastest other upstream that would take the item now.
 fn pace_elsewhere(job: &OwnedJob, index: usize, guard: &SamplerGuard) -> Option<u64> {
-    let model = model(job, index);
+    let model = item_model(job, index);
     let query = SamplerQuery {
         service: &guard.record.service,
         model: model.as_deref().map(|model| (model, job.submission.oldest_version)),
@@ -206,7 +206,7 @@
 }
 
 /// Model that an item asks for: its own header's, or its batch job's.
-pub fn model(job: &OwnedJob, index: usize) -> Option<SharedName> {
+pub fn item_model(job: &OwnedJob, index: usize) -> Option<SharedName> {
     let item = &job.submission.items[index];
     item.header(header::MODEL).map(Into::into).or_else(|| job.submission.model.clone())
 }
--- a/crates/edge/src/job/job_reader.rs
+++ b/crates/edge/src/job/job_reader.rs
@@ -2,7 +2,7 @@
 
 use super::{
     JobView,
-    owner_read::{owner_item, owner_results},
+    owner_read::{item_from_owner, results_from_owner},
 };
 use crate::{edge_state::EdgeState, peer_client::PeerClient, store::StoreAccess};
 use bytes::{Bytes, BytesMut};
@@ -20,13 +20,13 @@
 
 /// What is read of a job's results.
 #[derive(Clone, Copy, Debug)]
-pub struct BoundedRead {
+pub struct ResultsQuery {
     /// Position of the first result asked for.
     pub position: usize,
     /// Largest texts together, in bytes, unless the first alone is larger.
     pub bytes_max: usize,
     /// Until when the first result is waited for.
-    pub until: TimePoint,
+    pub wait_until: TimePoint,
 }
 
 /// Results from a position on.
@@ -38,7 +38,7 @@
 }
 
 /// The job as known here or on record; none if there is none on record.
-pub async fn view(state: &EdgeState, store: &StoreAccess, job: &str) -> Result<Option<JobView>> {
+pub async fn read_job(state: &EdgeState, store: &StoreAccess, job: &str) -> Result<Option<JobView>> {
     if let Some(view) = state.jobs().get(job) {
         return Ok(Some(view.clone()));
     }
@@ -46,33 +46,33 @@
     let entry =
         decode::<JobEntry>(&item.value).map_err(|error| StoreError::Malformed { problem: error.to_string() })?;
     let ended = store.get(&KeyLayout::end(job)).await?.is_some();
-    Ok(Some(JobView { entry, ended, settled: false, chunks: BTreeMap::new(), tail: None }))
+    Ok(Some(JobView { entry, ended, settled: false, chunk_ends: BTreeMap::new(), results_end: None }))
 }
 
 /// Results as asked for: from the job's owner, or else from the store. Waits for the first one.
-pub async fn read_page(
+pub async fn read_results(
     state: &EdgeState,
     store: &StoreAccess,
     peers: &PeerClient,
     job: &SharedName,
-    read: &BoundedRead,
+    read: &ResultsQuery,
 ) -> Result<Vec<Arc<ResultEntry>>> {
-    match owner_results(state, peers, job, read).await {
+    match results_from_owner(state, peers, job, read).await {
         Some(results) => Ok(results),
         None => Ok(read_stored(state, store, job, read).await?.results),
     }
 }
 
-async fn read_stored(state: &EdgeState, store: &StoreAccess, job: &str, read: &BoundedRead) -> Result<PageRead> {
-    let BoundedRead { position, bytes_max, until } = *read;
-    let tail = state.jobs().get(job).and_then(|view| view.tail).filter(|(listed, _)| *listed == position);
+async fn read_stored(state: &EdgeState, store: &StoreAccess, job: &str, read: &ResultsQuery) -> Result<PageRead> {
+    let ResultsQuery { position, bytes_max, wait_until } = *read;
+    let tail = state.jobs().get(job).and_then(|view| view.results_end).filter(|(listed, _)| *listed == position);
     let mut page = match tail {
         // Nothing was listed there at that revision, so the watch tells everything.
-        Some((_, revision)) if until > state.now() => PageRead { results: Vec::new(), revision },
+        Some((_, revision)) if wait_until > state.now() => PageRead { results: Vec::new(), revision },
         _ => read_from(state, store, job, position, bytes_max).await?,
     };
     while page.results.is_empty() {
-        let left_ms = until.since_ms(state.now());
+        let left_ms = wait_until.since_ms(state.now());
         if left_ms == 0 || state.jobs().is_ended(job) {
             break;
         }
@@ -92,7 +92,7 @@
         });
         take_results(state, job, written, position, bytes_max, &mut page.results)?;
         if text_bytes(&page.results) < bytes_max {
-            state.jobs().tail_known(job, position + page.results.len(), page.revision);
+            state.jobs().results_end_observed(job, position + page.results.len(), page.revision);
         }
     }
     Ok(page)
@@ -108,7 +108,7 @@
     let prefix = KeyLayout::chunks(job);
     // Reading begins at the chunk that holds the position, or after the last known one.
     let first = state.jobs().get(job).map_or(0, |view| {
-        let known = view.chunks.range(..=position).next_back();
+        let known = view.chunk_ends.range(..=position).next_back();
         known.map_or(0, |(first, next)| if position < *next { *first } else { *next })
     });
     let mut after = KeyLayout::before_chunk(job, first);
@@ -120,7 +120,7 @@
         take_results(state, job, page.items.into_iter(), position, bytes_max, &mut results)?;
         let bytes = text_bytes(&results);
         if !more && bytes < bytes_max {
-            state.jobs().tail_known(job, position + results.len(), page.revision);
+            state.jobs().results_end_observed(job, position + results.len(), page.revision);
         }
         if !more || bytes >= bytes_max {
             return Ok(PageRead { results, revision: page.revision });
@@ -145,7 +145,7 @@
     for item in items {
         let entry: ResultsEntry =
             decode(&item.value).map_err(|error| StoreError::Malformed { problem: error.to_string() })?;
-        state.jobs().chunk_known(job, entry.first, entry.next());
+        state.jobs().chunk_stored(job, entry.first, entry.next());
         for (at, result) in (entry.first..).zip(entry.results) {
             if at != position + results.len() {
                 continue;
@@ -178,14 +178,14 @@
 }
 
 /// The body of an item, if the job has it.
-pub async fn read_body(
+pub async fn read_item_body(
     state: &EdgeState,
     store: &StoreAccess,
     peers: &PeerClient,
     job: &SharedName,
     id: &str,
 ) -> Result<Option<Bytes>> {
-    if let Some(body) = owner_item(state, peers, job, id).await {
+    if let Some(body) = item_from_owner(state, peers, job, id).await {
         return Ok(body);
     }
     let (submission, _) = read_submission(store, job).await?;
@@ -193,7 +193,7 @@
 }
 
 /// All listed results, in order.
-pub async fn read_listed(state: &EdgeState, store: &StoreAccess, job: &str) -> Result<Vec<ResultEntry>> {
+pub async fn read_all_results(state: &EdgeState, store: &StoreAccess, job: &str) -> Result<Vec<ResultEntry>> {
     let page = store.range(&KeyLayout::chunks(job)).await?;
     let mut results = Vec::new();
     take_results(state, job, page.items.into_iter(), 0, usize::MAX, &mut results)?;
@@ -201,7 +201,7 @@
 }
 
 /// Texts in the middle, as former owners put them on record. An unreadable entry is passed over: its texts begin anew.
-pub async fn read_texts(store: &StoreAccess, job: &str) -> Result<Vec<TextCheckpoint>> {
+pub async fn read_checkpoints(store: &StoreAccess, job: &str) -> Result<Vec<TextCheckpoint>> {
     let page = store.range(&KeyLayout::texts(job)).await?;
     let decoded = page.items.iter().map(|item| match decode::<TextsEntry>(&item.value) {
         Ok(entry) => TextCheckpoint::from(entry),
--- a/crates/edge/src/job/job_runner.rs
+++ b/crates/edge/src/job/job_runner.rs
@@ -1,13 +1,13 @@
 //! Runs one owned job: deals its items to upstreams and lists their results.
 
 use super::{
-    KeptJob,
-    item_run::{model, run_item},
-    job_reader::{read_listed, read_submission, read_texts},
-    job_writer::{NewJob, hand_over},
+    PendingJob,
+    item_run::{item_model, run_item},
+    job_reader::{read_all_results, read_checkpoints, read_submission},
+    job_writer::{SubmittedJob, hand_over_job},
     ledger_writer::{LedgerWriter, WriteOutcome},
     owned_job::OwnedJob,
-    score_run::{ScoreHindrance, place_score, score_item},
+    score_run::{PlacementError, prepare_score_call, score_item},
 };
 use crate::{
     edge_metrics::EdgeMetrics, edge_state::EdgeState, relay::SamplerGuard, store::StoreAccess,
@@ -42,7 +42,7 @@
             part(&job).await;
         }
         let ledger = job.ledger.borrow();
-        let ms = state.now().since_ms(job.submitted);
+        let ms = state.now().since_ms(job.submitted_at);
         EdgeMetrics::global().batch_time.observe(ms as f64 / 1_000.0);
         LogLine::new("job_left")
             .field("job", &id)
@@ -53,7 +53,7 @@
             .info();
     }
     EdgeMetrics::global().jobs_owned.dec();
-    state.jobs().release(&id);
+    state.jobs().job_released(&id);
 }
 
 /// Whether this process has no more to do for `job`. A missing owner is no reason to stop: the lease may have lapsed
@@ -64,7 +64,7 @@
 
 /// What a new owner begins with.
 struct JobRecord {
-    kept: KeptJob,
+    kept: PendingJob,
     /// Listed results, in order.
     listed: Vec<ResultEntry>,
     /// Texts in the middle.
@@ -73,7 +73,7 @@
 
 /// Reads what the job needs, as often as it takes.
 async fn open_job(state: &Arc<EdgeState>, upstreams: Client, store: StoreAccess, id: &SharedName) -> Option<OwnedJob> {
-    let kept = state.jobs().take_submission(id);
+    let kept = state.jobs().take_pending(id);
     loop {
         if is_over(state, id) {
             return None;
@@ -92,17 +92,17 @@
     state: &EdgeState,
     store: &StoreAccess,
     id: &SharedName,
-    kept: Option<KeptJob>,
+    kept: Option<PendingJob>,
 ) -> Result<JobRecord, StoreError> {
     match kept {
         // A job that has not run before has nothing on record.
         Some(kept) if kept.ledger.is_none() => Ok(JobRecord { kept, listed: Vec::new(), texts: Vec::new() }),
-        Some(kept) => Ok(JobRecord { kept, listed: read_listed(state, store, id).await?, texts: Vec::new() }),
+        Some(kept) => Ok(JobRecord { kept, listed: read_all_results(state, store, id).await?, texts: Vec::new() }),
         None => {
             let (submission, body) = read_submission(store, id).await?;
-            let kept = KeptJob { submission: Arc::new(submission), body, ledger: None };
-            let listed = read_listed(state, store, id).await?;
-            Ok(JobRecord { kept, listed, texts: read_texts(store, id).await? })
+            let kept = PendingJob { submission: Arc::new(submission), body, ledger: None };
+            let listed = read_all_results(state, store, id).await?;
+            Ok(JobRecord { kept, listed, texts: read_checkpoints(store, id).await? })
         }
     }
 }
@@ -114,13 +114,13 @@
     id: &SharedName,
     record: JobRecord,
 ) -> Option<OwnedJob> {
-    let JobRecord { kept: KeptJob { submission, body, ledger: former }, listed, texts } = record;
+    let JobRecord { kept: PendingJob { submission, body, ledger: former }, listed, texts } = record;
     let entry = state.jobs().get(id)?.entry.clone();
     let revision = state.ownership().owner(id)?.revision;
     let age_ms = state.unix_ms().saturating_sub(entry.submitted_unix_ms);
-    let submitted = state.now().minus_ms(age_ms);
+    let submitted_at = state.now().minus_ms(age_ms);
     let rule = state.config().and_then(|config| config.route(&entry.host, &entry.path).cloned());
-    let terms = terms(rule.as_deref(), &submission, submitted);
+    let terms = terms(rule.as_deref(), &submission, submitted_at);
     let specs = submission.items.iter().map(item_spec).collect();
     let indexes: Vec<usize> = listed.iter().map(|result| result.index).collect();
     let mut ledger = BatchLedger::new(terms, specs, &indexes);
@@ -140,7 +140,7 @@
         .field("age_ms", age_ms)
         .field("revision", revision)
         .info();
-    state.jobs().begin(id, submission.clone(), listed);
+    state.jobs().job_opened(id, submission.clone(), listed);
     Some(OwnedJob {
         state: state.clone(),
         upstreams,
@@ -150,20 +150,20 @@
         entry,
         body,
         submission,
-        submitted,
-        revision: Rc::new(Cell::new(revision)),
+        submitted_at,
+        owner_revision: Rc::new(Cell::new(revision)),
         ledger: Rc::new(RefCell::new(ledger)),
         changed: Rc::new(Notify::new()),
     })
 }
 
-fn terms(rule: Option<&RouteRule>, submission: &BatchSubmission, submitted: TimePoint) -> BatchTerms {
+fn terms(rule: Option<&RouteRule>, submission: &BatchSubmission, submitted_at: TimePoint) -> BatchTerms {
     let batch = rule.and_then(RouteRule::batch);
     BatchTerms {
         attempts_max: rule.map_or(1, |rule| rule.attempts_max),
         oldest_version: submission.oldest_version,
         single_version: batch.is_some_and(|batch| batch.single_version),
-        give_up_at: submitted.plus_ms(batch.map_or(u64::MAX, |batch| batch.retention_ms)),
+        give_up_at: submitted_at.plus_ms(batch.map_or(u64::MAX, |batch| batch.retention_ms)),
         groups_awaited: submission.groups_awaited,
     }
 }
@@ -174,17 +174,17 @@
 
 /// Hands an unfinished job to another daemon.
 async fn part(job: &OwnedJob) {
-    let kind = job.route().map_or_else(|| job.entry.path.clone(), |rule| rule.name.clone());
-    let new = NewJob {
+    let placement_key = job.route().map_or_else(|| job.entry.path.clone(), |rule| rule.name.clone());
+    let new = SubmittedJob {
         id: job.id.clone(),
         entry: job.entry.clone(),
-        kind,
+        placement_key,
         body: job.body.clone(),
         submission: job.submission.clone(),
     };
     let ledger = job.ledger.borrow().state();
     let parts = WorkerParts::new(job.state.clone());
-    hand_over(&parts, &new, job.revision.get(), ledger).await;
+    hand_over_job(&parts, &new, job.owner_revision.get(), ledger).await;
 }
 
 async fn work(job: &OwnedJob) {
@@ -201,16 +201,16 @@
             return;
         }
         if let Some(owner) = state.ownership().owner(&job.id) {
-            job.revision.set(owner.revision);
+            job.owner_revision.set(owner.revision);
         }
         let now = state.now();
         deal(job, &mut runs, now);
-        if writer.round(job, now).await == WriteOutcome::Superseded {
+        if writer.write_due(job, now).await == WriteOutcome::Superseded {
             return;
         }
         if job.ledger.borrow().is_settled() {
             state.ownership().job_closed(&job.id);
-            state.jobs().settled(&job.id);
+            state.jobs().job_settled(&job.id);
             state.results_listed.notify_waiters();
             return;
         }
@@ -229,10 +229,10 @@
     };
     let Some(batch) = rule.batch() else { return };
     job.ledger.borrow_mut().expire(now);
-    let give_up_at = job.submitted.plus_ms(batch.retention_ms);
+    let give_up_at = job.submitted_at.plus_ms(batch.retention_ms);
     let waits = job.ledger.borrow().waiting() > 0;
     state_waiting(job, &rule, waits);
-    while waits && job.state.jobs().is_first(&rule.name, &job.id, job.submitted) {
+    while waits && job.state.jobs().is_oldest_waiting(&rule.name, &job.id, job.submitted_at) {
         let next = job.ledger.borrow_mut().next_run(now);
         let Some(work) = next else { break };
         let Some(guard) = place(job, &rule, work) else {
@@ -251,11 +251,11 @@
     loop {
         let next = job.ledger.borrow_mut().next_score(now);
         let Some(index) = next else { return };
-        match place_score(job, index) {
+        match prepare_score_call(job, index) {
             Ok(placed) => runs.spawn_local(score_item(job.clone(), index, placed)),
             Err(hindrance) => {
                 job.ledger.borrow_mut().put_back_score(index);
-                if hindrance == ScoreHindrance::NoRoute {
+                if hindrance == PlacementError::NoRoute {
                     LogLine::new("scorer_unroutable").field("job", &job.id).field("index", index).warn();
                 }
                 return;
@@ -265,14 +265,14 @@
 }
 
 fn state_waiting(job: &OwnedJob, rule: &RouteRule, waits: bool) {
-    let submitted = waits.then_some(job.submitted);
-    job.state.jobs().set_waiting(rule.name.clone(), job.id.clone(), submitted);
+    let submitted_at = waits.then_some(job.submitted_at);
+    job.state.jobs().set_waiting(rule.name.clone(), job.id.clone(), submitted_at);
 }
 
 /// Chooses the upstream for an item.
 fn place(job: &OwnedJob, rule: &RouteRule, work: ItemWork) -> Option<SamplerGuard> {
     let item = &job.submission.items[work.index];
-    let model = model(job, work.index);
+    let model = item_model(job, work.index);
     let service = rule.service(pimentoslip_kernel::fingerprint(&[item.id.as_bytes()]))?;
     let query = SamplerQuery {
         service,
--- a/crates/edge/src/job/job_writer.rs
+++ b/crates/edge/src/job/job_writer.rs
@@ -1,6 +1,6 @@
 //! Puts batch jobs and their ends on record.
 
-use super::KeptJob;
+use super::PendingJob;
 use crate::{edge_state::EdgeState, store::StoreAccess, worker_parts::WorkerParts};
 use awc::Client;
 use bytes::Bytes;
@@ -39,20 +39,20 @@
 
 /// A job that is to be put on record.
 #[derive(Clone, Debug)]
-pub struct NewJob {
+pub struct SubmittedJob {
     /// Job.
     pub id: SharedName,
     /// Its record.
     pub entry: JobEntry,
     /// Jobs of one kind have one owner.
-    pub kind: SharedName,
+    pub placement_key: SharedName,
     /// The submission's body.
     pub body: Bytes,
     /// What the body says.
     pub submission: Arc<BatchSubmission>,
 }
 
-impl NewJob {
+impl SubmittedJob {
     /// The message for the owner, whose record stands at `revision`.
     fn push(&self, owner: &ChosenOwner, revision: u64, state: Option<LedgerState>) -> JobPush {
         JobPush {
@@ -74,13 +74,13 @@
 }
 
 /// Puts a job on record with an owner, and hands it to the owner.
-pub async fn submit(parts: &WorkerParts, job: &NewJob, deadline: TimePoint) -> SubmitOutcome {
+pub async fn submit_job(parts: &WorkerParts, job: &SubmittedJob, deadline: TimePoint) -> SubmitOutcome {
     let state = &parts.state;
     if let Some(known) = state.jobs().get(&job.id) {
         let is_own = known.entry.organisation == job.entry.organisation;
         return if is_own { SubmitOutcome::Accepted } else { SubmitOutcome::Foreign };
     }
-    let mut owner = choose_owner(state, &job.kind, None);
+    let mut owner = choose_owner(state, &job.placement_key, None);
     let mut unknown = false;
     loop {
         let Some(commit) = submission_commit(job, owner.as_ref()) else { return SubmitOutcome::NotDone };
@@ -119,7 +119,7 @@
 }
 
 /// The commit that puts a job, its parts and its owner on record.
-fn submission_commit(job: &NewJob, owner: Option<&ChosenOwner>) -> Option<StoreCommit> {
+fn submission_commit(job: &SubmittedJob, owner: Option<&ChosenOwner>) -> Option<StoreCommit> {
     let record = encode(&job.entry).ok()?;
     let key = KeyLayout::job(&job.id);
     let mut commit = StoreCommit::default().expect(key.clone(), 0).put(key, record, 0);
@@ -131,15 +131,15 @@
     Some(parts.enumerate().fold(commit, |commit, (number, part)| commit.put(KeyLayout::part(&job.id, number), part, 0)))
 }
 
-fn accept(parts: &WorkerParts, job: &NewJob, owner: Option<ChosenOwner>, revision: u64) {
-    let Some(owner) = owner else { return receive(&parts.state, job, None, None) };
+fn accept(parts: &WorkerParts, job: &SubmittedJob, owner: Option<ChosenOwner>, revision: u64) {
+    let Some(owner) = owner else { return receive_job(&parts.state, job, None, None) };
     let record = owner.signature.clone().into_owner(revision);
     if owner.signature == parts.state.signature() {
-        return receive(&parts.state, job, Some(record), None);
+        return receive_job(&parts.state, job, Some(record), None);
     }
     {
         let now = parts.state.now();
-        parts.state.jobs().accepted(job.id.clone(), job.entry.clone());
+        parts.state.jobs().job_accepted(job.id.clone(), job.entry.clone());
         let mut ownership = parts.state.ownership();
         ownership.job_accepted(job.id.clone(), now);
         ownership.owner_known(job.id.clone(), record, now);
@@ -163,9 +163,9 @@
 }
 
 /// Hands a job to another daemon with all that is known of it, before this one stops.
-pub async fn hand_over(parts: &WorkerParts, job: &NewJob, revision: u64, ledger: LedgerState) {
+pub async fn hand_over_job(parts: &WorkerParts, job: &SubmittedJob, revision: u64, ledger: LedgerState) {
     let own = parts.state.settings.vm.clone();
-    let Some(owner) = choose_owner(&parts.state, &job.kind, Some(&own)) else { return };
+    let Some(owner) = choose_owner(&parts.state, &job.placement_key, Some(&own)) else { return };
     let Ok(signature) = encode(&owner.signature) else { return };
     let key = KeyLayout::owner(&job.id);
     let commit = StoreCommit::default().expect(key.clone(), revision).put(key, signature, owner.presence.lease);
@@ -182,15 +182,15 @@
 }
 
 /// Takes a job in that is on record.
-pub fn receive(state: &EdgeState, job: &NewJob, owner: Option<OwnerRecord>, ledger: Option<LedgerState>) {
+pub fn receive_job(state: &EdgeState, job: &SubmittedJob, owner: Option<OwnerRecord>, ledger: Option<LedgerState>) {
     let now = state.now();
     {
         let mut jobs = state.jobs();
-        jobs.accepted(job.id.clone(), job.entry.clone());
-        if !jobs.is_held(&job.id) {
-            jobs.keep_submission(
+        jobs.job_accepted(job.id.clone(), job.entry.clone());
+        if !jobs.has_state(&job.id) {
+            jobs.add_pending(
                 job.id.clone(),
-                KeptJob { submission: job.submission.clone(), body: job.body.clone(), ledger },
+                PendingJob { submission: job.submission.clone(), body: job.body.clone(), ledger },
             );
         }
     }
@@ -204,7 +204,7 @@
 }
 
 /// Puts a job's end on record. False if that is not certain.
-pub async fn end(state: &EdgeState, store: &StoreAccess, job: &str, deadline: TimePoint) -> bool {
+pub async fn end_job(state: &EdgeState, store: &StoreAccess, job: &str, deadline: TimePoint) -> bool {
     if state.jobs().is_ended(job) {
         return true;
     }
@@ -212,7 +212,7 @@
     loop {
         match store.commit(&commit).await {
             Ok(_) => {
-                state.jobs().ended(job);
+                state.jobs().job_ended(job);
                 state.ownership().job_closed(job);
                 state.job_changed.notify_waiters();
                 return true;
--- a/crates/edge/src/job/ledger_writer.rs
+++ b/crates/edge/src/job/ledger_writer.rs
@@ -57,7 +57,7 @@
     }
 
     /// Writes what is due, under the ownership record's revision.
-    pub async fn round(&mut self, job: &OwnedJob, now: TimePoint) -> WriteOutcome {
+    pub async fn write_due(&mut self, job: &OwnedJob, now: TimePoint) -> WriteOutcome {
         let due = {
             let ledger = job.ledger.borrow();
             now >= self.results_at || ledger.is_finished() || ledger.is_urgent()
@@ -101,7 +101,7 @@
 }
 
 async fn write(job: &OwnedJob, results: Option<&ResultsWrite>, texts: Option<&TextsWrite>) -> WriteOutcome {
-    let mut commit = StoreCommit::default().expect(KeyLayout::owner(&job.id), job.revision.get());
+    let mut commit = StoreCommit::default().expect(KeyLayout::owner(&job.id), job.owner_revision.get());
     let results_put = results.map(|write| (&write.key, &write.value));
     let texts_put = texts.map(|write| (&write.key, &write.value));
     for (key, value) in results_put.into_iter().chain(texts_put) {
@@ -167,8 +167,8 @@
     job.ledger.borrow_mut().chunk_listed(entry.first);
     {
         let mut jobs = job.state.jobs();
-        jobs.chunk_known(&job.id, entry.first, entry.next());
-        jobs.append_listed(&job.id, entry.first, &entry.results);
+        jobs.chunk_stored(&job.id, entry.first, entry.next());
+        jobs.append_results(&job.id, entry.first, &entry.results);
     }
     job.state.results_listed.notify_waiters();
 }
--- a/crates/edge/src/job/mod.rs
+++ b/crates/edge/src/job/mod.rs
@@ -7,13 +7,13 @@
 mod job_runner;
 mod job_writer;
 mod ledger_writer;
-mod listed_cache;
 mod owned_job;
 mod owner_read;
+mod result_cache;
 mod score_run;
 
 pub use claim_task::claim_jobs;
-pub use job_index::{JobIndex, JobView, KeptJob};
-pub use job_reader::{BoundedRead, read_body, read_page, view};
-pub use job_writer::{JOB_PUSH_PATH, NewJob, SubmitOutcome, end, receive, submit};
-pub use owner_read::{ITEM_BODY_PATH, RESULTS_PATH, owned_item, owned_results};
+pub use job_index::{JobIndex, JobView, PendingJob};
+pub use job_reader::{ResultsQuery, read_item_body, read_job, read_results};
+pub use job_writer::{JOB_PUSH_PATH, SubmitOutcome, SubmittedJob, end_job, receive_job, submit_job};
+pub use owner_read::{ITEM_BODY_PATH, RESULTS_PATH, local_item, local_results};
--- a/crates/edge/src/job/owned_job.rs
+++ b/crates/edge/src/job/owned_job.rs
@@ -33,9 +33,9 @@
     /// What was submitted.
     pub submission: Arc<BatchSubmission>,
     /// When the job was submitted.
-    pub submitted: TimePoint,
+    pub submitted_at: TimePoint,
     /// Revision of the ownership record.
-    pub revision: Rc<Cell<u64>>,
+    pub owner_revision: Rc<Cell<u64>>,
     /// Items and results.
     pub ledger: Rc<RefCell<BatchLedger>>,
     /// Wakes the job's main task.
--- a/crates/edge/src/job/owner_read.rs
+++ b/crates/edge/src/job/owner_read.rs
@@ -1,6 +1,6 @@
 //! Reads of jobs at their owner: it has what is listed in memory, and knows when there is more.
 
-use super::job_reader::BoundedRead;
+use super::job_reader::ResultsQuery;
 use crate::{edge_state::EdgeState, peer_client::PeerClient};
 use bytes::Bytes;
 use pimentoslip_kernel::SharedName;
@@ -19,21 +19,21 @@
 const ANSWER_SLACK_MS: u64 = 500;
 
 /// The answer of this process, which may own the job.
-pub async fn owned_results(state: &EdgeState, job: &str, read: &BoundedRead) -> ResultsAnswer {
+pub async fn local_results(state: &EdgeState, job: &str, read: &ResultsQuery) -> ResultsAnswer {
     loop {
         let listed = state.results_listed.notified();
-        let Some(results) = state.jobs().listed(job, read.position, read.bytes_max) else {
+        let Some(results) = state.jobs().cached_results(job, read.position, read.bytes_max) else {
             return ResultsAnswer::Unsure;
         };
         if !results.is_empty() {
             return ResultsAnswer::Listed(results);
         }
         // Only the one owner can say that nothing is listed.
-        let is_owner = state.ownership().is_mine(job) && state.jobs().is_held(job) && state.is_lease_sure();
+        let is_owner = state.ownership().is_mine(job) && state.jobs().has_state(job) && state.is_lease_sure();
         if !is_owner {
             return ResultsAnswer::Unsure;
         }
-        let left_ms = read.until.since_ms(state.now());
+        let left_ms = read.wait_until.since_ms(state.now());
         if left_ms == 0 || state.jobs().is_ended(job) {
             return ResultsAnswer::Listed(results);
         }
@@ -43,18 +43,18 @@
 }
 
 /// Results as the job's owner has them; none if the store is to be asked.
-pub async fn owner_results(
+pub async fn results_from_owner(
     state: &EdgeState,
     peers: &PeerClient,
     job: &SharedName,
-    read: &BoundedRead,
+    read: &ResultsQuery,
 ) -> Option<Vec<Arc<ResultEntry>>> {
-    if let ResultsAnswer::Listed(results) = owned_results(state, job, read).await {
+    if let ResultsAnswer::Listed(results) = local_results(state, job, read).await {
         return Some(results);
     }
     let control = owner_control(state, job)?;
-    let wait_ms = read.until.since_ms(state.now());
-    let BoundedRead { position, bytes_max, .. } = *read;
+    let wait_ms = read.wait_until.since_ms(state.now());
+    let ResultsQuery { position, bytes_max, .. } = *read;
     let request = ResultsRequest { job: job.clone(), position, bytes_max, wait_ms };
     match peers.call(&control, RESULTS_PATH, &request, wait_ms + ANSWER_SLACK_MS).await {
         Ok(ResultsAnswer::Listed(results)) => Some(results),
@@ -67,8 +67,13 @@
 }
 
 /// The body of an item as the job's owner has it; none if the store is to be asked.
-pub async fn owner_item(state: &EdgeState, peers: &PeerClient, job: &SharedName, item: &str) -> Option<Option<Bytes>> {
-    let answer = match owned_item(state, job, item) {
+pub async fn item_from_owner(
+    state: &EdgeState,
+    peers: &PeerClient,
+    job: &SharedName,
+    item: &str,
+) -> Option<Option<Bytes>> {
+    let answer = match local_item(state, job, item) {
         ItemAnswer::Unsure => {
             let control = owner_control(state, job)?;
             let request = ItemRequest { job: job.clone(), item: item.into() };
@@ -88,8 +93,8 @@
 }
 
 /// The answer of this process, which may run the job.
-pub fn owned_item(state: &EdgeState, job: &str, item: &str) -> ItemAnswer {
-    let Some(submission) = state.jobs().submission(job) else { return ItemAnswer::Unsure };
+pub fn local_item(state: &EdgeState, job: &str, item: &str) -> ItemAnswer {
+    let Some(submission) = state.jobs().running_submission(job) else { return ItemAnswer::Unsure };
     let found = submission.items.iter().find(|known| *known.id == *item);
     found.map_or(ItemAnswer::Unknown, |item| ItemAnswer::Body(item.body.to_vec()))
 }
--- a/crates/edge/src/job/listed_cache.rs
+++ b/crates/edge/src/job/result_cache.rs
@@ -19,14 +19,14 @@
 /// Results of jobs that this process runs or ran, each from the first position on. The jobs that were begun first are
 /// dropped when memory is short.
 #[derive(Debug)]
-pub struct ListedCache {
+pub struct ResultCache {
     bytes_max: usize,
     bytes: usize,
     jobs: HashMap<SharedName, ListedJob>,
     order: VecDeque<SharedName>,
 }
 
-impl ListedCache {
+impl ResultCache {
     /// Creates a cache of up to `bytes_max`.
     #[must_use]
     pub fn new(bytes_max: usize) -> Self {
@@ -34,8 +34,8 @@
     }
 
     /// Begins a job whose results on record are `results`.
-    pub fn begin(&mut self, job: SharedName, results: Vec<ResultEntry>) {
-        self.forget(&job);
+    pub fn insert(&mut self, job: SharedName, results: Vec<ResultEntry>) {
+        self.remove(&job);
         self.order.push_back(job.clone());
         self.jobs.insert(job.clone(), ListedJob::default());
         self.append(&job, 0, &results);
@@ -46,7 +46,7 @@
         let Some(listed) = self.jobs.get_mut(job) else { return };
         if listed.results.len() != first {
             // Without a gap only: the store has the rest.
-            self.forget(job);
+            self.remove(job);
             return;
         }
         let bytes: usize = results.iter().map(|result| result.text.len() + FIELDS_BYTES).sum();
@@ -55,7 +55,7 @@
         self.bytes += bytes;
         while self.bytes > self.bytes_max {
             let Some(oldest) = self.order.front().cloned() else { return };
-            self.forget(&oldest);
+            self.remove(&oldest);
         }
     }
 
@@ -74,7 +74,7 @@
     }
 
     /// Drops a job.
-    pub fn forget(&mut self, job: &str) {
+    pub fn remove(&mut self, job: &str) {
         if let Some(listed) = self.jobs.remove(job) {
             self.bytes -= listed.bytes;
             self.order.retain(|known| **known != *job);
--- a/crates/edge/src/job/score_run.rs
+++ b/crates/edge/src/job/score_run.rs
@@ -26,7 +26,7 @@
 
 /// Why a scorer's call cannot be made now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ScoreHindrance {
+pub enum PlacementError {
     /// No upstream has room.
     NoRoom,
     /// The configuration in force has no way for it.
@@ -34,11 +34,11 @@
 }
 
 /// Chooses the upstream for the scorer of an item.
-pub fn place_score(job: &OwnedJob, index: usize) -> Result<ScoreCall, ScoreHindrance> {
+pub fn prepare_score_call(job: &OwnedJob, index: usize) -> Result<ScoreCall, PlacementError> {
     let state = &job.state;
-    let scorer = job.submission.items[index].scorer.as_ref().ok_or(ScoreHindrance::NoRoute)?;
-    let rule = scorer_rule(job, scorer).ok_or(ScoreHindrance::NoRoute)?;
-    let service = rule.service(fingerprint(&[scorer.id.as_bytes()])).ok_or(ScoreHindrance::NoRoute)?;
+    let scorer = job.submission.items[index].scorer.as_ref().ok_or(PlacementError::NoRoute)?;
+    let rule = scorer_rule(job, scorer).ok_or(PlacementError::NoRoute)?;
+    let service = rule.service(fingerprint(&[scorer.id.as_bytes()])).ok_or(PlacementError::NoRoute)?;
     let query = SamplerQuery {
         service,
         model: None,
@@ -47,7 +47,7 @@
         room: RoomNeed::SpareSlot,
         affinity: &scorer.id,
     };
-    let guard = SamplerGuard::pick(state, &query).ok_or(ScoreHindrance::NoRoom)?;
+    let guard = SamplerGuard::pick(state, &query).ok_or(PlacementError::NoRoom)?;
     let call = UpstreamCall {
         id: scorer.id.clone(),
         method: Method::POST,
--- a/crates/edge/src/run_edge.rs
+++ b/crates/edge/src/run_edge.rs
@@ -160,7 +160,7 @@
     let WorkerParts { store, peers, .. } = WorkerParts::new(state.clone());
     // Owned jobs are handed over before the lease ends, on which their records hang.
     let handed_by = began.plus_ms(HAND_OVER_MS);
-    while (state.jobs().held() > 0 && state.now() < handed_by) || state.duty_calls() > 0 {
+    while (state.jobs().running_count() > 0 && state.now() < handed_by) || state.duty_calls() > 0 {
         actix_rt::time::sleep(POLL).await;
     }
     end_lease(state, &store).await;
@@ -169,5 +169,5 @@
     while state.now() < leave_at || (state.requests() > 0 && state.now() < last) {
         actix_rt::time::sleep(POLL).await;
     }
-    crate::duty::record_usage_now(state, &store, &peers).await;
+    crate::duty::flush_usage(state, &store, &peers).await;
 }
--- a/crates/edge/src/store/followed_keys.rs
+++ b/crates/edge/src/store/followed_keys.rs
@@ -30,7 +30,7 @@
         if let Some(job) = KeyLayout::parse_job(&item.key) {
             match decode::<JobEntry>(&item.value) {
                 Ok(entry) => {
-                    self.state.jobs().accepted(job.into(), entry);
+                    self.state.jobs().job_accepted(job.into(), entry);
                     let ended = self.state.jobs().is_ended(job);
                     let mut ownership = self.state.ownership();
                     ownership.job_accepted(job.into(), now);
@@ -41,7 +41,7 @@
                 Err(error) => unreadable(item, &error),
             }
         } else if let Some(job) = KeyLayout::parse_end(&item.key) {
-            self.state.jobs().ended(job);
+            self.state.jobs().job_ended(job);
             self.state.ownership().job_closed(job);
         } else if let Some(daemon) = KeyLayout::parse_daemon(&item.key) {
             match decode::<PresenceEntry>(&item.value) {
@@ -78,7 +78,7 @@
             LogLine::new("daemon_left").field("daemon", daemon).info();
             self.state.ownership().daemon_left(daemon);
         } else if let Some(job) = KeyLayout::parse_job(key) {
-            self.state.jobs().forgotten(job);
+            self.state.jobs().job_deleted(job);
             self.state.ownership().job_forgotten(job);
         } else if key == KeyLayout::DUTY {
             let mut lease = self.state.lease();
