--- a/crates/edge/src/job/claim_task.rs
+++ b/crates/edge/src/job/claim_task.rs
@@ -1,4 +1,4 @@
-//! Claims jobs without an owner, and starts work on jobs that this daemon owns.
+//! Claims batch jobs that have no owner, and starts the tasks that run the jobs owned by this daemon.
 
 use super::job_runner::run_job;
 use crate::{edge_metrics::EdgeMetrics, edge_state::EdgeState, store::StoreAccess};
@@ -9,13 +9,13 @@
 use pimentoslip_wire::{encode, stored::KeyLayout};
 use std::{sync::Arc, time::Duration};
 
-/// Longest time between two looks at the table of owners.
-const LOOK_PERIOD: Duration = Duration::from_millis(200);
+/// Longest time between two checks for jobs to claim or to start; a change of the jobs triggers one at once.
+const CHECK_PERIOD: Duration = Duration::from_millis(200);
 
-/// Runs until the daemon drains.
+/// Claims and starts jobs until the daemon drains.
 pub async fn claim_jobs(state: Arc<EdgeState>, upstreams: Client, store: StoreAccess) {
     while !state.is_draining() {
-        let _ = actix_rt::time::timeout(LOOK_PERIOD, state.job_changed.notified()).await;
+        let _ = actix_rt::time::timeout(CHECK_PERIOD, state.job_changed.notified()).await;
         let now = state.now();
         let claims = {
             let regained_at = state.store_regained_at();
@@ -28,10 +28,11 @@
                 claim_job(&state, &store, &claim, lease).await;
             }
         }
-        start_owned(&state, &upstreams, &store);
+        start_owned_jobs(&state, &upstreams, &store);
     }
 }
 
+/// Writes this daemon as the owner of a job under its lease, unless another daemon was faster.
 async fn claim_job(state: &EdgeState, store: &StoreAccess, claim: &ClaimOrder, lease: u64) {
     let entry = match encode(&state.signature()) {
         Ok(entry) => entry,
@@ -58,14 +59,18 @@
     }
 }
 
-fn start_owned(state: &Arc<EdgeState>, upstreams: &Client, store: &StoreAccess) {
+/// Starts a task for each owned job that is unfinished and not running yet.
+fn start_owned_jobs(state: &Arc<EdgeState>, upstreams: &Client, store: &StoreAccess) {
     let now = state.now();
-    let owned: Vec<SharedName> = {
+    let owned_jobs: Vec<SharedName> = {
         let (jobs, ownership) = (state.jobs(), state.ownership());
-        let open = jobs.iter().filter(|(_, view)| !view.ended && !view.settled);
-        open.map(|(job, _)| job.clone()).filter(|job| ownership.may_begin(job, jobs.is_pending(job), now)).collect()
+        let unfinished = jobs.iter().filter(|(_, view)| !view.ended && !view.settled);
+        unfinished
+            .map(|(job, _)| job.clone())
+            .filter(|job| ownership.may_begin(job, jobs.is_pending(job), now))
+            .collect()
     };
-    for job in owned {
+    for job in owned_jobs {
         if state.jobs().try_mark_running(job.clone()) {
             EdgeMetrics::global().jobs_owned.inc();
             actix_rt::spawn(run_job(state.clone(), upstreams.clone(), store.clone(), job));
--- a/crates/edge/src/job/item_run.rs
+++ b/crates/edge/src/job/item_run.rs
@@ -1,4 +1,4 @@
-//! One run of an item at one upstream.
+//! Runs one item of a batch job at one upstream, and records its events in the ledger.
 
 use super::owned_job::OwnedJob;
 use crate::{
@@ -17,76 +17,79 @@
 use pimentoslip_telemetry::LogLine;
 use std::time::Duration;
 
-/// Longest wait for the header of an answer; longer than a load of weights.
-const FIRST_ANSWER_MAX: Duration = Duration::from_millis(2_000);
-/// Longest run in milliseconds; a run that was cut goes on elsewhere.
+/// Longest wait for the header of a response; longer than an upstream takes to load weights.
+const RESPONSE_HEADER_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Longest run; after this, the item resumes in a new run at another upstream.
 const RUN_MS_MAX: u64 = 30_000;
 
-/// How a run ended, for the log and the upstream's standing.
-struct RunReport {
+/// How a run ended, for the ledger, the log and the evaluation of the upstream.
+struct RunOutcome {
     end: RunEnd,
+    /// Result as spelled in metrics and logs.
     reason: &'static str,
-    outcome: SamplerOutcome,
+    upstream_outcome: SamplerOutcome,
 }
 
-impl RunReport {
-    fn of(failure: AttemptFailure) -> Self {
+impl RunOutcome {
+    /// Classifies a failed attempt.
+    fn from_failure(failure: AttemptFailure) -> Self {
         let end = if failure.may_have_run() { RunEnd::Broken } else { RunEnd::NotRun };
         let outcome = match failure {
-            // These concern the item's model only.
+            // These concern only the item's model at the upstream, so its other models stay in use.
             AttemptFailure::Refused | AttemptFailure::Misdirected => SamplerOutcome::Answered(None),
-            other => other.outcome(),
+            other_failure => other_failure.outcome(),
         };
-        Self { end, reason: failure.as_str(), outcome }
+        Self { end, reason: failure.as_str(), upstream_outcome: outcome }
     }
 }
 
-/// Runs an item and enters what came of it into the job's ledger.
+/// Runs an item at the guard's upstream, and records its events and the end of the run in the job's ledger.
 pub async fn run_item(job: OwnedJob, work: ItemWork, mut guard: SamplerGuard, priority: u32, give_up_at: TimePoint) {
     let state = job.state.clone();
-    let began = state.now();
-    let mut pace = RunPace::new(began);
-    let report = stream_item(&job, work, &guard, priority, give_up_at, &mut pace).await;
+    let started_at = state.now();
+    let mut pace = RunPace::new(started_at);
+    let run = stream_item(&job, work, &guard, priority, give_up_at, &mut pace).await;
     let events = job.ledger.borrow().events(work.index);
-    let took_ms = state.now().since_ms(began);
-    let fresh = events.saturating_sub(work.resume_after.map_or(0, |last| last + 1 - FIRST_EVENT));
-    guard.end(match report.outcome {
+    let took_ms = state.now().since_ms(started_at);
+    let new_events = events.saturating_sub(work.resume_after.map_or(0, |last| last + 1 - FIRST_EVENT));
+    guard.end(match run.upstream_outcome {
         SamplerOutcome::Answered(_) => SamplerOutcome::Answered(pace.pace_ms()),
         outcome => outcome,
     });
-    EdgeMetrics::count(&EdgeMetrics::global().runs, report.reason);
+    EdgeMetrics::count(&EdgeMetrics::global().runs, run.reason);
     LogLine::new("item_run")
         .field("job", &job.id)
         .field("item", &job.submission.items[work.index].id)
         .field("upstream", &guard.record.id)
         .field("listed_version", listed_version(&job, work.index, &guard))
         .field("resumed_after", work.resume_after.map_or_else(|| "none".to_owned(), |last| last.to_string()))
-        .field("events", fresh)
+        .field("events", new_events)
         .field("took_ms", took_ms)
-        .field("result", report.reason)
+        .field("result", run.reason)
         .info();
-    if report.end == RunEnd::NotRun
+    if run.end == RunEnd::NotRun
         && let Some(model) = item_model(&job, work.index)
     {
         state.samplers().model_refused(&guard.record.id, &model, state.now());
     }
     drop(guard);
-    job.ledger.borrow_mut().run_ended(work.index, report.end, state.now());
+    job.ledger.borrow_mut().run_ended(work.index, run.end, state.now());
     job.changed.notify_one();
 }
 
-/// Version of the item's model at the upstream, as the list says.
+/// Version of the item's model at the upstream according to the platform's list of upstreams; 0 if it lists none.
 fn listed_version(job: &OwnedJob, index: usize, guard: &SamplerGuard) -> u64 {
     let version = item_model(job, index).and_then(|model| guard.record.versions.get(&model).copied());
     version.unwrap_or(0)
 }
 
+/// The request for an item. It resumes after the item's last event in the ledger, if there is one.
 fn item_call(job: &OwnedJob, work: ItemWork, priority: u32, deadline: TimePoint) -> UpstreamCall {
     let item = &job.submission.items[work.index];
     let mut headers = HeaderMap::new();
     for (name, value) in &item.headers {
-        let pair = (HeaderName::try_from(name.as_str()), HeaderValue::from_str(value));
-        if let (Ok(name), Ok(value)) = pair {
+        let parsed = (HeaderName::try_from(name.as_str()), HeaderValue::from_str(value));
+        if let (Ok(name), Ok(value)) = parsed {
             headers.append(name, value);
         }
     }
@@ -104,6 +107,8 @@
     }
 }
 
+/// Sends the request and adds the events of the response to the ledger until the run ends. `pace` follows the times of
+/// the events.
 async fn stream_item(
     job: &OwnedJob,
     work: ItemWork,
@@ -111,81 +116,87 @@
     priority: u32,
     give_up_at: TimePoint,
     pace: &mut RunPace,
-) -> RunReport {
+) -> RunOutcome {
     let state = &job.state;
     let now = state.now();
     let call = item_call(job, work, priority, give_up_at.min(now.plus_ms(RUN_MS_MAX)));
-    let begun = actix_rt::time::timeout(FIRST_ANSWER_MAX, begin(&job.upstreams, &call, guard, now)).await;
-    let mut answer = match begun {
-        Ok(Ok(answer)) => answer,
-        Ok(Err(error)) => return RunReport::of(error.failure),
-        Err(_) => return RunReport::of(AttemptFailure::TimedOut),
+    let response = actix_rt::time::timeout(RESPONSE_HEADER_TIMEOUT, begin(&job.upstreams, &call, guard, now)).await;
+    let mut response = match response {
+        Ok(Ok(response)) => response,
+        Ok(Err(error)) => return RunOutcome::from_failure(error.failure),
+        Err(_) => return RunOutcome::from_failure(AttemptFailure::TimedOut),
     };
-    match answer.status() {
+    match response.status() {
         status if status.is_success() => {}
         StatusCode::UNPROCESSABLE_ENTITY => {
-            return RunReport {
+            return RunOutcome {
                 end: RunEnd::Impossible,
                 reason: "impossible",
-                outcome: SamplerOutcome::Answered(None),
+                upstream_outcome: SamplerOutcome::Answered(None),
             };
         }
         StatusCode::INTERNAL_SERVER_ERROR => {
-            return RunReport {
+            return RunOutcome {
                 end: RunEnd::Failed,
                 reason: "upstream_failed",
-                outcome: SamplerOutcome::Answered(None),
+                upstream_outcome: SamplerOutcome::Answered(None),
             };
         }
         status => {
             LogLine::new("item_status").field("item", &call.id).field("status", status.as_u16()).warn();
-            return RunReport::of(AttemptFailure::Spoilt);
+            return RunOutcome::from_failure(AttemptFailure::Spoilt);
         }
     }
-    let version = answer.headers().get(header::VERSION).and_then(|value| value.to_str().ok()?.trim().parse().ok());
+    let version = response.headers().get(header::VERSION).and_then(|value| value.to_str().ok()?.trim().parse().ok());
     let mut version: Option<u64> = version;
-    let headers = answer.headers().clone();
+    let headers = response.headers().clone();
     let mut events = EventReader::default();
     loop {
-        let elsewhere_ms = pace_elsewhere(job, work.index, guard);
-        if elsewhere_ms.is_some_and(|ms| pace.is_slow(ms)) {
-            return RunReport { end: RunEnd::Broken, reason: "moved_slow", outcome: SamplerOutcome::Answered(None) };
+        let other_pace_ms = best_other_pace_ms(job, work.index, guard);
+        if other_pace_ms.is_some_and(|ms| pace.is_slow(ms)) {
+            return RunOutcome {
+                end: RunEnd::Broken,
+                reason: "moved_slow",
+                upstream_outcome: SamplerOutcome::Answered(None),
+            };
         }
-        let silence = Duration::from_millis(pace.silent_at(elsewhere_ms).since_ms(state.now()));
-        let chunk = match actix_rt::time::timeout(silence, answer.next()).await {
+        let event_timeout = Duration::from_millis(pace.silent_at(other_pace_ms).since_ms(state.now()));
+        let chunk = match actix_rt::time::timeout(event_timeout, response.next()).await {
             Ok(Some(Ok(chunk))) => chunk,
-            Ok(None) => return whole(&events),
-            Ok(Some(Err(error))) if ends_with_connection(&headers) && is_orderly_end(&error) => return whole(&events),
-            Ok(Some(Err(_))) => return RunReport::of(AttemptFailure::Lost),
-            Err(_) => return RunReport::of(AttemptFailure::TimedOut),
+            Ok(None) => return ended_stream(&events),
+            Ok(Some(Err(error))) if ends_with_connection(&headers) && is_orderly_end(&error) => {
+                return ended_stream(&events);
+            }
+            Ok(Some(Err(_))) => return RunOutcome::from_failure(AttemptFailure::Lost),
+            Err(_) => return RunOutcome::from_failure(AttemptFailure::TimedOut),
         };
-        let arrived = events.feed(&chunk);
-        pace.events(arrived.len() as u64, state.now());
-        for event in arrived {
+        let new_events = events.feed(&chunk);
+        pace.events(new_events.len() as u64, state.now());
+        for event in new_events {
             version = event.version.or(version);
-            // An event of unknown version cannot be kept.
-            let Some(version) = version else { return RunReport::of(AttemptFailure::Spoilt) };
+            // The ledger records the version of each event, so an event without one is malformed.
+            let Some(version) = version else { return RunOutcome::from_failure(AttemptFailure::Spoilt) };
             let verdict = job.ledger.borrow_mut().event(work.index, event.number, version, &event.data);
             match verdict {
                 EventVerdict::Taken => {}
                 EventVerdict::Restart => {
-                    return RunReport {
+                    return RunOutcome {
                         end: RunEnd::Broken,
                         reason: "stale_version",
-                        outcome: SamplerOutcome::Abandoned,
+                        upstream_outcome: SamplerOutcome::Abandoned,
                     };
                 }
-                EventVerdict::Mismatch => return RunReport::of(AttemptFailure::Mismatch),
+                EventVerdict::Mismatch => return RunOutcome::from_failure(AttemptFailure::Mismatch),
             }
         }
         if events.is_malformed() {
-            return RunReport::of(AttemptFailure::Spoilt);
+            return RunOutcome::from_failure(AttemptFailure::Spoilt);
         }
     }
 }
 
-/// Milliseconds of an event at the fastest other upstream that would take the item now.
-fn pace_elsewhere(job: &OwnedJob, index: usize, guard: &SamplerGuard) -> Option<u64> {
+/// Milliseconds per event at the fastest other upstream with a free slot for the item; `None` if no pace is recorded.
+fn best_other_pace_ms(job: &OwnedJob, index: usize, guard: &SamplerGuard) -> Option<u64> {
     let model = item_model(job, index);
     let query = SamplerQuery {
         service: &guard.record.service,
@@ -198,14 +209,15 @@
     job.state.samplers().pace_elsewhere(&query, &guard.record.id, job.state.now())
 }
 
-fn whole(events: &EventReader) -> RunReport {
+/// The outcome of a run whose response ended in order: complete, unless the response ended within an event.
+fn ended_stream(events: &EventReader) -> RunOutcome {
     if !events.is_between_events() {
-        return RunReport::of(AttemptFailure::Spoilt);
+        return RunOutcome::from_failure(AttemptFailure::Spoilt);
     }
-    RunReport { end: RunEnd::Whole, reason: "whole", outcome: SamplerOutcome::Answered(None) }
+    RunOutcome { end: RunEnd::Whole, reason: "whole", upstream_outcome: SamplerOutcome::Answered(None) }
 }
 
-/// Model that an item asks for: its own header's, or its batch job's.
+/// The model that an item requests in its own header, or else the model of its batch job.
 pub fn item_model(job: &OwnedJob, index: usize) -> Option<SharedName> {
     let item = &job.submission.items[index];
     item.header(header::MODEL).map(Into::into).or_else(|| job.submission.model.clone())
--- a/crates/edge/src/job/job_index.rs
+++ b/crates/edge/src/job/job_index.rs
@@ -1,4 +1,4 @@
-//! Batch jobs that the daemon knows of.
+//! In-memory index of the stored batch jobs and of the jobs that this process runs.
 
 use super::result_cache::ResultCache;
 use bytes::Bytes;
@@ -10,63 +10,64 @@
     sync::Arc,
 };
 
-/// One batch job.
+/// Stored state of a batch job, as far as this process has read it.
 #[derive(Clone, Debug)]
 pub struct JobView {
-    /// Its record.
+    /// Stored entry, which describes the job without its items.
     pub entry: JobEntry,
-    /// Whether its submitter ended it.
+    /// Whether the submitter ended the job, so that no more of its items are run.
     pub ended: bool,
-    /// Whether all its results are listed.
+    /// Whether the results of all its items are stored.
     pub settled: bool,
-    /// Known groups of results: the positions after them by the positions at which they begin.
+    /// Stored chunks of results that have been read: the position after the last result of a chunk, by the position of
+    /// its first.
     pub chunk_ends: BTreeMap<usize, usize>,
-    /// Number of results that were listed at a revision of the store.
+    /// Number of stored results, and the revision of the store at which there were no more.
     pub results_end: Option<(usize, u64)>,
 }
 
-/// What this process has of a job that it does not run yet.
+/// A job that was submitted or handed over to this process, which does not run it yet.
 #[derive(Clone, Debug)]
 pub struct PendingJob {
-    /// What was submitted.
+    /// Decoded submission.
     pub submission: Arc<BatchSubmission>,
-    /// The submission's body.
+    /// Encoded submission, as received.
     pub body: Bytes,
-    /// What a former owner knew, if the job has run before.
+    /// The previous owner's state of the job; `None` if the job has not run before.
     pub ledger: Option<LedgerState>,
 }
 
-/// Batch jobs by id.
+/// Batch jobs by id, with the submissions and results that this process holds in memory.
 #[derive(Debug)]
 pub struct JobIndex {
     jobs: HashMap<SharedName, JobView>,
-    /// Ended jobs, also those whose record has not been seen yet.
+    /// Jobs ended by their submitter, including jobs whose entry has not been read yet.
     ended: HashSet<SharedName>,
-    /// Submissions accepted here that are not being run yet.
-    submissions: HashMap<SharedName, PendingJob>,
-    /// Jobs whose state is in this process, with what was submitted once that is known.
-    held: HashMap<SharedName, Option<Arc<BatchSubmission>>>,
-    /// Results that can be read without the store.
-    listed: ResultCache,
-    /// Jobs with waiting items, by route: when they were submitted.
+    /// Jobs that were submitted or handed over to this process and are not running yet.
+    pending: HashMap<SharedName, PendingJob>,
+    /// Jobs that this process runs, each with its submission once that has been read.
+    running: HashMap<SharedName, Option<Arc<BatchSubmission>>>,
+    /// Results of jobs that this process runs or ran, readable without the store.
+    results: ResultCache,
+    /// Submission times of the running jobs that have waiting items, by route and job.
     waiting: BTreeMap<(SharedName, SharedName), TimePoint>,
 }
 
 impl JobIndex {
-    /// Creates an index that keeps up to `results_bytes_max` of results in memory.
+    /// Creates an empty index that caches up to `results_bytes_max` bytes of results.
     #[must_use]
     pub fn new(results_bytes_max: usize) -> Self {
         Self {
             jobs: HashMap::new(),
             ended: HashSet::new(),
-            submissions: HashMap::new(),
-            held: HashMap::new(),
-            listed: ResultCache::new(results_bytes_max),
+            pending: HashMap::new(),
+            running: HashMap::new(),
+            results: ResultCache::new(results_bytes_max),
             waiting: BTreeMap::new(),
         }
     }
 
-    /// A job is on record.
+    /// Adds a job that is stored in the store. A job that is in the index already stays as it is.
     pub fn job_accepted(&mut self, job: SharedName, entry: JobEntry) {
         let ended = self.ended.contains(&job);
         self.jobs.entry(job).or_insert_with(|| JobView {
@@ -78,142 +79,145 @@
         });
     }
 
-    /// A job was ended by its submitter.
+    /// Marks a job as ended by its submitter, also if the job is not in the index yet.
     pub fn job_ended(&mut self, job: &str) {
         self.ended.insert(job.into());
-        self.submissions.remove(job);
+        self.pending.remove(job);
         if let Some(view) = self.jobs.get_mut(job) {
             view.ended = true;
         }
     }
 
-    /// All results of a job are listed.
+    /// Marks a job as settled: the results of all its items are stored.
     pub fn job_settled(&mut self, job: &str) {
         if let Some(view) = self.jobs.get_mut(job) {
             view.settled = true;
         }
     }
 
-    /// A job is off record.
+    /// Removes a job that was deleted from the store, with its cached results.
     pub fn job_deleted(&mut self, job: &str) {
         self.jobs.remove(job);
         self.ended.remove(job);
-        self.submissions.remove(job);
-        self.listed.remove(job);
+        self.pending.remove(job);
+        self.results.remove(job);
     }
 
-    /// The job `job`.
+    /// The stored state of `job`, or `None` if the index does not contain it.
     #[must_use]
     pub fn get(&self, job: &str) -> Option<&JobView> {
         self.jobs.get(job)
     }
 
-    /// All jobs.
+    /// Iterates over all stored jobs in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = (&SharedName, &JobView)> {
         self.jobs.iter()
     }
 
-    /// Whether `job` was ended.
+    /// Whether `job` was ended by its submitter.
     #[must_use]
     pub fn is_ended(&self, job: &str) -> bool {
         self.ended.contains(job)
     }
 
-    /// Results of `job` stand at the positions from `first` to before `next`.
+    /// Records that a chunk with the results of `job` at the positions `first..next` is stored.
     pub fn chunk_stored(&mut self, job: &str, first: usize, next: usize) {
         if let Some(view) = self.jobs.get_mut(job) {
             view.chunk_ends.insert(first, next);
         }
     }
 
-    /// At `revision` just the first `listed` results of `job` were listed.
-    pub fn results_end_observed(&mut self, job: &str, listed: usize, revision: u64) {
+    /// Records that exactly `count` results of `job` were stored at `revision` of the store. An observation at an older
+    /// revision than the last one is ignored.
+    pub fn results_end_observed(&mut self, job: &str, count: usize, revision: u64) {
         if let Some(view) = self.jobs.get_mut(job)
-            && view.results_end.is_none_or(|(_, known)| known < revision)
+            && view.results_end.is_none_or(|(_, observed)| observed < revision)
         {
-            view.results_end = Some((listed, revision));
+            view.results_end = Some((count, revision));
         }
     }
 
-    /// Keeps a submission for the task that will run it.
-    pub fn add_pending(&mut self, job: SharedName, kept: PendingJob) {
-        self.submissions.insert(job, kept);
+    /// Adds a job that this process will run.
+    pub fn add_pending(&mut self, job: SharedName, pending_job: PendingJob) {
+        self.pending.insert(job, pending_job);
     }
 
-    /// Whether a submission of `job` is kept.
+    /// Whether `job` is held for a later start by this process.
     #[must_use]
     pub fn is_pending(&self, job: &str) -> bool {
-        self.submissions.contains_key(job)
+        self.pending.contains_key(job)
     }
 
-    /// The kept submission of `job`, if there is one.
+    /// Removes and returns the pending job `job`, if there is one.
     pub fn take_pending(&mut self, job: &str) -> Option<PendingJob> {
-        self.submissions.remove(job)
+        self.pending.remove(job)
     }
 
-    /// Marks `job` as run by this process.
+    /// Marks `job` as running in this process. Returns false if it was running already.
     pub fn try_mark_running(&mut self, job: SharedName) -> bool {
-        if self.held.contains_key(&job) {
+        if self.running.contains_key(&job) {
             return false;
         }
-        self.held.insert(job, None);
+        self.running.insert(job, None);
         true
     }
 
-    /// A held job begins: what was submitted, and its results on record.
+    /// Sets the submission of a running job, and caches its stored `results`.
     pub fn job_opened(&mut self, job: &SharedName, submission: Arc<BatchSubmission>, results: Vec<ResultEntry>) {
-        self.held.insert(job.clone(), Some(submission));
-        self.listed.insert(job.clone(), results);
+        self.running.insert(job.clone(), Some(submission));
+        self.results.insert(job.clone(), results);
     }
 
-    /// Results of a held job are on record from `first` on.
+    /// Caches further `results` of a running job, which were stored from position `first` on.
     pub fn append_results(&mut self, job: &str, first: usize, results: &[ResultEntry]) {
-        self.listed.append(job, first, results);
+        self.results.append(job, first, results);
     }
 
-    /// Listed results of `job` from `position` on, as far as they are in memory. None if the job's are not.
+    /// Cached results of `job` from `position` on, up to `bytes_max` bytes, but at least one if there is any. `None` if
+    /// the results of this job are not cached.
     #[must_use]
     pub fn cached_results(&self, job: &str, position: usize, bytes_max: usize) -> Option<Vec<Arc<ResultEntry>>> {
-        self.listed.read(job, position, bytes_max)
+        self.results.read(job, position, bytes_max)
     }
 
-    /// What was submitted as `job`, if this process runs it.
+    /// The submission of `job`, if this process runs the job and has read it.
     #[must_use]
     pub fn running_submission(&self, job: &str) -> Option<Arc<BatchSubmission>> {
-        self.held.get(job).cloned().flatten()
+        self.running.get(job).cloned().flatten()
     }
 
-    /// `job` is no longer run by this process.
+    /// Removes `job`, which this process no longer runs, from the running and the waiting jobs.
     pub fn job_released(&mut self, job: &str) {
-        self.held.remove(job);
-        self.waiting.retain(|(_, waiting), _| **waiting != *job);
+        self.running.remove(job);
+        self.waiting.retain(|(_, waiting_job), _| **waiting_job != *job);
     }
 
-    /// Whether items of `job`, a job of `route` that was submitted at `submitted`, may be run now: those of older jobs
-    /// of the route go first.
+    /// Whether items of `job` may be dispatched now: no older job of `route` has waiting items. `submitted_at` is when
+    /// `job` was submitted; ids decide between jobs of the same time.
     #[must_use]
-    pub fn is_oldest_waiting(&self, route: &str, job: &str, submitted: TimePoint) -> bool {
-        let others = self.waiting.iter().filter(|((kind, other), _)| **kind == *route && **other != *job);
-        !others.into_iter().any(|((_, other), since)| (*since, &**other) < (submitted, job))
+    pub fn is_oldest_waiting(&self, route: &str, job: &str, submitted_at: TimePoint) -> bool {
+        let others =
+            self.waiting.iter().filter(|((other_route, other_job), _)| **other_route == *route && **other_job != *job);
+        !others.into_iter().any(|((_, other_job), since)| (*since, &**other_job) < (submitted_at, job))
     }
 
-    /// Notes whether items of `job` wait to be run.
-    pub fn set_waiting(&mut self, route: SharedName, job: SharedName, submitted: Option<TimePoint>) {
-        match submitted {
-            Some(submitted) => self.waiting.insert((route, job), submitted),
+    /// Records that `job` of `route`, submitted at `submitted_at`, has waiting items, or with `None` that it has none.
+    pub fn set_waiting(&mut self, route: SharedName, job: SharedName, submitted_at: Option<TimePoint>) {
+        match submitted_at {
+            Some(submitted_at) => self.waiting.insert((route, job), submitted_at),
             None => self.waiting.remove(&(route, job)),
         };
     }
 
-    /// Jobs that this process runs.
+    /// Number of jobs that this process runs.
     #[must_use]
     pub fn running_count(&self) -> usize {
-        self.held.len()
+        self.running.len()
     }
 
-    /// Whether this process has the state of `job`.
+    /// Whether this process holds state of `job` in memory: it runs the job, or will.
     #[must_use]
     pub fn has_state(&self, job: &str) -> bool {
-        self.held.contains_key(job) || self.submissions.contains_key(job)
+        self.running.contains_key(job) || self.pending.contains_key(job)
     }
 }
--- a/crates/edge/src/job/job_reader.rs
+++ b/crates/edge/src/job/job_reader.rs
@@ -1,4 +1,4 @@
-//! Reads batch jobs from the store.
+//! Reads batch jobs, their submissions and results, from the job's owner or from the store.
 
 use super::{
     JobView,
@@ -15,29 +15,30 @@
 };
 use std::{collections::BTreeMap, sync::Arc};
 
-/// Result of a read.
+/// Result of a read from the store.
 pub type Result<T> = std::result::Result<T, StoreError>;
 
-/// What is read of a job's results.
+/// Selects a range of a job's results, and how long to wait for it.
 #[derive(Clone, Copy, Debug)]
 pub struct ResultsQuery {
-    /// Position of the first result asked for.
+    /// Position of the first requested result.
     pub position: usize,
-    /// Largest texts together, in bytes, unless the first alone is larger.
+    /// Limit on the total size of the returned texts, in bytes; one result is returned even if it is larger.
     pub bytes_max: usize,
-    /// Until when the first result is waited for.
+    /// Until when the read waits if no result at the position is stored yet.
     pub wait_until: TimePoint,
 }
 
-/// Results from a position on.
+/// Results read from the store.
 #[derive(Clone, Debug)]
-struct PageRead {
+struct StoredResults {
+    /// Results from the requested position on, without a gap.
     results: Vec<Arc<ResultEntry>>,
-    /// Revision of the read, from which a watch may go on.
+    /// Revision of the store at the read, from which a watch can continue.
     revision: u64,
 }
 
-/// The job as known here or on record; none if there is none on record.
+/// Returns the job from this process's index, or else from the store. `None` if the store has no such job.
 pub async fn read_job(state: &EdgeState, store: &StoreAccess, job: &str) -> Result<Option<JobView>> {
     if let Some(view) = state.jobs().get(job) {
         return Ok(Some(view.clone()));
@@ -49,91 +50,101 @@
     Ok(Some(JobView { entry, ended, settled: false, chunk_ends: BTreeMap::new(), results_end: None }))
 }
 
-/// Results as asked for: from the job's owner, or else from the store. Waits for the first one.
+/// Reads results from the job's owner, or else from the store. Waits until at least one is stored or the query's wait
+/// is over; the returned list is empty in the latter case.
 pub async fn read_results(
     state: &EdgeState,
     store: &StoreAccess,
     peers: &PeerClient,
     job: &SharedName,
-    read: &ResultsQuery,
+    query: &ResultsQuery,
 ) -> Result<Vec<Arc<ResultEntry>>> {
-    match results_from_owner(state, peers, job, read).await {
+    match results_from_owner(state, peers, job, query).await {
         Some(results) => Ok(results),
-        None => Ok(read_stored(state, store, job, read).await?.results),
+        None => Ok(read_from_store(state, store, job, query).await?.results),
     }
 }
 
-async fn read_stored(state: &EdgeState, store: &StoreAccess, job: &str, read: &ResultsQuery) -> Result<PageRead> {
-    let ResultsQuery { position, bytes_max, wait_until } = *read;
-    let tail = state.jobs().get(job).and_then(|view| view.results_end).filter(|(listed, _)| *listed == position);
-    let mut page = match tail {
-        // Nothing was listed there at that revision, so the watch tells everything.
-        Some((_, revision)) if wait_until > state.now() => PageRead { results: Vec::new(), revision },
-        _ => read_from(state, store, job, position, bytes_max).await?,
+/// Reads results from the store, and watches the store for new chunks while there is none.
+async fn read_from_store(
+    state: &EdgeState,
+    store: &StoreAccess,
+    job: &str,
+    query: &ResultsQuery,
+) -> Result<StoredResults> {
+    let ResultsQuery { position, bytes_max, wait_until } = *query;
+    let stored_end = state.jobs().get(job).and_then(|view| view.results_end).filter(|(count, _)| *count == position);
+    let mut stored = match stored_end {
+        // No result was stored at the position at that revision, so a watch from there returns every later result.
+        Some((_, revision)) if wait_until > state.now() => StoredResults { results: Vec::new(), revision },
+        _ => read_chunks(state, store, job, position, bytes_max).await?,
     };
-    while page.results.is_empty() {
+    while stored.results.is_empty() {
         let left_ms = wait_until.since_ms(state.now());
         if left_ms == 0 || state.jobs().is_ended(job) {
             break;
         }
-        let batch = match store.watch(&KeyLayout::chunks(job), page.revision, left_ms).await {
+        let batch = match store.watch(&KeyLayout::chunks(job), stored.revision, left_ms).await {
             Ok(batch) => batch,
-            Err(StoreError::HistoryGone) => return read_from(state, store, job, position, bytes_max).await,
-            // What was read before still holds.
+            Err(StoreError::HistoryGone) => return read_chunks(state, store, job, position, bytes_max).await,
+            // The results read before the watch are still valid.
             Err(error) => {
                 LogLine::new("result_watch_failed").field("job", job).field("reason", error).warn();
                 break;
             }
         };
-        page.revision = batch.revision;
-        let written = batch.changes.into_iter().filter_map(|change| match change {
+        stored.revision = batch.revision;
+        let written_items = batch.changes.into_iter().filter_map(|change| match change {
             StoreChange::Written(item) => Some(item),
             StoreChange::Removed { .. } => None,
         });
-        take_results(state, job, written, position, bytes_max, &mut page.results)?;
-        if text_bytes(&page.results) < bytes_max {
-            state.jobs().results_end_observed(job, position + page.results.len(), page.revision);
+        append_consecutive(state, job, written_items, position, bytes_max, &mut stored.results)?;
+        if total_text_bytes(&stored.results) < bytes_max {
+            state.jobs().results_end_observed(job, position + stored.results.len(), stored.revision);
         }
     }
-    Ok(page)
+    Ok(stored)
 }
 
-async fn read_from(
+/// Reads the chunks in the store that hold the results from `position` on, page by page, up to `bytes_max` bytes.
+async fn read_chunks(
     state: &EdgeState,
     store: &StoreAccess,
     job: &str,
     position: usize,
     bytes_max: usize,
-) -> Result<PageRead> {
+) -> Result<StoredResults> {
     let prefix = KeyLayout::chunks(job);
-    // Reading begins at the chunk that holds the position, or after the last known one.
-    let first = state.jobs().get(job).map_or(0, |view| {
-        let known = view.chunk_ends.range(..=position).next_back();
-        known.map_or(0, |(first, next)| if position < *next { *first } else { *next })
+    // Starts at the chunk that holds the position, or else after the last chunk before it that has been read.
+    let first_chunk = state.jobs().get(job).map_or(0, |view| {
+        let nearest_chunk = view.chunk_ends.range(..=position).next_back();
+        nearest_chunk.map_or(0, |(first, next)| if position < *next { *first } else { *next })
     });
-    let mut after = KeyLayout::before_chunk(job, first);
+    let mut after = KeyLayout::before_chunk(job, first_chunk);
     let mut results = Vec::new();
     loop {
         let page: RangePage = store.page(&prefix, after.as_deref()).await?;
         after = page.items.last().map(|item| item.key.clone()).or(after);
-        let more = page.more && !page.items.is_empty();
-        take_results(state, job, page.items.into_iter(), position, bytes_max, &mut results)?;
-        let bytes = text_bytes(&results);
-        if !more && bytes < bytes_max {
+        let has_more = page.more && !page.items.is_empty();
+        append_consecutive(state, job, page.items.into_iter(), position, bytes_max, &mut results)?;
+        let bytes = total_text_bytes(&results);
+        if !has_more && bytes < bytes_max {
             state.jobs().results_end_observed(job, position + results.len(), page.revision);
         }
-        if !more || bytes >= bytes_max {
-            return Ok(PageRead { results, revision: page.revision });
+        if !has_more || bytes >= bytes_max {
+            return Ok(StoredResults { results, revision: page.revision });
         }
     }
 }
 
-fn text_bytes(results: &[Arc<ResultEntry>]) -> usize {
+/// Total size of the results' texts, in bytes.
+fn total_text_bytes(results: &[Arc<ResultEntry>]) -> usize {
     results.iter().map(|result| result.text.len()).sum()
 }
 
-/// Appends the results at `position` and after from `items`, as long as they follow each other.
-fn take_results(
+/// Decodes the chunks in `items`, and appends those results that continue `results`, whose first one is at `position`.
+/// Stops before a result with which the texts would exceed `bytes_max` bytes.
+fn append_consecutive(
     state: &EdgeState,
     job: &str,
     items: impl Iterator<Item = StoreItem>,
@@ -141,13 +152,13 @@
     bytes_max: usize,
     results: &mut Vec<Arc<ResultEntry>>,
 ) -> Result<()> {
-    let mut bytes = text_bytes(results);
+    let mut bytes = total_text_bytes(results);
     for item in items {
         let entry: ResultsEntry =
             decode(&item.value).map_err(|error| StoreError::Malformed { problem: error.to_string() })?;
         state.jobs().chunk_stored(job, entry.first, entry.next());
-        for (at, result) in (entry.first..).zip(entry.results) {
-            if at != position + results.len() {
+        for (result_position, result) in (entry.first..).zip(entry.results) {
+            if result_position != position + results.len() {
                 continue;
             }
             bytes += result.text.len();
@@ -160,8 +171,8 @@
     Ok(())
 }
 
-/// The submission's body as it came.
-async fn read_submission_bytes(store: &StoreAccess, job: &str) -> Result<Bytes> {
+/// The encoded submission, joined from its stored parts.
+async fn read_encoded_submission(store: &StoreAccess, job: &str) -> Result<Bytes> {
     let page = store.range(&KeyLayout::parts(job)).await?;
     let mut body = BytesMut::new();
     for item in &page.items {
@@ -170,45 +181,46 @@
     Ok(body.freeze())
 }
 
-/// The submission, with its body as it came.
+/// Reads a job's submission from the store. Returns it decoded and encoded.
 pub async fn read_submission(store: &StoreAccess, job: &str) -> Result<(BatchSubmission, Bytes)> {
-    let body = read_submission_bytes(store, job).await?;
+    let body = read_encoded_submission(store, job).await?;
     let submission = decode_submission(&body).map_err(|error| StoreError::Malformed { problem: error.to_string() })?;
     Ok((submission, body))
 }
 
-/// The body of an item, if the job has it.
+/// Reads the body of the item `item_id` from the job's owner, or else from the store. `None` if the job has no such item.
 pub async fn read_item_body(
     state: &EdgeState,
     store: &StoreAccess,
     peers: &PeerClient,
     job: &SharedName,
-    id: &str,
+    item_id: &str,
 ) -> Result<Option<Bytes>> {
-    if let Some(body) = item_from_owner(state, peers, job, id).await {
+    if let Some(body) = item_from_owner(state, peers, job, item_id).await {
         return Ok(body);
     }
     let (submission, _) = read_submission(store, job).await?;
-    Ok(submission.items.into_iter().find(|item| *item.id == *id).map(|item| item.body))
+    Ok(submission.items.into_iter().find(|item| *item.id == *item_id).map(|item| item.body))
 }
 
-/// All listed results, in order.
+/// Reads all stored results of a job, in order of their positions.
 pub async fn read_all_results(state: &EdgeState, store: &StoreAccess, job: &str) -> Result<Vec<ResultEntry>> {
     let page = store.range(&KeyLayout::chunks(job)).await?;
     let mut results = Vec::new();
-    take_results(state, job, page.items.into_iter(), 0, usize::MAX, &mut results)?;
+    append_consecutive(state, job, page.items.into_iter(), 0, usize::MAX, &mut results)?;
     Ok(results.into_iter().map(Arc::unwrap_or_clone).collect())
 }
 
-/// Texts in the middle, as former owners put them on record. An unreadable entry is passed over: its texts begin anew.
+/// Reads the text checkpoints that previous owners stored. A malformed entry counts as an empty checkpoint: the
+/// generation of its texts starts again.
 pub async fn read_checkpoints(store: &StoreAccess, job: &str) -> Result<Vec<TextCheckpoint>> {
     let page = store.range(&KeyLayout::texts(job)).await?;
-    let decoded = page.items.iter().map(|item| match decode::<TextsEntry>(&item.value) {
+    let checkpoints = page.items.iter().map(|item| match decode::<TextsEntry>(&item.value) {
         Ok(entry) => TextCheckpoint::from(entry),
         Err(error) => {
             LogLine::new("entry_unreadable").field("key", &item.key).field("reason", error).warn();
             TextCheckpoint::default()
         }
     });
-    Ok(decoded.collect())
+    Ok(checkpoints.collect())
 }
--- a/crates/edge/src/job/job_runner.rs
+++ b/crates/edge/src/job/job_runner.rs
@@ -1,4 +1,4 @@
-//! Runs one owned job: deals its items to upstreams and lists their results.
+//! Runs one owned job: dispatches its items to upstreams, and stores their results.
 
 use super::{
     PendingJob,
@@ -29,17 +29,18 @@
 };
 use tokio::{sync::Notify, task::JoinSet};
 
-/// Longest time between two looks at a job.
-const LOOK_PERIOD: Duration = Duration::from_millis(100);
-/// Pause before a job's record is read again.
-const READ_PAUSE: Duration = Duration::from_millis(200);
+/// Longest time between two passes over a job; the end of a run or a scoring triggers one at once.
+const PASS_PERIOD: Duration = Duration::from_millis(100);
+/// Delay before a failed read of a job is repeated.
+const READ_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Owns `job` until it is settled or another daemon owns it.
+/// Runs the owned job `id` until it is settled or ended, another daemon owns it, or this daemon drains. In the last case
+/// an unfinished job is handed over.
 pub async fn run_job(state: Arc<EdgeState>, upstreams: Client, store: StoreAccess, id: SharedName) {
     if let Some(job) = open_job(&state, upstreams, store, &id).await {
-        work(&job).await;
+        drive_job(&job).await;
         if state.is_draining() && !job.ledger.borrow().is_settled() {
-            part(&job).await;
+            hand_over(&job).await;
         }
         let ledger = job.ledger.borrow();
         let ms = state.now().since_ms(job.submitted_at);
@@ -56,91 +57,98 @@
     state.jobs().job_released(&id);
 }
 
-/// Whether this process has no more to do for `job`. A missing owner is no reason to stop: the lease may have lapsed
-/// with the store, and this process claims the job again.
-fn is_over(state: &EdgeState, job: &str) -> bool {
+/// Whether this process must stop running `job`. A missing owner is no reason to stop: the lease may have expired
+/// while the store was unreachable, and this process then claims the job again.
+fn should_stop(state: &EdgeState, job: &str) -> bool {
     state.ownership().is_taken(job) || state.jobs().is_ended(job) || state.is_draining()
 }
 
-/// What a new owner begins with.
-struct JobRecord {
-    kept: PendingJob,
-    /// Listed results, in order.
-    listed: Vec<ResultEntry>,
-    /// Texts in the middle.
-    texts: Vec<TextCheckpoint>,
+/// What a new owner needs in order to start a job.
+struct JobInputs {
+    pending: PendingJob,
+    /// Stored results, in order of their positions.
+    results: Vec<ResultEntry>,
+    /// Stored checkpoints of unfinished texts.
+    checkpoints: Vec<TextCheckpoint>,
 }
 
-/// Reads what the job needs, as often as it takes.
+/// Reads the job, and repeats failed reads. `None` if this process must stop running the job meanwhile.
 async fn open_job(state: &Arc<EdgeState>, upstreams: Client, store: StoreAccess, id: &SharedName) -> Option<OwnedJob> {
-    let kept = state.jobs().take_pending(id);
+    let pending = state.jobs().take_pending(id);
     loop {
-        if is_over(state, id) {
+        if should_stop(state, id) {
             return None;
         }
-        match read_record(state, &store, id, kept.clone()).await {
-            Ok(record) => return build_job(state, upstreams, store, id, record),
+        match read_inputs(state, &store, id, pending.clone()).await {
+            Ok(inputs) => return build_job(state, upstreams, store, id, inputs),
             Err(error) => {
-                LogLine::new("job_unread").field("job", id).field("reason", error).warn();
-                actix_rt::time::sleep(READ_PAUSE).await;
+                LogLine::new("job_read_failed").field("job", id).field("reason", error).warn();
+                actix_rt::time::sleep(READ_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn read_record(
+/// Reads from the store what the pending job, if there is one, does not contain.
+async fn read_inputs(
     state: &EdgeState,
     store: &StoreAccess,
     id: &SharedName,
-    kept: Option<PendingJob>,
-) -> Result<JobRecord, StoreError> {
-    match kept {
-        // A job that has not run before has nothing on record.
-        Some(kept) if kept.ledger.is_none() => Ok(JobRecord { kept, listed: Vec::new(), texts: Vec::new() }),
-        Some(kept) => Ok(JobRecord { kept, listed: read_all_results(state, store, id).await?, texts: Vec::new() }),
+    pending: Option<PendingJob>,
+) -> Result<JobInputs, StoreError> {
+    match pending {
+        // A job that has not run before has no stored results or checkpoints.
+        Some(pending) if pending.ledger.is_none() => {
+            Ok(JobInputs { pending, results: Vec::new(), checkpoints: Vec::new() })
+        }
+        Some(pending) => {
+            Ok(JobInputs { pending, results: read_all_results(state, store, id).await?, checkpoints: Vec::new() })
+        }
         None => {
             let (submission, body) = read_submission(store, id).await?;
-            let kept = PendingJob { submission: Arc::new(submission), body, ledger: None };
-            let listed = read_all_results(state, store, id).await?;
-            Ok(JobRecord { kept, listed, texts: read_checkpoints(store, id).await? })
+            let pending = PendingJob { submission: Arc::new(submission), body, ledger: None };
+            let results = read_all_results(state, store, id).await?;
+            Ok(JobInputs { pending, results, checkpoints: read_checkpoints(store, id).await? })
         }
     }
 }
 
+/// Builds the state of the job, with a ledger that continues from the stored and the handed-over progress. `None` if
+/// the job or its owner is no longer recorded.
 fn build_job(
     state: &Arc<EdgeState>,
     upstreams: Client,
     store: StoreAccess,
     id: &SharedName,
-    record: JobRecord,
+    inputs: JobInputs,
 ) -> Option<OwnedJob> {
-    let JobRecord { kept: PendingJob { submission, body, ledger: former }, listed, texts } = record;
+    let JobInputs { pending: PendingJob { submission, body, ledger: previous_ledger }, results, checkpoints } = inputs;
     let entry = state.jobs().get(id)?.entry.clone();
     let revision = state.ownership().owner(id)?.revision;
     let age_ms = state.unix_ms().saturating_sub(entry.submitted_unix_ms);
     let submitted_at = state.now().minus_ms(age_ms);
     let rule = state.config().and_then(|config| config.route(&entry.host, &entry.path).cloned());
-    let terms = terms(rule.as_deref(), &submission, submitted_at);
+    let terms = batch_terms(rule.as_deref(), &submission, submitted_at);
     let specs = submission.items.iter().map(item_spec).collect();
-    let indexes: Vec<usize> = listed.iter().map(|result| result.index).collect();
-    let mut ledger = BatchLedger::new(terms, specs, &indexes);
-    let handed = former.as_ref().map_or(0, |former| former.items.len() + former.unlisted.len());
-    if let Some(former) = former {
-        ledger.restore(former);
+    let stored_indexes: Vec<usize> = results.iter().map(|result| result.index).collect();
+    let mut ledger = BatchLedger::new(terms, specs, &stored_indexes);
+    let handed_over = previous_ledger.as_ref().map_or(0, |ledger| ledger.items.len() + ledger.unlisted.len());
+    if let Some(previous_ledger) = previous_ledger {
+        ledger.restore(previous_ledger);
     }
-    ledger.replay(&texts);
+    ledger.replay(&checkpoints);
     LogLine::new("job_begun")
         .field("job", id)
         .field("step", submission.step)
         .field("items", submission.items.len())
-        .field("listed", indexes.len())
-        .field("handed_over", handed)
-        .field("checkpoints", texts.len())
+        .field("listed", stored_indexes.len())
+        .field("handed_over", handed_over)
+        .field("checkpoints", checkpoints.len())
         .field("oldest_version", submission.oldest_version)
         .field("age_ms", age_ms)
         .field("revision", revision)
         .info();
-    state.jobs().job_opened(id, submission.clone(), listed);
+    state.jobs().job_opened(id, submission.clone(), results);
     Some(OwnedJob {
         state: state.clone(),
         upstreams,
@@ -157,7 +165,8 @@
     })
 }
 
-fn terms(rule: Option<&RouteRule>, submission: &BatchSubmission, submitted_at: TimePoint) -> BatchTerms {
+/// Terms of the job according to its submission and its route; without a route, a failed item is not tried again.
+fn batch_terms(rule: Option<&RouteRule>, submission: &BatchSubmission, submitted_at: TimePoint) -> BatchTerms {
     let batch = rule.and_then(RouteRule::batch);
     BatchTerms {
         attempts_max: rule.map_or(1, |rule| rule.attempts_max),
@@ -168,14 +177,15 @@
     }
 }
 
+/// The ledger's description of an item.
 fn item_spec(item: &BatchItem) -> ItemSpec {
     ItemSpec { group: item.group.clone(), expected_tokens: item.expected_tokens(), scored: item.scorer.is_some() }
 }
 
-/// Hands an unfinished job to another daemon.
-async fn part(job: &OwnedJob) {
+/// Hands an unfinished job over to another daemon.
+async fn hand_over(job: &OwnedJob) {
     let placement_key = job.route().map_or_else(|| job.entry.path.clone(), |rule| rule.name.clone());
-    let new = SubmittedJob {
+    let submitted_job = SubmittedJob {
         id: job.id.clone(),
         entry: job.entry.clone(),
         placement_key,
@@ -184,17 +194,18 @@
     };
     let ledger = job.ledger.borrow().state();
     let parts = WorkerParts::new(job.state.clone());
-    hand_over_job(&parts, &new, job.owner_revision.get(), ledger).await;
+    hand_over_job(&parts, &submitted_job, job.owner_revision.get(), ledger).await;
 }
 
-async fn work(job: &OwnedJob) {
+/// Dispatches items and stores results, pass by pass, until the job is settled or this process must stop running it.
+async fn drive_job(job: &OwnedJob) {
     let state = &job.state;
-    // Dropping the set ends all runs and closes their connections.
+    // Dropping the set cancels all runs and closes their connections.
     let mut runs = JoinSet::new();
     let mut writer = LedgerWriter::new(state.now());
     loop {
         while runs.try_join_next().is_some() {}
-        if is_over(state, &job.id) {
+        if should_stop(state, &job.id) {
             if state.jobs().is_ended(&job.id) {
                 job.ledger.borrow_mut().end();
             }
@@ -204,7 +215,7 @@
             job.owner_revision.set(owner.revision);
         }
         let now = state.now();
-        deal(job, &mut runs, now);
+        dispatch_items(job, &mut runs, now);
         if writer.write_due(job, now).await == WriteOutcome::Superseded {
             return;
         }
@@ -214,12 +225,12 @@
             state.results_listed.notify_waiters();
             return;
         }
-        let _ = actix_rt::time::timeout(LOOK_PERIOD, job.changed.notified()).await;
+        let _ = actix_rt::time::timeout(PASS_PERIOD, job.changed.notified()).await;
     }
 }
 
-/// Starts as many runs and scorings as there is room for.
-fn deal(job: &OwnedJob, runs: &mut JoinSet<()>, now: TimePoint) {
+/// Starts runs and scorings until no upstream has a free slot. Gives up all items if the route is no longer configured.
+fn dispatch_items(job: &OwnedJob, runs: &mut JoinSet<()>, now: TimePoint) {
     let Some(rule) = job.route() else {
         if job.state.config().is_some() {
             LogLine::new("job_route_gone").field("job", &job.id).warn();
@@ -230,32 +241,32 @@
     let Some(batch) = rule.batch() else { return };
     job.ledger.borrow_mut().expire(now);
     let give_up_at = job.submitted_at.plus_ms(batch.retention_ms);
-    let waits = job.ledger.borrow().waiting() > 0;
-    state_waiting(job, &rule, waits);
-    while waits && job.state.jobs().is_oldest_waiting(&rule.name, &job.id, job.submitted_at) {
-        let next = job.ledger.borrow_mut().next_run(now);
-        let Some(work) = next else { break };
-        let Some(guard) = place(job, &rule, work) else {
+    let has_waiting = job.ledger.borrow().waiting() > 0;
+    update_waiting(job, &rule, has_waiting);
+    while has_waiting && job.state.jobs().is_oldest_waiting(&rule.name, &job.id, job.submitted_at) {
+        let next_item = job.ledger.borrow_mut().next_run(now);
+        let Some(work) = next_item else { break };
+        let Some(guard) = select_upstream(job, &rule, work) else {
             job.ledger.borrow_mut().put_back(work.index);
             break;
         };
         runs.spawn_local(run_item(job.clone(), work, guard, rule.priority, give_up_at));
     }
-    let waits = job.ledger.borrow().waiting() > 0;
-    state_waiting(job, &rule, waits);
-    deal_scores(job, runs, now);
+    let has_waiting = job.ledger.borrow().waiting() > 0;
+    update_waiting(job, &rule, has_waiting);
+    dispatch_scores(job, runs, now);
 }
 
-/// Starts as many scorers' calls as there is room for.
-fn deal_scores(job: &OwnedJob, runs: &mut JoinSet<()>, now: TimePoint) {
+/// Starts scorer calls until no upstream has a spare slot.
+fn dispatch_scores(job: &OwnedJob, runs: &mut JoinSet<()>, now: TimePoint) {
     loop {
-        let next = job.ledger.borrow_mut().next_score(now);
-        let Some(index) = next else { return };
+        let next_item = job.ledger.borrow_mut().next_score(now);
+        let Some(index) = next_item else { return };
         match prepare_score_call(job, index) {
-            Ok(placed) => runs.spawn_local(score_item(job.clone(), index, placed)),
-            Err(hindrance) => {
+            Ok(call) => runs.spawn_local(score_item(job.clone(), index, call)),
+            Err(error) => {
                 job.ledger.borrow_mut().put_back_score(index);
-                if hindrance == PlacementError::NoRoute {
+                if error == PlacementError::NoRoute {
                     LogLine::new("scorer_unroutable").field("job", &job.id).field("index", index).warn();
                 }
                 return;
@@ -264,13 +275,14 @@
     }
 }
 
-fn state_waiting(job: &OwnedJob, rule: &RouteRule, waits: bool) {
-    let submitted_at = waits.then_some(job.submitted_at);
+/// Records in the index whether the job has waiting items, which defers newer jobs of its route.
+fn update_waiting(job: &OwnedJob, rule: &RouteRule, has_waiting: bool) {
+    let submitted_at = has_waiting.then_some(job.submitted_at);
     job.state.jobs().set_waiting(rule.name.clone(), job.id.clone(), submitted_at);
 }
 
-/// Chooses the upstream for an item.
-fn place(job: &OwnedJob, rule: &RouteRule, work: ItemWork) -> Option<SamplerGuard> {
+/// Selects an upstream with a free slot for an item, and counts the run on it. `None` if there is no such upstream.
+fn select_upstream(job: &OwnedJob, rule: &RouteRule, work: ItemWork) -> Option<SamplerGuard> {
     let item = &job.submission.items[work.index];
     let model = item_model(job, work.index);
     let service = rule.service(pimentoslip_kernel::fingerprint(&[item.id.as_bytes()]))?;
--- a/crates/edge/src/job/job_writer.rs
+++ b/crates/edge/src/job/job_writer.rs
@@ -1,4 +1,4 @@
-//! Puts batch jobs and their ends on record.
+//! Stores batch jobs and their ends, and transfers jobs to the daemons that own them.
 
 use super::PendingJob;
 use crate::{edge_state::EdgeState, store::StoreAccess, worker_parts::WorkerParts};
@@ -14,47 +14,49 @@
 };
 use std::{sync::Arc, time::Duration};
 
-/// Largest part of a submission in bytes, below the platform's limit on values.
+/// Largest stored part of a submission; below the platform's limit on the size of a value.
 const PART_BYTES_MAX: usize = 700_000;
-/// Pause before a write is repeated.
-const RETRY_PAUSE: Duration = Duration::from_millis(60);
+/// Delay before a failed write is repeated.
+const RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// Longest wait for the owner to take a job in; it answers in milliseconds.
+/// Longest wait for the owner to accept a job; it normally answers within milliseconds.
 const PUSH_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Path at which daemons take jobs in.
+/// Path of the peer interface at which a daemon accepts jobs that it owns.
 pub const JOB_PUSH_PATH: &str = "/peer/job";
 
-/// How a submission ended.
+/// Outcome of a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubmitOutcome {
-    /// It is on record.
+    /// The job is stored.
     Accepted,
-    /// It is on record for another organisation.
+    /// A job of another organisation is stored under the same id.
     Foreign,
-    /// It is not on record and will not be.
+    /// The job is not stored, and no write is in progress that could still store it.
     NotDone,
-    /// It may be on record, now or later.
+    /// The job may be stored, or may still become stored: the outcome of a write is unknown.
     Unknown,
 }
 
-/// A job that is to be put on record.
+/// A batch job with its submission, to be stored in the store or transferred to another daemon.
 #[derive(Clone, Debug)]
 pub struct SubmittedJob {
-    /// Job.
+    /// Id of the job.
     pub id: SharedName,
-    /// Its record.
+    /// Entry to be stored.
     pub entry: JobEntry,
-    /// Jobs of one kind have one owner.
+    /// Jobs with the same key are assigned to the same daemon. The name of the route, or the path if the job has no route
+    /// any more; unused by the receiver of a job.
     pub placement_key: SharedName,
-    /// The submission's body.
+    /// Encoded submission.
     pub body: Bytes,
-    /// What the body says.
+    /// Decoded submission.
     pub submission: Arc<BatchSubmission>,
 }
 
 impl SubmittedJob {
-    /// The message for the owner, whose record stands at `revision`.
-    fn push(&self, owner: &ChosenOwner, revision: u64, state: Option<LedgerState>) -> JobPush {
+    /// Builds the message that transfers the job to `owner`, whose ownership entry was written at `revision`. `state` is
+    /// the progress of a job that has run before.
+    fn push_message(&self, owner: &ChosenOwner, revision: u64, state: Option<LedgerState>) -> JobPush {
         JobPush {
             job: self.id.clone(),
             entry: self.entry.clone(),
@@ -66,89 +68,95 @@
     }
 }
 
-/// The daemon that will own a job.
+/// The daemon selected to own a job.
 #[derive(Clone, Debug)]
 struct ChosenOwner {
     signature: DaemonEntry,
     presence: DaemonPresence,
 }
 
-/// Puts a job on record with an owner, and hands it to the owner.
+/// Stores a job together with its owner in one commit, and transfers it to the owner. A failed commit is repeated until
+/// `deadline`.
 pub async fn submit_job(parts: &WorkerParts, job: &SubmittedJob, deadline: TimePoint) -> SubmitOutcome {
     let state = &parts.state;
-    if let Some(known) = state.jobs().get(&job.id) {
-        let is_own = known.entry.organisation == job.entry.organisation;
+    if let Some(existing) = state.jobs().get(&job.id) {
+        let is_own = existing.entry.organisation == job.entry.organisation;
         return if is_own { SubmitOutcome::Accepted } else { SubmitOutcome::Foreign };
     }
     let mut owner = choose_owner(state, &job.placement_key, None);
-    let mut unknown = false;
+    let mut outcome_unknown = false;
     loop {
         let Some(commit) = submission_commit(job, owner.as_ref()) else { return SubmitOutcome::NotDone };
         match parts.store.commit(&commit).await {
             Ok(CommitOutcome::Done(revision)) => {
-                accept(parts, job, owner, revision);
+                assign_stored_job(parts, job, owner, revision);
                 return SubmitOutcome::Accepted;
             }
             Ok(CommitOutcome::Conflict(items)) => {
-                let record = items.first().and_then(|item| decode::<JobEntry>(&item.value).ok());
-                let foreign = record.is_some_and(|record| record.organisation != job.entry.organisation);
-                return if foreign { SubmitOutcome::Foreign } else { SubmitOutcome::Accepted };
+                let existing = items.first().and_then(|item| decode::<JobEntry>(&item.value).ok());
+                let is_foreign = existing.is_some_and(|existing| existing.organisation != job.entry.organisation);
+                return if is_foreign { SubmitOutcome::Foreign } else { SubmitOutcome::Accepted };
             }
             Err(error) => {
                 LogLine::new("submit_retry").field("job", &job.id).field("reason", &error).warn();
                 match error {
-                    // Any daemon may claim a job without an owner.
+                    // The owner's lease has expired. The job is stored without an owner, and any daemon may claim it.
                     StoreError::LeaseGone => owner = None,
                     StoreError::NotDone { .. } => {}
-                    _ => unknown = true,
+                    _ => outcome_unknown = true,
                 }
             }
         }
         if state.now() >= deadline {
-            return if unknown { SubmitOutcome::Unknown } else { SubmitOutcome::NotDone };
+            return if outcome_unknown { SubmitOutcome::Unknown } else { SubmitOutcome::NotDone };
         }
-        actix_rt::time::sleep(RETRY_PAUSE).await;
+        actix_rt::time::sleep(RETRY_DELAY).await;
     }
 }
 
-fn choose_owner(state: &EdgeState, kind: &str, excluded: Option<&str>) -> Option<ChosenOwner> {
+/// The present daemon that jobs with `placement_key` are assigned to, other than `excluded`.
+fn choose_owner(state: &EdgeState, placement_key: &str, excluded: Option<&str>) -> Option<ChosenOwner> {
     let ownership = state.ownership();
-    let (daemon, presence) = ownership.preferred(kind, excluded)?;
+    let (daemon, presence) = ownership.preferred(placement_key, excluded)?;
     let signature = DaemonEntry { daemon: daemon.clone(), incarnation: presence.incarnation };
     Some(ChosenOwner { signature, presence: presence.clone() })
 }
 
-/// The commit that puts a job, its parts and its owner on record.
+/// The commit that stores a job's entry, the parts of its submission and its owner, unless the job is stored already.
+/// `None` if an entry cannot be encoded.
 fn submission_commit(job: &SubmittedJob, owner: Option<&ChosenOwner>) -> Option<StoreCommit> {
-    let record = encode(&job.entry).ok()?;
+    let entry = encode(&job.entry).ok()?;
     let key = KeyLayout::job(&job.id);
-    let mut commit = StoreCommit::default().expect(key.clone(), 0).put(key, record, 0);
+    let mut commit = StoreCommit::default().expect(key.clone(), 0).put(key, entry, 0);
     if let Some(owner) = owner {
         commit = commit.put(KeyLayout::owner(&job.id), encode(&owner.signature).ok()?, owner.presence.lease);
     }
     let length = job.body.len();
-    let parts = (0..length).step_by(PART_BYTES_MAX).map(|from| job.body.slice(from..length.min(from + PART_BYTES_MAX)));
+    let parts =
+        (0..length).step_by(PART_BYTES_MAX).map(|start| job.body.slice(start..length.min(start + PART_BYTES_MAX)));
     Some(parts.enumerate().fold(commit, |commit, (number, part)| commit.put(KeyLayout::part(&job.id, number), part, 0)))
 }
 
-fn accept(parts: &WorkerParts, job: &SubmittedJob, owner: Option<ChosenOwner>, revision: u64) {
+/// Records a job that was stored at `revision`, and transfers it to its owner: at once if that is this process, or else
+/// with a message in the background.
+fn assign_stored_job(parts: &WorkerParts, job: &SubmittedJob, owner: Option<ChosenOwner>, revision: u64) {
     let Some(owner) = owner else { return receive_job(&parts.state, job, None, None) };
-    let record = owner.signature.clone().into_owner(revision);
+    let owner_record = owner.signature.clone().into_owner(revision);
     if owner.signature == parts.state.signature() {
-        return receive_job(&parts.state, job, Some(record), None);
+        return receive_job(&parts.state, job, Some(owner_record), None);
     }
     {
         let now = parts.state.now();
         parts.state.jobs().job_accepted(job.id.clone(), job.entry.clone());
         let mut ownership = parts.state.ownership();
         ownership.job_accepted(job.id.clone(), now);
-        ownership.owner_known(job.id.clone(), record, now);
+        ownership.owner_known(job.id.clone(), owner_record, now);
     }
-    let push = job.push(&owner, revision, None);
+    let push = job.push_message(&owner, revision, None);
     actix_rt::spawn(push_job(parts.upstreams.clone(), owner.presence.control, push));
 }
 
-/// Hands a job to its owner. If that fails, the owner reads the job from the store.
+/// Sends a job to its owner. If that fails, the owner reads the job from the store.
 async fn push_job(client: Client, control: SharedName, push: JobPush) {
     let body = match encode(&push) {
         Ok(body) => body,
@@ -156,32 +164,34 @@
     };
     let request = client.post(format!("http://{control}{JOB_PUSH_PATH}")).timeout(PUSH_TIMEOUT);
     let result = match request.send_body(body).await {
-        Ok(answer) => answer.status().as_u16().to_string(),
+        Ok(response) => response.status().as_u16().to_string(),
         Err(error) => error.to_string(),
     };
     LogLine::new("job_pushed").field("job", &push.job).field("owner", control).field("result", result).info();
 }
 
-/// Hands a job to another daemon with all that is known of it, before this one stops.
+/// Transfers a job with its progress to another daemon, before this one stops. `revision` is that of the ownership entry
+/// to be replaced. If the transfer fails, another daemon claims the job after the lease of this one has ended.
 pub async fn hand_over_job(parts: &WorkerParts, job: &SubmittedJob, revision: u64, ledger: LedgerState) {
-    let own = parts.state.settings.vm.clone();
-    let Some(owner) = choose_owner(&parts.state, &job.placement_key, Some(&own)) else { return };
+    let own_vm = parts.state.settings.vm.clone();
+    let Some(owner) = choose_owner(&parts.state, &job.placement_key, Some(&own_vm)) else { return };
     let Ok(signature) = encode(&owner.signature) else { return };
     let key = KeyLayout::owner(&job.id);
     let commit = StoreCommit::default().expect(key.clone(), revision).put(key, signature, owner.presence.lease);
     match parts.store.commit(&commit).await {
         Ok(CommitOutcome::Done(revision)) => {
-            let push = job.push(&owner, revision, Some(ledger));
+            let push = job.push_message(&owner, revision, Some(ledger));
             push_job(parts.upstreams.clone(), owner.presence.control, push).await;
         }
-        Ok(CommitOutcome::Conflict(_)) => {
-            LogLine::new("job_not_handed_over").field("job", &job.id).field("reason", "owner changed").info()
-        }
+        Ok(CommitOutcome::Conflict(_)) => LogLine::new("job_not_handed_over")
+            .field("job", &job.id)
+            .field("reason", "another daemon has become the owner")
+            .info(),
         Err(error) => LogLine::new("job_not_handed_over").field("job", &job.id).field("reason", error).warn(),
     }
 }
 
-/// Takes a job in that is on record.
+/// Accepts a stored job that this process runs, or that any daemon may claim if `owner` is `None`.
 pub fn receive_job(state: &EdgeState, job: &SubmittedJob, owner: Option<OwnerRecord>, ledger: Option<LedgerState>) {
     let now = state.now();
     {
@@ -203,7 +213,7 @@
     state.job_changed.notify_waiters();
 }
 
-/// Puts a job's end on record. False if that is not certain.
+/// Stores the end of a job and deletes its owner. Returns false if the end may not be stored by `deadline`.
 pub async fn end_job(state: &EdgeState, store: &StoreAccess, job: &str, deadline: TimePoint) -> bool {
     if state.jobs().is_ended(job) {
         return true;
@@ -217,11 +227,11 @@
                 state.job_changed.notify_waiters();
                 return true;
             }
-            Err(error) => LogLine::new("end_retry").field("job", job).field("reason", &error).warn(),
+            Err(error) => LogLine::new("job_end_retried").field("job", job).field("reason", &error).warn(),
         }
         if state.now() >= deadline {
             return false;
         }
-        actix_rt::time::sleep(RETRY_PAUSE).await;
+        actix_rt::time::sleep(RETRY_DELAY).await;
     }
 }
--- a/crates/edge/src/job/ledger_writer.rs
+++ b/crates/edge/src/job/ledger_writer.rs
@@ -1,4 +1,4 @@
-//! Puts on record what an owner has: finished results, and texts in the middle for the next owner.
+//! Stores the progress of an owned job: finished results, and checkpoints of unfinished texts for the next owner.
 
 use super::owned_job::OwnedJob;
 use bytes::Bytes;
@@ -10,87 +10,95 @@
     stored::{KeyLayout, ResultsEntry, TextsEntry},
 };
 
-/// Time between two writes, in which further results gather, in milliseconds.
+/// Least time between two writes, so that one write stores several results.
 const WRITE_PERIOD_MS: u64 = 400;
-/// Time after a write until texts are put on record where no result is, in milliseconds: what a takeover may cost.
-const TEXT_PERIOD_MS: u64 = 800;
-/// Largest results of one write in bytes, below the platform's limit on values.
+/// Time after a write until a checkpoint is stored without any result; bounds the work that is lost when another daemon
+/// takes the job over.
+const CHECKPOINT_PERIOD_MS: u64 = 800;
+/// Largest results of one write; below the platform's limit on the size of a value.
 const CHUNK_BYTES_MAX: usize = 600_000;
-/// Largest texts of one write in bytes, up to the last item's; below the platform's limit on values.
-const TEXT_BYTES_MAX: usize = 400_000;
+/// Size at which a checkpoint is closed, so that only its last text exceeds it; below the platform's limit on the size of
+/// a value.
+const CHECKPOINT_BYTES_MAX: usize = 400_000;
 
-/// Whether the owner may go on.
+/// Outcome of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It may.
+    /// The owner may continue, also after a failed write, which is repeated.
     Continue,
-    /// The record holds what this owner did not write.
+    /// The store holds other results in place of those of this owner, which must stop.
     Superseded,
 }
 
-/// Results on their way to the record.
+/// A chunk of results to be stored.
 struct ResultsWrite {
     key: String,
     entry: ResultsEntry,
     value: Bytes,
 }
 
-/// Texts on their way to the record.
-struct TextsWrite {
+/// A text checkpoint to be stored.
+struct CheckpointWrite {
     key: String,
     number: usize,
     value: Bytes,
 }
 
-/// Writes of one job.
+/// Schedules the writes of one job.
 #[derive(Debug)]
 pub struct LedgerWriter {
+    /// When results are written next.
     results_at: TimePoint,
-    texts_at: TimePoint,
+    /// When a checkpoint is written next, if no results are written before.
+    checkpoint_at: TimePoint,
 }
 
 impl LedgerWriter {
-    /// The first results are written as soon as there are any.
+    /// Creates a writer that writes the first results as soon as there are any.
     #[must_use]
     pub fn new(now: TimePoint) -> Self {
-        Self { results_at: now, texts_at: now.plus_ms(TEXT_PERIOD_MS) }
+        Self { results_at: now, checkpoint_at: now.plus_ms(CHECKPOINT_PERIOD_MS) }
     }
 
-    /// Writes what is due, under the ownership record's revision.
+    /// Writes due results and checkpoints in one commit, which fails if the ownership entry has another revision than
+    /// recorded.
     pub async fn write_due(&mut self, job: &OwnedJob, now: TimePoint) -> WriteOutcome {
-        let due = {
+        let results_due = {
             let ledger = job.ledger.borrow();
             now >= self.results_at || ledger.is_finished() || ledger.is_urgent()
         };
-        let results = if due { results_write(job) } else { None };
-        let texts = if results.is_some() || now >= self.texts_at { texts_write(job) } else { None };
+        let results = if results_due { results_write(job) } else { None };
+        let texts = if results.is_some() || now >= self.checkpoint_at { checkpoint_write(job) } else { None };
         if results.is_none() && texts.is_none() {
             return WriteOutcome::Continue;
         }
-        let outcome = write(job, results.as_ref(), texts.as_ref()).await;
-        let written = job.state.now();
-        self.results_at = written.plus_ms(WRITE_PERIOD_MS);
-        self.texts_at = written.plus_ms(TEXT_PERIOD_MS);
+        let outcome = commit_writes(job, results.as_ref(), texts.as_ref()).await;
+        let written_at = job.state.now();
+        self.results_at = written_at.plus_ms(WRITE_PERIOD_MS);
+        self.checkpoint_at = written_at.plus_ms(CHECKPOINT_PERIOD_MS);
         outcome
     }
 }
 
+/// The next chunk of results, if there is one.
 fn results_write(job: &OwnedJob) -> Option<ResultsWrite> {
     let mut ledger = job.ledger.borrow_mut();
     let chunk = ledger.chunk(CHUNK_BYTES_MAX)?;
     let entry = ResultsEntry::of(chunk, |index| job.submission.items[index].id.clone());
-    let value = encoded(job, encode(&entry))?;
+    let value = encoded_entry(job, encode(&entry))?;
     Some(ResultsWrite { key: KeyLayout::chunk(&job.id, entry.first), entry, value })
 }
 
-fn texts_write(job: &OwnedJob) -> Option<TextsWrite> {
+/// The next text checkpoint, if there is one.
+fn checkpoint_write(job: &OwnedJob) -> Option<CheckpointWrite> {
     let mut ledger = job.ledger.borrow_mut();
-    let (number, checkpoint) = ledger.checkpoint(TEXT_BYTES_MAX)?;
-    let value = encoded(job, encode(&TextsEntry::from(checkpoint)))?;
-    Some(TextsWrite { key: KeyLayout::text(&job.id, number), number, value })
+    let (number, checkpoint) = ledger.checkpoint(CHECKPOINT_BYTES_MAX)?;
+    let value = encoded_entry(job, encode(&TextsEntry::from(checkpoint)))?;
+    Some(CheckpointWrite { key: KeyLayout::text(&job.id, number), number, value })
 }
 
-fn encoded(job: &OwnedJob, entry: CodecResult<Vec<u8>>) -> Option<Bytes> {
+/// The encoded entry. `None` if it could not be encoded, which is logged.
+fn encoded_entry(job: &OwnedJob, entry: CodecResult<Vec<u8>>) -> Option<Bytes> {
     match entry {
         Ok(value) => Some(value.into()),
         Err(error) => {
@@ -100,20 +108,25 @@
     }
 }
 
-async fn write(job: &OwnedJob, results: Option<&ResultsWrite>, texts: Option<&TextsWrite>) -> WriteOutcome {
+/// Commits the results and the checkpoint, on the condition that neither key exists and the ownership entry is unchanged.
+async fn commit_writes(
+    job: &OwnedJob,
+    results: Option<&ResultsWrite>,
+    texts: Option<&CheckpointWrite>,
+) -> WriteOutcome {
     let mut commit = StoreCommit::default().expect(KeyLayout::owner(&job.id), job.owner_revision.get());
-    let results_put = results.map(|write| (&write.key, &write.value));
-    let texts_put = texts.map(|write| (&write.key, &write.value));
-    for (key, value) in results_put.into_iter().chain(texts_put) {
+    let results_pair = results.map(|write| (&write.key, &write.value));
+    let texts_pair = texts.map(|write| (&write.key, &write.value));
+    for (key, value) in results_pair.into_iter().chain(texts_pair) {
         commit = commit.expect(key.clone(), 0).put(key.clone(), value.clone(), 0);
     }
     match job.store.commit(&commit).await {
         Ok(CommitOutcome::Done(revision)) => {
-            results.into_iter().for_each(|results| listed(job, &results.entry, revision));
-            texts.into_iter().for_each(|texts| saved(job, texts, revision));
+            results.into_iter().for_each(|results| results_stored(job, &results.entry, revision));
+            texts.into_iter().for_each(|texts| checkpoint_stored(job, texts, revision));
             WriteOutcome::Continue
         }
-        Ok(CommitOutcome::Conflict(items)) => settle_conflict(job, results, texts, &items),
+        Ok(CommitOutcome::Conflict(items)) => resolve_conflict(job, results, texts, &items),
         Err(error) => {
             LogLine::new("ledger_not_written")
                 .field("job", &job.id)
@@ -126,28 +139,29 @@
     }
 }
 
-/// An earlier write may have been done without an answer, or the ownership record has changed; the next look shows
-/// whether that is still this daemon's.
-fn settle_conflict(
+/// Resolves a conflict by comparing the stored `items` with those to be written. An earlier write may have succeeded
+/// without a response; equal items count as stored. Or the ownership entry has changed; the job's next pass finds out
+/// whether this daemon is still the owner.
+fn resolve_conflict(
     job: &OwnedJob,
     results: Option<&ResultsWrite>,
-    texts: Option<&TextsWrite>,
+    texts: Option<&CheckpointWrite>,
     items: &[StoreItem],
 ) -> WriteOutcome {
-    let stored = |key: &str| items.iter().find(|item| item.key == key);
+    let stored_item = |key: &str| items.iter().find(|item| item.key == key);
     if let Some(texts) = texts
-        && let Some(item) = stored(&texts.key)
+        && let Some(item) = stored_item(&texts.key)
     {
         if item.value == texts.value {
-            saved(job, texts, item.revision);
+            checkpoint_stored(job, texts, item.revision);
         } else {
             LogLine::new("texts_conflict").field("job", &job.id).field("number", texts.number).warn();
             job.ledger.borrow_mut().checkpoint_taken(texts.number);
         }
     }
     let Some(results) = results else { return WriteOutcome::Continue };
-    match stored(&results.key) {
-        Some(item) if item.value == results.value => listed(job, &results.entry, item.revision),
+    match stored_item(&results.key) {
+        Some(item) if item.value == results.value => results_stored(job, &results.entry, item.revision),
         Some(_) => {
             LogLine::new("results_conflict").field("job", &job.id).field("first", results.entry.first).warn();
             return WriteOutcome::Superseded;
@@ -157,7 +171,8 @@
     WriteOutcome::Continue
 }
 
-fn listed(job: &OwnedJob, entry: &ResultsEntry, revision: u64) {
+/// Removes stored results from the ledger, and publishes them to readers.
+fn results_stored(job: &OwnedJob, entry: &ResultsEntry, revision: u64) {
     LogLine::new("results_listed")
         .field("job", &job.id)
         .field("first", entry.first)
@@ -173,7 +188,8 @@
     job.state.results_listed.notify_waiters();
 }
 
-fn saved(job: &OwnedJob, texts: &TextsWrite, revision: u64) {
+/// Removes stored texts from the next checkpoints.
+fn checkpoint_stored(job: &OwnedJob, texts: &CheckpointWrite, revision: u64) {
     LogLine::new("texts_saved")
         .field("job", &job.id)
         .field("number", texts.number)
--- a/crates/edge/src/job/mod.rs
+++ b/crates/edge/src/job/mod.rs
@@ -1,4 +1,4 @@
-//! Batch jobs: their records, their results, and the daemon's work on those that it owns.
+//! Batch jobs: submissions, stored results, and the execution of the jobs that this daemon owns.
 
 mod claim_task;
 mod item_run;
--- a/crates/edge/src/job/owned_job.rs
+++ b/crates/edge/src/job/owned_job.rs
@@ -1,4 +1,4 @@
-//! A batch job that this daemon runs.
+//! State of a batch job that this daemon owns and runs.
 
 use crate::{edge_state::EdgeState, store::StoreAccess};
 use awc::Client;
@@ -13,32 +13,32 @@
 };
 use tokio::sync::Notify;
 
-/// State of the job, shared by the tasks of one thread that work on it.
+/// A job and its clients, shared by the tasks of one thread that run the job.
 #[derive(Clone)]
 pub struct OwnedJob {
-    /// Daemon.
+    /// State of the daemon.
     pub state: Arc<EdgeState>,
     /// Client for upstreams.
     pub upstreams: Client,
     /// Client for the store.
     pub store: StoreAccess,
-    /// Job.
+    /// Id of the job.
     pub id: SharedName,
-    /// Organisation; none where the operators use no organisations.
+    /// Organisation that submitted the job; `None` if the operators use no organisations.
     pub organisation: Option<SharedName>,
-    /// Its record.
+    /// Stored entry of the job.
     pub entry: JobEntry,
-    /// The submission's body, for the next owner.
+    /// Encoded submission, which is handed over to the next owner.
     pub body: Bytes,
-    /// What was submitted.
+    /// Decoded submission.
     pub submission: Arc<BatchSubmission>,
-    /// When the job was submitted.
+    /// When the job was submitted, on this process's clock.
     pub submitted_at: TimePoint,
-    /// Revision of the ownership record.
+    /// Revision of the ownership entry, which fences the writes of the job.
     pub owner_revision: Rc<Cell<u64>>,
-    /// Items and results.
+    /// Progress of the items, and the results that are not stored yet.
     pub ledger: Rc<RefCell<BatchLedger>>,
-    /// Wakes the job's main task.
+    /// Wakes the job's main task after a run or a scoring has ended.
     pub changed: Rc<Notify>,
 }
 
@@ -49,7 +49,7 @@
 }
 
 impl OwnedJob {
-    /// The job's route in the configuration in force.
+    /// The job's route in the current configuration; `None` if it has no such route or there is no configuration yet.
     #[must_use]
     pub fn route(&self) -> Option<Arc<RouteRule>> {
         self.state.config()?.route(&self.entry.host, &self.entry.path).cloned()
--- a/crates/edge/src/job/owner_read.rs
+++ b/crates/edge/src/job/owner_read.rs
@@ -1,4 +1,4 @@
-//! Reads of jobs at their owner: it has what is listed in memory, and knows when there is more.
+//! Reads from a job's owner, which holds the stored results in memory and is the first to see new ones.
 
 use super::job_reader::ResultsQuery;
 use crate::{edge_state::EdgeState, peer_client::PeerClient};
@@ -11,62 +11,64 @@
 };
 use std::{sync::Arc, time::Duration};
 
-/// Path at which daemons read results.
+/// Path of the peer interface at which daemons read the results of an owned job.
 pub const RESULTS_PATH: &str = "/peer/results";
-/// Path at which daemons read bodies of items.
+/// Path of the peer interface at which daemons read the body of an item of an owned job.
 pub const ITEM_BODY_PATH: &str = "/peer/item";
-/// Added to the time for which the owner may keep a read waiting, in milliseconds.
-const ANSWER_SLACK_MS: u64 = 500;
+/// Added to the time for which the owner may keep a read waiting, to obtain the timeout of the call.
+const CALL_SLACK_MS: u64 = 500;
 
-/// The answer of this process, which may own the job.
-pub async fn local_results(state: &EdgeState, job: &str, read: &ResultsQuery) -> ResultsAnswer {
+/// Reads results from the memory of this process. Waits for the first one if this process owns the job; is unsure if it
+/// does not and no results are cached.
+pub async fn local_results(state: &EdgeState, job: &str, query: &ResultsQuery) -> ResultsAnswer {
     loop {
-        let listed = state.results_listed.notified();
-        let Some(results) = state.jobs().cached_results(job, read.position, read.bytes_max) else {
+        let change = state.results_listed.notified();
+        let Some(results) = state.jobs().cached_results(job, query.position, query.bytes_max) else {
             return ResultsAnswer::Unsure;
         };
         if !results.is_empty() {
             return ResultsAnswer::Listed(results);
         }
-        // Only the one owner can say that nothing is listed.
+        // Only the owner can tell that no further result is stored.
         let is_owner = state.ownership().is_mine(job) && state.jobs().has_state(job) && state.is_lease_sure();
         if !is_owner {
             return ResultsAnswer::Unsure;
         }
-        let left_ms = read.wait_until.since_ms(state.now());
+        let left_ms = query.wait_until.since_ms(state.now());
         if left_ms == 0 || state.jobs().is_ended(job) {
             return ResultsAnswer::Listed(results);
         }
-        // Woken or not, the next look tells.
-        let _ = actix_rt::time::timeout(Duration::from_millis(left_ms), listed).await;
+        // The next iteration checks for results, whether notified or timed out.
+        let _ = actix_rt::time::timeout(Duration::from_millis(left_ms), change).await;
     }
 }
 
-/// Results as the job's owner has them; none if the store is to be asked.
+/// Reads results from the job's owner, which may be this process. `None` if they must be read from the store.
 pub async fn results_from_owner(
     state: &EdgeState,
     peers: &PeerClient,
     job: &SharedName,
-    read: &ResultsQuery,
+    query: &ResultsQuery,
 ) -> Option<Vec<Arc<ResultEntry>>> {
-    if let ResultsAnswer::Listed(results) = local_results(state, job, read).await {
+    if let ResultsAnswer::Listed(results) = local_results(state, job, query).await {
         return Some(results);
     }
     let control = owner_control(state, job)?;
-    let wait_ms = read.wait_until.since_ms(state.now());
-    let ResultsQuery { position, bytes_max, .. } = *read;
+    let wait_ms = query.wait_until.since_ms(state.now());
+    let ResultsQuery { position, bytes_max, .. } = *query;
     let request = ResultsRequest { job: job.clone(), position, bytes_max, wait_ms };
-    match peers.call(&control, RESULTS_PATH, &request, wait_ms + ANSWER_SLACK_MS).await {
+    match peers.call(&control, RESULTS_PATH, &request, wait_ms + CALL_SLACK_MS).await {
         Ok(ResultsAnswer::Listed(results)) => Some(results),
         Ok(ResultsAnswer::Unsure) => None,
         Err(error) => {
-            LogLine::new("owner_not_read").field("job", job).field("owner", control).field("reason", error).warn();
+            LogLine::new("owner_read_failed").field("job", job).field("owner", control).field("reason", error).warn();
             None
         }
     }
 }
 
-/// The body of an item as the job's owner has it; none if the store is to be asked.
+/// Reads the body of an item from the job's owner, which may be this process. The outer `None` means that it must be read
+/// from the store, the inner that the job has no such item.
 pub async fn item_from_owner(
     state: &EdgeState,
     peers: &PeerClient,
@@ -77,33 +79,33 @@
         ItemAnswer::Unsure => {
             let control = owner_control(state, job)?;
             let request = ItemRequest { job: job.clone(), item: item.into() };
-            peers.call(&control, ITEM_BODY_PATH, &request, ANSWER_SLACK_MS).await
+            peers.call(&control, ITEM_BODY_PATH, &request, CALL_SLACK_MS).await
         }
-        known => Ok(known),
+        local_answer => Ok(local_answer),
     };
     match answer {
         Ok(ItemAnswer::Body(body)) => Some(Some(body.into())),
         Ok(ItemAnswer::Unknown) => Some(None),
         Ok(ItemAnswer::Unsure) => None,
         Err(error) => {
-            LogLine::new("owner_not_read").field("job", job).field("item", item).field("reason", error).warn();
+            LogLine::new("owner_read_failed").field("job", job).field("item", item).field("reason", error).warn();
             None
         }
     }
 }
 
-/// The answer of this process, which may run the job.
+/// Reads the body of an item from the memory of this process; is unsure unless this process runs the job.
 pub fn local_item(state: &EdgeState, job: &str, item: &str) -> ItemAnswer {
     let Some(submission) = state.jobs().running_submission(job) else { return ItemAnswer::Unsure };
-    let found = submission.items.iter().find(|known| *known.id == *item);
-    found.map_or(ItemAnswer::Unknown, |item| ItemAnswer::Body(item.body.to_vec()))
+    let matching_item = submission.items.iter().find(|candidate| *candidate.id == *item);
+    matching_item.map_or(ItemAnswer::Unknown, |item| ItemAnswer::Body(item.body.to_vec()))
 }
 
-/// Address of the process that owns `job`, if that is another one.
+/// Control address of the process that owns `job`, if that is another process and it is present.
 fn owner_control(state: &EdgeState, job: &str) -> Option<SharedName> {
     let ownership = state.ownership();
     let owner = ownership.owner(job)?;
     let presence = ownership.daemon(&owner.daemon)?;
-    let lives = presence.incarnation == owner.incarnation && !ownership.is_mine(job);
-    lives.then(|| presence.control.clone())
+    let is_present = presence.incarnation == owner.incarnation && !ownership.is_mine(job);
+    is_present.then(|| presence.control.clone())
 }
--- a/crates/edge/src/job/result_cache.rs
+++ b/crates/edge/src/job/result_cache.rs
@@ -1,4 +1,4 @@
-//! Listed results in memory, to be read without the store.
+//! In-memory cache of stored results, for reads that need not call the store.
 
 use pimentoslip_kernel::SharedName;
 use pimentoslip_wire::stored::ResultEntry;
@@ -7,77 +7,78 @@
     sync::Arc,
 };
 
-/// Bytes of a result beyond its text.
-const FIELDS_BYTES: usize = 300;
+/// Estimated size of a result without its text.
+const RESULT_OVERHEAD_BYTES: usize = 300;
 
+/// Cached results of one job, from position 0 on.
 #[derive(Debug, Default)]
-struct ListedJob {
+struct CachedJob {
     results: Vec<Arc<ResultEntry>>,
     bytes: usize,
 }
 
-/// Results of jobs that this process runs or ran, each from the first position on. The jobs that were begun first are
-/// dropped when memory is short.
+/// Results of jobs that this process runs or ran, each from position 0 on without a gap. When the cache is full, the
+/// job that was inserted first is removed.
 #[derive(Debug)]
 pub struct ResultCache {
     bytes_max: usize,
     bytes: usize,
-    jobs: HashMap<SharedName, ListedJob>,
-    order: VecDeque<SharedName>,
+    jobs: HashMap<SharedName, CachedJob>,
+    insertion_order: VecDeque<SharedName>,
 }
 
 impl ResultCache {
-    /// Creates a cache of up to `bytes_max`.
+    /// Creates an empty cache of up to `bytes_max` bytes.
     #[must_use]
     pub fn new(bytes_max: usize) -> Self {
-        Self { bytes_max, bytes: 0, jobs: HashMap::new(), order: VecDeque::new() }
+        Self { bytes_max, bytes: 0, jobs: HashMap::new(), insertion_order: VecDeque::new() }
     }
 
-    /// Begins a job whose results on record are `results`.
+    /// Adds a job whose stored results are `results`, in place of what was cached of it.
     pub fn insert(&mut self, job: SharedName, results: Vec<ResultEntry>) {
         self.remove(&job);
-        self.order.push_back(job.clone());
-        self.jobs.insert(job.clone(), ListedJob::default());
+        self.insertion_order.push_back(job.clone());
+        self.jobs.insert(job.clone(), CachedJob::default());
         self.append(&job, 0, &results);
     }
 
-    /// `results` are on record from position `first` on.
+    /// Appends results that were stored from position `first` on. Ignored if the job is not cached.
     pub fn append(&mut self, job: &str, first: usize, results: &[ResultEntry]) {
-        let Some(listed) = self.jobs.get_mut(job) else { return };
-        if listed.results.len() != first {
-            // Without a gap only: the store has the rest.
+        let Some(cached) = self.jobs.get_mut(job) else { return };
+        if cached.results.len() != first {
+            // The results must have no gap. Without the cached job, reads go to the store, which has all results.
             self.remove(job);
             return;
         }
-        let bytes: usize = results.iter().map(|result| result.text.len() + FIELDS_BYTES).sum();
-        listed.results.extend(results.iter().cloned().map(Arc::new));
-        listed.bytes += bytes;
+        let bytes: usize = results.iter().map(|result| result.text.len() + RESULT_OVERHEAD_BYTES).sum();
+        cached.results.extend(results.iter().cloned().map(Arc::new));
+        cached.bytes += bytes;
         self.bytes += bytes;
         while self.bytes > self.bytes_max {
-            let Some(oldest) = self.order.front().cloned() else { return };
-            self.remove(&oldest);
+            let Some(oldest_job) = self.insertion_order.front().cloned() else { return };
+            self.remove(&oldest_job);
         }
     }
 
-    /// Results from `position` on, texts of about `bytes_max` together at most, but one at least. None if this cache
-    /// does not hold the job.
+    /// Results from `position` on, up to about `bytes_max` bytes, but at least one if there is any. `None` if the job is
+    /// not cached.
     #[must_use]
     pub fn read(&self, job: &str, position: usize, bytes_max: usize) -> Option<Vec<Arc<ResultEntry>>> {
-        let listed = self.jobs.get(job)?;
+        let cached = self.jobs.get(job)?;
         let mut bytes = 0;
-        let fits = listed.results.iter().skip(position).take_while(|result| {
-            let first = bytes == 0;
-            bytes += result.text.len() + FIELDS_BYTES;
-            first || bytes <= bytes_max
+        let fitting_results = cached.results.iter().skip(position).take_while(|result| {
+            let is_first = bytes == 0;
+            bytes += result.text.len() + RESULT_OVERHEAD_BYTES;
+            is_first || bytes <= bytes_max
         });
-        Some(fits.cloned().collect())
+        Some(fitting_results.cloned().collect())
     }
 
-    /// Drops a job.
+    /// Removes a job and its results.
     pub fn remove(&mut self, job: &str) {
-        if let Some(listed) = self.jobs.remove(job) {
-            self.bytes -= listed.bytes;
-            self.order.retain(|known| **known != *job);
+        if let Some(cached) = self.jobs.remove(job) {
+            self.bytes -= cached.bytes;
+            self.insertion_order.retain(|cached_job| **cached_job != *job);
         }
     }
 }
--- a/crates/edge/src/job/score_run.rs
+++ b/crates/edge/src/job/score_run.rs
@@ -1,4 +1,4 @@
-//! Scores the text of an item.
+//! Sends the finished text of an item to its scorer, and records the scorer's signature in the ledger.
 
 use super::owned_job::OwnedJob;
 use crate::{
@@ -11,29 +11,30 @@
 use pimentoslip_telemetry::LogLine;
 use std::sync::Arc;
 
-/// Largest answer of a scorer that is read.
-const ANSWER_BYTES_MAX: usize = 4 << 20;
-/// Longest wait for a score, where the route names none shorter.
+/// Largest accepted response of a scorer.
+const RESPONSE_BYTES_MAX: usize = 4 << 20;
+/// Longest wait for a score, unless the timeout of the scorer's route is shorter.
 const SCORE_MS_MAX: u64 = 5_000;
 
-const SIGNED: &str = "signed";
+/// Result of a successful scoring, as spelled in metrics.
+const SIGNED_RESULT: &str = "signed";
 
-/// A scorer's call that has found its upstream.
+/// A request to a scorer, with the upstream selected for it.
 pub struct ScoreCall {
     call: UpstreamCall,
     guard: SamplerGuard,
 }
 
-/// Why a scorer's call cannot be made now.
+/// Why a request to a scorer cannot be sent now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlacementError {
-    /// No upstream has room.
+    /// No upstream of the scorer has a spare slot.
     NoRoom,
-    /// The configuration in force has no way for it.
+    /// The item has no scorer, or the current configuration has no route to it.
     NoRoute,
 }
 
-/// Chooses the upstream for the scorer of an item.
+/// Builds the request to the scorer of an item, and selects an upstream for it.
 pub fn prepare_score_call(job: &OwnedJob, index: usize) -> Result<ScoreCall, PlacementError> {
     let state = &job.state;
     let scorer = job.submission.items[index].scorer.as_ref().ok_or(PlacementError::NoRoute)?;
@@ -62,16 +63,17 @@
     Ok(ScoreCall { call, guard })
 }
 
+/// The route of a scorer in the current configuration.
 fn scorer_rule(job: &OwnedJob, scorer: &ScorerCall) -> Option<Arc<RouteRule>> {
     job.state.config()?.route(&scorer.host, &scorer.path).cloned()
 }
 
-/// Scores an item and enters the score into the job's ledger.
-pub async fn score_item(job: OwnedJob, index: usize, placed: ScoreCall) {
-    let (end, reason) = score(&job, placed).await;
+/// Sends a prepared request to the scorer, and records the outcome in the job's ledger.
+pub async fn score_item(job: OwnedJob, index: usize, score_call: ScoreCall) {
+    let (end, reason) = send_score_call(&job, score_call).await;
     EdgeMetrics::count(&EdgeMetrics::global().scores, reason);
-    // A signed score shows in the item's result.
-    if reason != SIGNED {
+    // A signed score is visible in the stored result of the item and is not logged.
+    if reason != SIGNED_RESULT {
         LogLine::new("item_not_scored")
             .field("job", &job.id)
             .field("item", &job.submission.items[index].id)
@@ -83,27 +85,29 @@
     job.changed.notify_one();
 }
 
-/// Failures of the scorer after which an item may be given up: both routes allow as many attempts.
+/// Scorer failures after which the item is given up: the larger of the attempts that the job's route and the scorer's
+/// route allow.
 fn failures_max(job: &OwnedJob, index: usize) -> u32 {
-    let own = job.route().map_or(1, |rule| rule.attempts_max);
+    let job_attempts = job.route().map_or(1, |rule| rule.attempts_max);
     let scorer = job.submission.items[index].scorer.as_ref();
-    own.max(scorer.and_then(|scorer| scorer_rule(job, scorer)).map_or(1, |rule| rule.attempts_max))
+    job_attempts.max(scorer.and_then(|scorer| scorer_rule(job, scorer)).map_or(1, |rule| rule.attempts_max))
 }
 
-async fn score(job: &OwnedJob, placed: ScoreCall) -> (ScoreEnd, &'static str) {
-    let ScoreCall { call, mut guard } = placed;
+/// Sends the request and classifies the response. Returns the outcome and its spelling in metrics and logs.
+async fn send_score_call(job: &OwnedJob, score_call: ScoreCall) -> (ScoreEnd, &'static str) {
+    let ScoreCall { call, mut guard } = score_call;
     let now = job.state.now();
-    let answer = match attempt_whole(&job.upstreams, &call, &guard, now, ANSWER_BYTES_MAX).await {
-        Ok(answer) => answer,
+    let response = match attempt_whole(&job.upstreams, &call, &guard, now, RESPONSE_BYTES_MAX).await {
+        Ok(response) => response,
         Err(failure) => {
             guard.end(failure.outcome());
             return (ScoreEnd::Broken, failure.as_str());
         }
     };
     guard.end(SamplerOutcome::Answered(Some(job.state.now().since_ms(now))));
-    let signature = answer.headers.get(header::SIGNATURE).and_then(|value| value.to_str().ok());
-    match (answer.status, signature) {
-        (status, Some(signature)) if status.is_success() => (ScoreEnd::Signed(signature.to_owned()), SIGNED),
+    let signature = response.headers.get(header::SIGNATURE).and_then(|value| value.to_str().ok());
+    match (response.status, signature) {
+        (status, Some(signature)) if status.is_success() => (ScoreEnd::Signed(signature.to_owned()), SIGNED_RESULT),
         (StatusCode::INTERNAL_SERVER_ERROR, _) => (ScoreEnd::Failed, "scorer_failed"),
         _ => (ScoreEnd::Broken, "scorer_refused"),
     }
