--- a/crates/edge/src/duty/duty_task.rs
+++ b/crates/edge/src/duty/duty_task.rs
@@ -1,4 +1,4 @@
-//! Takes the duty when nobody holds it, and works while it is held.
+//! Acquires the duty when no daemon holds it, and does its work while this daemon is the holder.
 
 use super::{load_duty::LoadDuty, retire_duty::RetireDuty, size_duty::SizeDuty, usage_duty::UsageDuty};
 use crate::{edge_metrics::EdgeMetrics, edge_state::EdgeState, store::StoreAccess};
@@ -12,18 +12,19 @@
 };
 use std::{cell::RefCell, rc::Rc, sync::Arc, time::Duration};
 
-/// Time between two rounds of a holder.
-const ROUND_PERIOD: Duration = Duration::from_millis(150);
-/// The last holder may take the duty again at once; others wait this long for it, longer than a lease is renewed late
-/// after the store was away.
-const FORMER_MS: u64 = 300;
-/// Daemons that want the duty wait for up to this long beyond, each for its own time.
-const TAKE_SPREAD_MS: u64 = 600;
+/// Longest time between two passes; a change of the upstreams triggers one at once.
+const PASS_PERIOD: Duration = Duration::from_millis(150);
+/// The previous holder may acquire the duty again at once; other daemons wait this long for it. Longer than the delay with
+/// which the previous holder renews its lease after the store was unreachable.
+const PREVIOUS_HOLDER_WAIT_MS: u64 = 300;
+/// Each daemon waits for up to this long in addition, by a time derived from its name, so that they do not all try at
+/// once.
+const ACQUIRE_SPREAD_MS: u64 = 600;
 
-/// The term of this process, shared with the calls that are made under it.
+/// The current term of this process, shared with the calls that are made under it; `None` while it does not hold the duty.
 pub type SharedTerm = Rc<RefCell<Option<DutyTerm>>>;
 
-/// Runs until the daemon drains.
+/// Acquires the duty and does its work until the daemon drains.
 pub async fn hold_duty(state: Arc<EdgeState>, upstreams: Client, store: StoreAccess) {
     let term: SharedTerm = Rc::default();
     let mut loads = LoadDuty::new(state.clone(), upstreams, term.clone());
@@ -32,9 +33,9 @@
     let mut retire = RetireDuty::new(state.clone(), store.clone());
     let mut vacant_since: Option<TimePoint> = None;
     while !state.is_draining() {
-        let _ = actix_rt::time::timeout(ROUND_PERIOD, state.upstreams_changed.notified()).await;
+        let _ = actix_rt::time::timeout(PASS_PERIOD, state.upstreams_changed.notified()).await;
         let now = state.now();
-        if is_held(&state, &term) {
+        if refresh_term(&state, &term) {
             loads.tick();
             sizes.tick().await;
             usage.tick().await;
@@ -42,13 +43,13 @@
             vacant_since = None;
             continue;
         }
-        let Some(replaces) = replaceable(&state) else {
+        let Some(replaces) = replaceable_revision(&state) else {
             vacant_since = None;
             continue;
         };
         let since = *vacant_since.get_or_insert(now);
-        if replaces > 0 || now >= since.plus_ms(patience_ms(&state)) {
-            take(&state, &store, &term, replaces).await;
+        if replaces > 0 || now >= since.plus_ms(acquire_delay_ms(&state)) {
+            acquire(&state, &store, &term, replaces).await;
             vacant_since = None;
         }
     }
@@ -56,17 +57,17 @@
     EdgeMetrics::global().duty_held.set(0);
 }
 
-/// How long this daemon leaves a vacant duty to others.
-fn patience_ms(state: &EdgeState) -> u64 {
+/// How long this daemon waits before it acquires a vacant duty, in milliseconds.
+fn acquire_delay_ms(state: &EdgeState) -> u64 {
     match &state.lease().last_holder {
-        Some(last) if *last == state.settings.vm => 0,
-        Some(_) => FORMER_MS + fingerprint(&[state.settings.vm.as_bytes()]) % TAKE_SPREAD_MS,
-        None => fingerprint(&[state.settings.vm.as_bytes()]) % TAKE_SPREAD_MS,
+        Some(last_holder) if *last_holder == state.settings.vm => 0,
+        Some(_) => PREVIOUS_HOLDER_WAIT_MS + fingerprint(&[state.settings.vm.as_bytes()]) % ACQUIRE_SPREAD_MS,
+        None => fingerprint(&[state.settings.vm.as_bytes()]) % ACQUIRE_SPREAD_MS,
     }
 }
 
-/// Whether this process holds the duty; brings the term up to date with the lease.
-fn is_held(state: &EdgeState, term: &SharedTerm) -> bool {
+/// Updates the term from the current lease. Returns whether this process still holds the duty.
+fn refresh_term(state: &EdgeState, term: &SharedTerm) -> bool {
     let standing = {
         let view = state.lease();
         let recorded = view.duty.as_ref().map(|(revision, _)| *revision);
@@ -83,21 +84,23 @@
     false
 }
 
-/// Revision of the record that this process may replace, 0 if there is none: its own former process's, which is
-/// gone, or nobody's.
-fn replaceable(state: &EdgeState) -> Option<u64> {
+/// Revision of the duty entry that this process may replace: 0 if there is no entry, or the revision of the entry that an
+/// earlier process of this daemon left. `None` if another process may hold the duty, or there is no configuration yet.
+fn replaceable_revision(state: &EdgeState) -> Option<u64> {
     state.config()?;
     let view = state.lease();
     match &view.duty {
         None => Some(0),
         Some((revision, holder)) => {
-            let former = holder.daemon == state.settings.vm && holder.incarnation < state.incarnation;
-            former.then_some(*revision)
+            let is_own_previous = holder.daemon == state.settings.vm && holder.incarnation < state.incarnation;
+            is_own_previous.then_some(*revision)
         }
     }
 }
 
-async fn take(state: &EdgeState, store: &StoreAccess, term: &SharedTerm, replaces: u64) {
+/// Commits this process as the holder, under its lease and in place of the entry with the revision `replaces`, and starts
+/// a term.
+async fn acquire(state: &EdgeState, store: &StoreAccess, term: &SharedTerm, replaces: u64) {
     let (lease, ends_at) = {
         let view = state.lease();
         (view.lease, view.ends_at)
@@ -112,9 +115,9 @@
     };
     let unix_ms = state.unix_ms();
     let wait_ms = history.wait_ms(&state.settings.vm, unix_ms, state.settings.handover_ms);
-    let last = history.last().map_or_else(|| "nobody".into(), Clone::clone);
-    let record = match encode(&DutyEntry::from(&history.taken(state.settings.vm.clone(), unix_ms))) {
-        Ok(record) => record,
+    let previous = history.last().map_or_else(|| "nobody".into(), Clone::clone);
+    let history_entry = match encode(&DutyEntry::from(&history.taken(state.settings.vm.clone(), unix_ms))) {
+        Ok(entry) => entry,
         Err(error) => {
             LogLine::new("duty_not_taken").field("reason", error).warn();
             return;
@@ -122,17 +125,17 @@
     };
     let commit = StoreCommit::default().expect(KeyLayout::DUTY, replaces).put(KeyLayout::DUTY, entry, lease).put(
         KeyLayout::DUTY_HISTORY,
-        record,
+        history_entry,
         0,
     );
     let revision = match store.commit(&commit).await {
         Ok(CommitOutcome::Done(revision)) => revision,
         Ok(CommitOutcome::Conflict(items)) => {
-            // An earlier write of this process may have been done without an answer.
-            let own = |item: &&StoreItem| {
+            // An earlier commit of this process may have succeeded without a response.
+            let is_own = |item: &&StoreItem| {
                 item.lease == lease && decode::<DaemonEntry>(&item.value).is_ok_and(|entry| entry == state.signature())
             };
-            let Some(item) = items.iter().find(own) else { return };
+            let Some(item) = items.iter().find(is_own) else { return };
             item.revision
         }
         Err(error) => {
@@ -141,12 +144,17 @@
         }
     };
     let now = state.now();
-    LogLine::new("duty_taken").field("fencing_token", revision).field("after", last).field("waits_ms", wait_ms).info();
+    LogLine::new("duty_taken")
+        .field("fencing_token", revision)
+        .field("after", previous)
+        .field("waits_ms", wait_ms)
+        .info();
     EdgeMetrics::global().duty_held.set(1);
     *term.borrow_mut() = Some(DutyTerm::begin(revision, lease, now, ends_at, wait_ms));
     state.lease().duty_known(revision, state.signature());
 }
 
+/// Reads the previous holders of the duty from the store.
 async fn read_history(store: &StoreAccess) -> anyhow::Result<DutyHistory> {
     let Some(item) = store.get(KeyLayout::DUTY_HISTORY).await? else { return Ok(DutyHistory::default()) };
     Ok(decode::<DutyEntry>(&item.value)?.into())
--- a/crates/edge/src/duty/mod.rs
+++ b/crates/edge/src/duty/mod.rs
@@ -1,4 +1,5 @@
-//! Duties of one daemon at a time: loads of weights, numbers of upstreams, usage reports, emptied VMs.
+//! Work of the one daemon that holds the duty: loads of weights, sizing of services, usage reports and retired VMs; and
+//! the tasks by which all daemons report to the holder.
 
 mod duty_task;
 mod load_duty;
--- a/crates/edge/src/duty/retire_duty.rs
+++ b/crates/edge/src/duty/retire_duty.rs
@@ -1,4 +1,5 @@
-//! Answers requests to empty a VM. No VM holds anything that must last, so each is empty at once.
+//! Confirms requests of operators to retire a VM. No VM holds anything that must persist, so each request is confirmed at
+//! once.
 
 use crate::{edge_state::EdgeState, store::StoreAccess};
 use pimentoslip_kernel::SharedName;
@@ -6,26 +7,27 @@
 use pimentoslip_telemetry::LogLine;
 use std::sync::Arc;
 
-/// Says of each VM that is to be emptied that it is.
+/// Writes the status of each VM to be retired: nothing is left on it.
 pub struct RetireDuty {
     state: Arc<EdgeState>,
     store: StoreAccess,
-    said: Vec<SharedName>,
+    /// VMs whose status was written.
+    confirmed: Vec<SharedName>,
 }
 
 impl RetireDuty {
-    /// Writes to `store`.
+    /// Creates the duty, which writes to `store`.
     #[must_use]
     pub fn new(state: Arc<EdgeState>, store: StoreAccess) -> Self {
-        Self { state, store, said: Vec::new() }
+        Self { state, store, confirmed: Vec::new() }
     }
 
-    /// Answers what was asked since the last round.
+    /// Confirms the requests that were received since the last pass.
     pub async fn tick(&mut self) {
-        let asked = self.state.retired_vms().clone();
-        self.said.retain(|vm| asked.contains(vm));
-        for vm in asked {
-            if self.said.contains(&vm) {
+        let retired_vms = self.state.retired_vms().clone();
+        self.confirmed.retain(|vm| retired_vms.contains(vm));
+        for vm in retired_vms {
+            if self.confirmed.contains(&vm) {
                 continue;
             }
             let Ok(value) = encode_retired() else { return };
@@ -33,9 +35,9 @@
             match self.store.commit(&commit).await {
                 Ok(_) => {
                     LogLine::new("vm_emptied").field("vm", &vm).info();
-                    self.said.push(vm);
+                    self.confirmed.push(vm);
                 }
-                Err(error) => LogLine::new("vm_not_emptied").field("vm", &vm).field("reason", error).warn(),
+                Err(error) => LogLine::new("vm_status_write_failed").field("vm", &vm).field("reason", error).warn(),
             }
         }
     }
--- a/crates/edge/src/duty/run_report_task.rs
+++ b/crates/edge/src/duty/run_report_task.rs
@@ -1,4 +1,4 @@
-//! Tells the duty's holder what this daemon runs, so that loads of weights wait for what is busy.
+//! Reports this daemon's running requests to the holder of the duty, which orders loads of weights at idle upstreams first.
 
 use crate::{edge_state::EdgeState, peer_client::PeerClient};
 use pimentoslip_kernel::SharedName;
@@ -6,31 +6,32 @@
 use pimentoslip_wire::peer::RunReport;
 use std::{sync::Arc, time::Duration};
 
-/// Path at which daemons report what they run.
+/// Path of the peer interface at which the holder of the duty receives reports of running requests.
 pub const RUNS_PATH: &str = "/peer/runs";
-/// Time between two reports; a fraction of the time in which weights are loaded.
+/// Time between two reports; a fraction of the time that a load of weights takes.
 const REPORT_PERIOD: Duration = Duration::from_millis(250);
-/// Longest wait for the holder's answer, in milliseconds; a later report replaces one that is lost.
-const REPORT_MS: u64 = 200;
+/// Longest wait for the holder's response; a lost report is replaced by the next one.
+const REPORT_TIMEOUT_MS: u64 = 200;
 
-/// Runs as long as the process.
+/// Sends reports as long as the process runs. After a report without any runs, no more are sent until there are runs.
 pub async fn report_runs(state: Arc<EdgeState>, peers: PeerClient) {
-    let mut told = false;
+    let mut reported_runs = false;
     loop {
         actix_rt::time::sleep(REPORT_PERIOD).await;
         let runs = state.samplers().model_runs();
-        if runs.is_empty() && !told {
+        if runs.is_empty() && !reported_runs {
             continue;
         }
-        told = !runs.is_empty();
+        reported_runs = !runs.is_empty();
         let Some(control) = holder_control(&state) else { continue };
         let report = RunReport { daemon: state.settings.vm.clone(), runs };
-        if let Err(error) = peers.call::<bool>(&control, RUNS_PATH, &report, REPORT_MS).await {
-            LogLine::new("runs_not_reported").field("holder", control).field("reason", error).warn();
+        if let Err(error) = peers.call::<bool>(&control, RUNS_PATH, &report, REPORT_TIMEOUT_MS).await {
+            LogLine::new("run_report_failed").field("holder", control).field("reason", error).warn();
         }
     }
 }
 
+/// Control address of the duty's holder, if the holder is present.
 fn holder_control(state: &EdgeState) -> Option<SharedName> {
     let holder = state.lease().duty.as_ref().map(|(_, holder)| holder.daemon.clone())?;
     Some(state.ownership().daemon(&holder)?.control.clone())
--- a/crates/edge/src/duty/size_duty.rs
+++ b/crates/edge/src/duty/size_duty.rs
@@ -1,4 +1,4 @@
-//! Orders upstreams as the batch jobs ask.
+//! Orders upstreams from the platform to match the demand of the batch jobs.
 
 use super::duty_task::SharedTerm;
 use crate::{edge_state::EdgeState, store::StoreAccess};
@@ -11,10 +11,10 @@
 };
 use std::{collections::BTreeMap, sync::Arc};
 
-/// Status with which the platform says that there are none of a kind at the moment.
-const NONE_AVAILABLE: u16 = 409;
+/// HTTP status with which the platform reports that no upstreams of the ordered type are available at the moment.
+const NONE_AVAILABLE_STATUS: u16 = 409;
 
-/// Plans the size of every service whose upstreams may be ordered.
+/// Plans the number of upstreams of every service that has a scaling rule, and sends the orders for them.
 pub struct SizeDuty {
     state: Arc<EdgeState>,
     provider: Option<DutyClient>,
@@ -23,78 +23,82 @@
     services: BTreeMap<SharedName, SizedService>,
 }
 
-/// What the holder knows of one service.
+/// Plan and floor of one service.
 #[derive(Debug, Default)]
 struct SizedService {
     planner: SizePlanner,
-    /// Standing upstreams that stay in each failure domain, once that is known.
+    /// Number of standing upstreams that are kept in each failure domain; `None` until it has been read or stored.
     floor: Option<BTreeMap<SharedName, u64>>,
 }
 
 impl SizeDuty {
-    /// Orders under `term`.
+    /// Creates the duty, which sends orders while `term` allows it.
     #[must_use]
     pub fn new(state: Arc<EdgeState>, store: StoreAccess, term: SharedTerm) -> Self {
         let provider = state.settings.provider.map(DutyClient::new);
         Self { state, provider, term, store, services: BTreeMap::new() }
     }
 
-    /// Gives the orders that are due.
+    /// Plans the sizes of all services with a scaling rule, and sends the due orders.
     pub async fn tick(&mut self) {
         let (Some(provider), Some(config)) = (self.provider.clone(), self.state.config()) else { return };
         for service in config.services.values() {
             let Some(rule) = &service.scaling else { continue };
             let upstreams = self.upstreams(&service.name);
             let demand = self.demand(&service.name);
-            let sized = self.services.entry(service.name.clone()).or_default();
-            if sized.floor.is_none() && demand > 0 {
-                sized.floor = settle_floor(&self.store, &service.name, &upstreams).await;
+            let sized_service = self.services.entry(service.name.clone()).or_default();
+            if sized_service.floor.is_none() && demand > 0 {
+                sized_service.floor = read_or_store_floor(&self.store, &service.name, &upstreams).await;
             }
-            let Some(floor) = &sized.floor else { continue };
-            for order in sized.planner.plan(rule, &upstreams, floor, demand, self.state.now()) {
-                let outcome = give(&self.state, &provider, &self.term, &service.name, &order, demand).await;
-                sized.planner.ordered(&order, outcome, rule.startup_ms, self.state.now());
+            let Some(floor) = &sized_service.floor else { continue };
+            for order in sized_service.planner.plan(rule, &upstreams, floor, demand, self.state.now()) {
+                let outcome = send_order(&self.state, &provider, &self.term, &service.name, &order, demand).await;
+                sized_service.planner.ordered(&order, outcome, rule.startup_ms, self.state.now());
             }
         }
     }
 
+    /// The listed upstreams of `service`.
     fn upstreams(&self, service: &str) -> Vec<SamplerRecord> {
         let samplers = self.state.samplers();
         samplers.records().filter(|record| *record.service == *service).cloned().collect()
     }
 
-    /// Items of open batch jobs whose route leads to `service`: all of a step should run at once.
+    /// Number of items of unfinished batch jobs whose route leads to `service`. All items of a step should run at once.
     fn demand(&self, service: &str) -> u64 {
         let Some(config) = self.state.config() else { return 0 };
         let jobs = self.state.jobs();
-        let open = jobs.iter().filter(|(_, view)| !view.ended && !view.settled).map(|(_, view)| &view.entry);
-        let here = open.filter(|entry| {
+        let unfinished = jobs.iter().filter(|(_, view)| !view.ended && !view.settled).map(|(_, view)| &view.entry);
+        let routed = unfinished.filter(|entry| {
             let rule = config.route(&entry.host, &entry.path);
             rule.is_some_and(|rule| rule.targets.iter().any(|target| *target.service == *service))
         });
-        here.map(|entry| entry.items as u64).sum()
+        routed.map(|entry| entry.items as u64).sum()
     }
 }
 
-/// The service's floor on record, or what runs now if there is none yet. None if that is not certain.
-async fn settle_floor(
+/// Reads the stored floor of the service, or stores the standing upstreams that run now as its floor. `None` if that
+/// failed; the next pass repeats it.
+async fn read_or_store_floor(
     store: &StoreAccess,
     service: &SharedName,
     upstreams: &[SamplerRecord],
 ) -> Option<BTreeMap<SharedName, u64>> {
     let key = KeyLayout::floor(service);
-    let own = FloorEntry { standing: standing_floor(upstreams) };
-    let settled = async {
+    let current = FloorEntry { standing: standing_floor(upstreams) };
+    let floor = async {
         if let Some(item) = store.get(&key).await? {
             return Ok(decode::<FloorEntry>(&item.value)?);
         }
-        let commit = StoreCommit::default().expect(key.clone(), 0).put(key.clone(), encode(&own)?, 0);
+        let commit = StoreCommit::default().expect(key.clone(), 0).put(key.clone(), encode(&current)?, 0);
         match store.commit(&commit).await? {
-            CommitOutcome::Done(_) => Ok(own.clone()),
-            CommitOutcome::Conflict(_) => anyhow::bail!("another daemon wrote it at the same time"),
+            CommitOutcome::Done(_) => Ok(current.clone()),
+            CommitOutcome::Conflict(_) => {
+                anyhow::bail!("another daemon stored the floor at the same time; it is read in the next pass")
+            }
         }
     };
-    match settled.await {
+    match floor.await {
         Ok(entry) => Some(entry.standing),
         Err(error) => {
             LogLine::new("floor_not_settled").field("service", service).field("reason", error).warn();
@@ -103,7 +107,8 @@
     }
 }
 
-async fn give(
+/// Sends an order to the platform and logs the outcome. Fails without a call if the term does not allow one now.
+async fn send_order(
     state: &Arc<EdgeState>,
     provider: &DutyClient,
     term: &SharedTerm,
@@ -114,7 +119,7 @@
     let now = state.now();
     let held = term.borrow().filter(|term| term.may_act(now, DutyClient::CALL_MS));
     let Some(held) = held else { return SizeOutcome::Failed };
-    let _counted = state.begin_duty_call();
+    let _call_guard = state.begin_duty_call();
     let duty = DutyCall { holder: &state.settings.vm, fencing_token: held.fencing_token };
     let message = SizeOrder {
         service: service.clone(),
@@ -134,7 +139,7 @@
         .info();
     match outcome {
         DutyOutcome::Accepted => SizeOutcome::Accepted,
-        DutyOutcome::Refused(NONE_AVAILABLE) => SizeOutcome::Unavailable,
+        DutyOutcome::Refused(NONE_AVAILABLE_STATUS) => SizeOutcome::Unavailable,
         DutyOutcome::Refused(_) | DutyOutcome::Unanswered => SizeOutcome::Failed,
     }
 }
--- a/crates/edge/src/duty/usage_collector.rs
+++ b/crates/edge/src/duty/usage_collector.rs
@@ -1,4 +1,4 @@
-//! Puts usage counts of many daemons on record together.
+//! Collects the usage counts of several daemons, and stores them in few writes.
 
 use crate::{edge_state::EdgeState, store::StoreAccess};
 use pimentoslip_platform::StoreCommit;
@@ -11,19 +11,20 @@
 use std::{cell::RefCell, collections::BTreeMap, rc::Rc, sync::Arc, time::Duration};
 use tokio::sync::oneshot;
 
-/// Path at which daemons hand their counts in.
+/// Path of the peer interface at which the collector receives usage counts.
 pub const USAGE_PATH: &str = "/peer/usage";
-/// Time in which counts of other daemons gather; all hand them in at about the same time.
+/// Time from the first received counts until a write; all daemons send their counts at about the same time.
 const GATHER_PERIOD: Duration = Duration::from_millis(300);
-/// Writes of one commit, below the platform's limit.
-const WINDOWS_MAX: usize = 16;
+/// Largest number of windows written by one commit, one entry each; below the platform's limit on the size of a commit.
+const WINDOWS_PER_COMMIT_MAX: usize = 16;
 
+/// Counts that wait for the next write, with the channel for its outcome.
 struct PendingPush {
     push: UsagePush,
-    done: oneshot::Sender<bool>,
+    outcome: oneshot::Sender<bool>,
 }
 
-/// Gathers for one thread.
+/// Collector of usage counts for the tasks of one thread.
 #[derive(Clone)]
 pub struct UsageCollector {
     state: Arc<EdgeState>,
@@ -38,18 +39,18 @@
 }
 
 impl UsageCollector {
-    /// Writes to `store`.
+    /// Creates a collector that writes to `store`.
     #[must_use]
     pub fn new(state: Arc<EdgeState>, store: StoreAccess) -> Self {
         Self { state, store, pending: Rc::default() }
     }
 
-    /// Takes counts in; true once they are on record.
+    /// Adds counts to the next write, and waits for it. Returns true if they are stored.
     pub async fn collect(&self, push: UsagePush) -> bool {
-        let (done, outcome) = oneshot::channel();
+        let (sender, receiver) = oneshot::channel();
         let is_first = {
             let mut pending = self.pending.borrow_mut();
-            pending.push(PendingPush { push, done });
+            pending.push(PendingPush { push, outcome: sender });
             pending.len() == 1
         };
         if is_first {
@@ -59,28 +60,29 @@
                 collector.flush().await;
             });
         }
-        outcome.await.unwrap_or(false)
+        receiver.await.unwrap_or(false)
     }
 
+    /// Writes all pending counts, and reports the outcome to those who wait for it.
     async fn flush(&self) {
         let pending = self.pending.take();
         let mut windows: BTreeMap<u64, Vec<UsagePart>> = BTreeMap::new();
         for entry in &pending {
             windows.entry(entry.push.window).or_default().push(entry.push.part.clone());
         }
-        let mut written = true;
+        let mut all_written = true;
         let windows: Vec<(u64, Vec<UsagePart>)> = windows.into_iter().collect();
-        for some in windows.chunks(WINDOWS_MAX) {
-            written &= write_parts(&self.state, &self.store, some).await;
+        for window_group in windows.chunks(WINDOWS_PER_COMMIT_MAX) {
+            all_written &= write_parts(&self.state, &self.store, window_group).await;
         }
         for entry in pending {
-            // A sender that has left writes by itself.
-            let _ = entry.done.send(written);
+            // A daemon whose call has timed out writes its counts itself, so a closed channel is ignored.
+            let _ = entry.outcome.send(all_written);
         }
     }
 }
 
-/// Puts parts on record, by window. False if that is not certain.
+/// Stores the counts of the windows in one commit. Returns false if they may not be stored.
 pub async fn write_parts(state: &EdgeState, store: &StoreAccess, windows: &[(u64, Vec<UsagePart>)]) -> bool {
     let mut commit = StoreCommit::default();
     for (window, parts) in windows {
--- a/crates/edge/src/duty/usage_duty.rs
+++ b/crates/edge/src/duty/usage_duty.rs
@@ -1,4 +1,4 @@
-//! Seals and reports usage windows.
+//! Sums the usage counts of each window over all daemons, seals the sums in the store, and reports them to the platform.
 
 use super::duty_task::SharedTerm;
 use crate::{edge_state::EdgeState, store::StoreAccess};
@@ -12,90 +12,92 @@
 use serde::de::DeserializeOwned;
 use std::{collections::BTreeMap, sync::Arc};
 
-/// A window is sealed this long after its end, when all daemons have recorded their counts, in milliseconds.
+/// A window is sealed this long after its end; by then, all daemons have stored their counts.
 const SEAL_DELAY_MS: u64 = 5_000;
-/// Windows that a new holder looks back on.
-const LOOK_BACK: u64 = 6;
-/// Sealed windows that stay on record: a report may be asked about for some minutes.
-const SEALED_KEPT: u64 = 64;
-/// Entries that one commit removes, below the platform's limit.
+/// Number of past windows that a new holder seals if they are not sealed, and reports again if they are.
+const LOOK_BACK_WINDOWS: u64 = 6;
+/// Number of sealed windows that are kept in the store, since a report may be questioned for some minutes.
+const SEALED_WINDOWS_KEPT: u64 = 64;
+/// Largest number of entries removed by one commit; below the platform's limit on the size of a commit.
 const REMOVALS_MAX: usize = 24;
 
-/// Reports windows in order.
+/// Seals and reports usage windows in their order.
 pub struct UsageDuty {
     state: Arc<EdgeState>,
     store: StoreAccess,
     provider: Option<DutyClient>,
     term: SharedTerm,
-    /// Token of the term for which `next` holds.
-    token: u64,
-    /// Next window to be sealed.
-    next: Option<u64>,
-    /// Sealed windows that are not reported yet.
+    /// Fencing token of the term to which `next_window` and `unreported` belong.
+    fencing_token: u64,
+    /// Next window to be sealed; `None` until it has been read in this term.
+    next_window: Option<u64>,
+    /// Sealed windows that are not reported yet, with the requests by organisation.
     unreported: BTreeMap<u64, BTreeMap<SharedName, u64>>,
 }
 
 impl UsageDuty {
-    /// Reports under `term`.
+    /// Creates the duty, which reports while `term` allows it.
     #[must_use]
     pub fn new(state: Arc<EdgeState>, store: StoreAccess, term: SharedTerm) -> Self {
         let provider = state.settings.provider.map(DutyClient::new);
-        Self { state, store, provider, term, token: 0, next: None, unreported: BTreeMap::new() }
+        Self { state, store, provider, term, fencing_token: 0, next_window: None, unreported: BTreeMap::new() }
     }
 
-    /// Seals the next window if it is due, and reports what is sealed.
+    /// Seals the next window if it is due, and reports sealed windows.
     pub async fn tick(&mut self) {
         let now = self.state.now();
-        let held = self.term.borrow().filter(|term| term.may_act(now, DutyClient::CALL_MS));
-        let (Some(term), true) = (held, self.provider.is_some()) else { return };
-        if self.token != term.fencing_token {
-            self.token = term.fencing_token;
-            self.next = None;
+        let active_term = self.term.borrow().filter(|term| term.may_act(now, DutyClient::CALL_MS));
+        let (Some(term), true) = (active_term, self.provider.is_some()) else { return };
+        if self.fencing_token != term.fencing_token {
+            self.fencing_token = term.fencing_token;
+            self.next_window = None;
             self.unreported.clear();
         }
-        let Some(next) = self.begin().await else { return };
-        let due = self.state.usage().end_unix_ms(next) + SEAL_DELAY_MS;
-        if self.state.unix_ms() >= due && self.seal(next).await {
-            self.next = Some(next + 1);
+        let Some(window) = self.window_to_seal().await else { return };
+        let due_unix_ms = self.state.usage().end_unix_ms(window) + SEAL_DELAY_MS;
+        if self.state.unix_ms() >= due_unix_ms && self.seal(window).await {
+            self.next_window = Some(window + 1);
         }
         self.report().await;
     }
 
-    /// The next window to be sealed, from the record at the beginning of a term.
-    async fn begin(&mut self) -> Option<u64> {
-        if self.next.is_some() {
-            return self.next;
+    /// The next window to be sealed, which is derived from the stored windows at the start of a term. `None` if they could
+    /// not be read.
+    async fn window_to_seal(&mut self) -> Option<u64> {
+        if self.next_window.is_some() {
+            return self.next_window;
         }
         let page = match self.store.range(KeyLayout::SEALED).await {
             Ok(page) => page,
             Err(error) => {
-                LogLine::new("usage_unread").field("reason", error).warn();
+                LogLine::new("usage_read_failed").field("reason", error).warn();
                 return None;
             }
         };
         let current = self.state.usage().window(self.state.unix_ms());
-        let mut last = None;
+        let mut last_sealed = None;
         for item in page.items {
             let Some(window) = KeyLayout::sealed_window(&item.key) else { continue };
-            last = last.max(Some(window));
-            if window + LOOK_BACK >= current
+            last_sealed = last_sealed.max(Some(window));
+            if window + LOOK_BACK_WINDOWS >= current
                 && let Some(entry) = decode_logged::<UsageEntry>(&item)
             {
-                // The former holder may have sealed it without reporting it.
+                // The previous holder may have sealed this window without reporting it.
                 self.unreported.insert(window, entry.counts);
             }
         }
-        let next = last.map_or(current, |last| (last + 1).max(current.saturating_sub(LOOK_BACK)));
-        self.next = Some(next);
-        Some(next)
+        let next_window = last_sealed.map_or(current, |last| (last + 1).max(current.saturating_sub(LOOK_BACK_WINDOWS)));
+        self.next_window = Some(next_window);
+        Some(next_window)
     }
 
-    /// Adds up a window's counts and fixes them by one write.
+    /// Sums a window's counts and stores the sums by one write that can succeed only once. Returns whether the window is
+    /// sealed.
     async fn seal(&mut self, window: u64) -> bool {
         let page = match self.store.range(&KeyLayout::counts(window)).await {
             Ok(page) => page,
             Err(error) => {
-                LogLine::new("usage_unread").field("window", window).field("reason", error).warn();
+                LogLine::new("usage_read_failed").field("window", window).field("reason", error).warn();
                 return false;
             }
         };
@@ -114,13 +116,13 @@
         for item in page.items.iter().take(REMOVALS_MAX) {
             commit = commit.remove(item.key.clone());
         }
-        if let Some(old) = window.checked_sub(SEALED_KEPT) {
-            commit = commit.remove(KeyLayout::sealed(old));
+        if let Some(expired_window) = window.checked_sub(SEALED_WINDOWS_KEPT) {
+            commit = commit.remove(KeyLayout::sealed(expired_window));
         }
         let counts = match self.store.commit(&commit).await {
             Ok(CommitOutcome::Done(_)) => counts,
             Ok(CommitOutcome::Conflict(items)) => {
-                // What is on record counts, whoever wrote it.
+                // The window is sealed already, by whichever daemon; the stored sums are reported.
                 let sealed = items.first().and_then(decode_logged::<UsageEntry>);
                 let Some(sealed) = sealed else { return false };
                 sealed.counts
@@ -146,16 +148,16 @@
             let now = self.state.now();
             let Some(term) = self.term.borrow().filter(|term| term.may_act(now, DutyClient::CALL_MS)) else { return };
             let duty = DutyCall { holder: &self.state.settings.vm, fencing_token: term.fencing_token };
-            let counted = self.state.begin_duty_call();
+            let call_guard = self.state.begin_duty_call();
             let outcome = provider.report(duty, *window, counts).await;
-            drop(counted);
+            drop(call_guard);
             LogLine::new("usage_reported")
                 .field("window", window)
                 .field("fencing_token", term.fencing_token)
                 .field("result", format!("{outcome:?}").to_lowercase())
                 .info();
             match outcome {
-                // What is refused for good is not sent again.
+                // With these statuses the platform refuses the report permanently, so it is not sent again.
                 DutyOutcome::Accepted | DutyOutcome::Refused(400 | 404 | 409 | 412 | 422) => {
                     let window = *window;
                     self.unreported.remove(&window);
@@ -166,13 +168,15 @@
     }
 }
 
-/// Batches of counts by the process and number that they came from; one may stand in several entries.
+/// Batches of counts by daemon, incarnation and number of the batch. A batch may be stored in several entries and counts
+/// once.
 fn unique_parts(page: &RangePage) -> BTreeMap<(SharedName, u64, u64), BTreeMap<SharedName, u64>> {
     let entries = page.items.iter().filter_map(decode_logged::<UsageParts>);
     let parts = entries.flat_map(|entry| entry.parts);
     parts.map(|part| ((part.daemon, part.incarnation, part.number), part.counts)).collect()
 }
 
+/// Decodes a stored entry. `None` if it is malformed, which is logged.
 fn decode_logged<T: DeserializeOwned>(item: &StoreItem) -> Option<T> {
     match decode(&item.value) {
         Ok(entry) => Some(entry),
--- a/crates/edge/src/job/item_run.rs
+++ b/crates/edge/src/job/item_run.rs
@@ -35,7 +35,7 @@
     fn from_failure(failure: AttemptFailure) -> Self {
         let end = if failure.may_have_run() { RunEnd::Broken } else { RunEnd::NotRun };
         let outcome = match failure {
-            // These concern only the item's model at the upstream, so its other models stay in use.
+            // These failures concern only the item's model, so the upstream stays in use for other models.
             AttemptFailure::Refused | AttemptFailure::Misdirected => SamplerOutcome::Answered(None),
             other_failure => other_failure.outcome(),
         };
--- a/crates/edge/src/job/job_index.rs
+++ b/crates/edge/src/job/job_index.rs
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Adds a job that is stored in the store. A job that is in the index already stays as it is.
+    /// Adds a stored job, unless the index contains it already.
     pub fn job_accepted(&mut self, job: SharedName, entry: JobEntry) {
         let ended = self.ended.contains(&job);
         self.jobs.entry(job).or_insert_with(|| JobView {
@@ -137,12 +137,12 @@
         }
     }
 
-    /// Adds a job that this process will run.
+    /// Adds a job that was submitted or handed over to this process.
     pub fn add_pending(&mut self, job: SharedName, pending_job: PendingJob) {
         self.pending.insert(job, pending_job);
     }
 
-    /// Whether `job` is held for a later start by this process.
+    /// Whether `job` was submitted or handed over to this process and is not running yet.
     #[must_use]
     pub fn is_pending(&self, job: &str) -> bool {
         self.pending.contains_key(job)
@@ -215,7 +215,7 @@
         self.running.len()
     }
 
-    /// Whether this process holds state of `job` in memory: it runs the job, or will.
+    /// Whether this process holds state of `job` in memory: the job is running or pending.
     #[must_use]
     pub fn has_state(&self, job: &str) -> bool {
         self.running.contains_key(job) || self.pending.contains_key(job)
--- a/crates/edge/src/job/job_writer.rs
+++ b/crates/edge/src/job/job_writer.rs
@@ -42,7 +42,7 @@
 pub struct SubmittedJob {
     /// Id of the job.
     pub id: SharedName,
-    /// Entry to be stored.
+    /// Stored entry of the job, or the entry to be stored.
     pub entry: JobEntry,
     /// Jobs with the same key are assigned to the same daemon. The name of the route, or the path if the job has no route
     /// any more; unused by the receiver of a job.
@@ -171,7 +171,8 @@
 }
 
 /// Transfers a job with its progress to another daemon, before this one stops. `revision` is that of the ownership entry
-/// to be replaced. If the transfer fails, another daemon claims the job after the lease of this one has ended.
+/// to be replaced. If that entry cannot be replaced, the job is claimed by another daemon once this one's lease has ended;
+/// if the message fails, the new owner reads the job from the store.
 pub async fn hand_over_job(parts: &WorkerParts, job: &SubmittedJob, revision: u64, ledger: LedgerState) {
     let own_vm = parts.state.settings.vm.clone();
     let Some(owner) = choose_owner(&parts.state, &job.placement_key, Some(&own_vm)) else { return };
@@ -191,7 +192,8 @@
     }
 }
 
-/// Accepts a stored job that this process runs, or that any daemon may claim if `owner` is `None`.
+/// Adds a stored job to the index, with its submission and, if it has run before, its `ledger`. Without an `owner`, any
+/// daemon may claim the job.
 pub fn receive_job(state: &EdgeState, job: &SubmittedJob, owner: Option<OwnerRecord>, ledger: Option<LedgerState>) {
     let now = state.now();
     {
--- a/crates/edge/src/job/ledger_writer.rs
+++ b/crates/edge/src/job/ledger_writer.rs
@@ -68,11 +68,11 @@
             now >= self.results_at || ledger.is_finished() || ledger.is_urgent()
         };
         let results = if results_due { results_write(job) } else { None };
-        let texts = if results.is_some() || now >= self.checkpoint_at { checkpoint_write(job) } else { None };
-        if results.is_none() && texts.is_none() {
+        let checkpoint = if results.is_some() || now >= self.checkpoint_at { checkpoint_write(job) } else { None };
+        if results.is_none() && checkpoint.is_none() {
             return WriteOutcome::Continue;
         }
-        let outcome = commit_writes(job, results.as_ref(), texts.as_ref()).await;
+        let outcome = commit_writes(job, results.as_ref(), checkpoint.as_ref()).await;
         let written_at = job.state.now();
         self.results_at = written_at.plus_ms(WRITE_PERIOD_MS);
         self.checkpoint_at = written_at.plus_ms(CHECKPOINT_PERIOD_MS);
@@ -112,26 +112,26 @@
 async fn commit_writes(
     job: &OwnedJob,
     results: Option<&ResultsWrite>,
-    texts: Option<&CheckpointWrite>,
+    checkpoint: Option<&CheckpointWrite>,
 ) -> WriteOutcome {
     let mut commit = StoreCommit::default().expect(KeyLayout::owner(&job.id), job.owner_revision.get());
-    let results_pair = results.map(|write| (&write.key, &write.value));
-    let texts_pair = texts.map(|write| (&write.key, &write.value));
-    for (key, value) in results_pair.into_iter().chain(texts_pair) {
+    let results_put = results.map(|write| (&write.key, &write.value));
+    let checkpoint_put = checkpoint.map(|write| (&write.key, &write.value));
+    for (key, value) in results_put.into_iter().chain(checkpoint_put) {
         commit = commit.expect(key.clone(), 0).put(key.clone(), value.clone(), 0);
     }
     match job.store.commit(&commit).await {
         Ok(CommitOutcome::Done(revision)) => {
             results.into_iter().for_each(|results| results_stored(job, &results.entry, revision));
-            texts.into_iter().for_each(|texts| checkpoint_stored(job, texts, revision));
+            checkpoint.into_iter().for_each(|checkpoint| checkpoint_stored(job, checkpoint, revision));
             WriteOutcome::Continue
         }
-        Ok(CommitOutcome::Conflict(items)) => resolve_conflict(job, results, texts, &items),
+        Ok(CommitOutcome::Conflict(items)) => resolve_conflict(job, results, checkpoint, &items),
         Err(error) => {
             LogLine::new("ledger_not_written")
                 .field("job", &job.id)
                 .field("first", results.map_or(0, |results| results.entry.first))
-                .field("texts", texts.map_or(0, |texts| texts.number))
+                .field("texts", checkpoint.map_or(0, |checkpoint| checkpoint.number))
                 .field("reason", error)
                 .warn();
             WriteOutcome::Continue
@@ -145,18 +145,18 @@
 fn resolve_conflict(
     job: &OwnedJob,
     results: Option<&ResultsWrite>,
-    texts: Option<&CheckpointWrite>,
+    checkpoint: Option<&CheckpointWrite>,
     items: &[StoreItem],
 ) -> WriteOutcome {
     let stored_item = |key: &str| items.iter().find(|item| item.key == key);
-    if let Some(texts) = texts
-        && let Some(item) = stored_item(&texts.key)
+    if let Some(checkpoint) = checkpoint
+        && let Some(item) = stored_item(&checkpoint.key)
     {
-        if item.value == texts.value {
-            checkpoint_stored(job, texts, item.revision);
+        if item.value == checkpoint.value {
+            checkpoint_stored(job, checkpoint, item.revision);
         } else {
-            LogLine::new("texts_conflict").field("job", &job.id).field("number", texts.number).warn();
-            job.ledger.borrow_mut().checkpoint_taken(texts.number);
+            LogLine::new("texts_conflict").field("job", &job.id).field("number", checkpoint.number).warn();
+            job.ledger.borrow_mut().checkpoint_taken(checkpoint.number);
         }
     }
     let Some(results) = results else { return WriteOutcome::Continue };
@@ -189,12 +189,12 @@
 }
 
 /// Removes stored texts from the next checkpoints.
-fn checkpoint_stored(job: &OwnedJob, texts: &CheckpointWrite, revision: u64) {
+fn checkpoint_stored(job: &OwnedJob, checkpoint: &CheckpointWrite, revision: u64) {
     LogLine::new("texts_saved")
         .field("job", &job.id)
-        .field("number", texts.number)
-        .field("bytes", texts.value.len())
+        .field("number", checkpoint.number)
+        .field("bytes", checkpoint.value.len())
         .field("revision", revision)
         .info();
-    job.ledger.borrow_mut().checkpoint_saved(texts.number);
+    job.ledger.borrow_mut().checkpoint_saved(checkpoint.number);
 }
--- a/crates/edge/src/job/score_run.rs
+++ b/crates/edge/src/job/score_run.rs
@@ -1,4 +1,4 @@
-//! Sends the finished text of an item to its scorer, and records the scorer's signature in the ledger.
+//! Calls the scorer of an item whose text is complete, and records the signed score in the ledger.
 
 use super::owned_job::OwnedJob;
 use crate::{
@@ -11,7 +11,7 @@
 use pimentoslip_telemetry::LogLine;
 use std::sync::Arc;
 
-/// Largest accepted response of a scorer.
+/// Largest response that is accepted from a scorer.
 const RESPONSE_BYTES_MAX: usize = 4 << 20;
 /// Longest wait for a score, unless the timeout of the scorer's route is shorter.
 const SCORE_MS_MAX: u64 = 5_000;
