--- a/crates/edge/src/duty/duty_task.rs
+++ b/crates/edge/src/duty/duty_task.rs
@@ -14,14 +14,15 @@
 
 /// Longest time between two passes; a change of the upstreams triggers one at once.
 const PASS_PERIOD: Duration = Duration::from_millis(150);
-/// The previous holder may acquire the duty again at once; other daemons wait this long for it. Longer than the delay with
-/// which the previous holder renews its lease after the store was unreachable.
+/// The previous holder may acquire the duty again at once; other daemons wait this long for it. Longer than the delay
+/// with which the previous holder renews its lease after the store was unreachable.
 const PREVIOUS_HOLDER_WAIT_MS: u64 = 300;
-/// Each daemon waits for up to this long in addition, by a time derived from its name, so that they do not all try at
-/// once.
+/// Each daemon waits for up to this long in addition, by a time derived from the name of its VM, so that they do not
+/// all try at once.
 const ACQUIRE_SPREAD_MS: u64 = 600;
 
-/// The current term of this process, shared with the calls that are made under it; `None` while it does not hold the duty.
+/// The current term of this process, shared with the calls that are made under it; `None` while it does not hold the
+/// duty.
 pub type SharedTerm = Rc<RefCell<Option<DutyTerm>>>;
 
 /// Acquires the duty and does its work until the daemon drains.
@@ -84,8 +85,9 @@
     false
 }
 
-/// Revision of the duty entry that this process may replace: 0 if there is no entry, or the revision of the entry that an
-/// earlier process of this daemon left. `None` if another process may hold the duty, or there is no configuration yet.
+/// Revision of the duty entry that this process may replace: 0 if there is no entry, or the revision of the entry that
+/// an earlier process of this daemon left. `None` if another process may hold the duty, or there is no configuration
+/// yet.
 fn replaceable_revision(state: &EdgeState) -> Option<u64> {
     state.config()?;
     let view = state.lease();
@@ -98,8 +100,8 @@
     }
 }
 
-/// Commits this process as the holder, under its lease and in place of the entry with the revision `replaces`, and starts
-/// a term.
+/// Commits this process as the holder, under its lease and in place of the entry with the revision `replaces`, and
+/// starts a term.
 async fn acquire(state: &EdgeState, store: &StoreAccess, term: &SharedTerm, replaces: u64) {
     let (lease, ends_at) = {
         let view = state.lease();
--- a/crates/edge/src/duty/retire_duty.rs
+++ b/crates/edge/src/duty/retire_duty.rs
@@ -1,5 +1,5 @@
-//! Confirms requests of operators to retire a VM. No VM holds anything that must persist, so each request is confirmed at
-//! once.
+//! Confirms requests of operators to retire a VM. No VM holds anything that must persist, so each request is confirmed
+//! at once.
 
 use crate::{edge_state::EdgeState, store::StoreAccess};
 use pimentoslip_kernel::SharedName;
--- a/crates/edge/src/duty/run_report_task.rs
+++ b/crates/edge/src/duty/run_report_task.rs
@@ -1,4 +1,5 @@
-//! Reports this daemon's running requests to the holder of the duty, which orders loads of weights at idle upstreams first.
+//! Reports this daemon's running requests to the holder of the duty, which orders loads of weights at idle upstreams
+//! first.
 
 use crate::{edge_state::EdgeState, peer_client::PeerClient};
 use pimentoslip_kernel::SharedName;
--- a/crates/edge/src/duty/size_duty.rs
+++ b/crates/edge/src/duty/size_duty.rs
@@ -17,15 +17,18 @@
 /// Plans the number of upstreams of every service that has a scaling rule, and sends the orders for them.
 pub struct SizeDuty {
     state: Arc<EdgeState>,
+    /// Client for orders to the platform; `None` if its address is not configured.
     provider: Option<DutyClient>,
     term: SharedTerm,
     store: StoreAccess,
+    /// Services with a scaling rule, by name.
     services: BTreeMap<SharedName, SizedService>,
 }
 
 /// Plan and floor of one service.
 #[derive(Debug, Default)]
 struct SizedService {
+    /// Computes the due orders, and waits between repeated ones.
     planner: SizePlanner,
     /// Number of standing upstreams that are kept in each failure domain; `None` until it has been read or stored.
     floor: Option<BTreeMap<SharedName, u64>>,
@@ -58,7 +61,7 @@
         }
     }
 
-    /// The listed upstreams of `service`.
+    /// The upstreams of `service` in the platform's list.
     fn upstreams(&self, service: &str) -> Vec<SamplerRecord> {
         let samplers = self.state.samplers();
         samplers.records().filter(|record| *record.service == *service).cloned().collect()
@@ -107,7 +110,8 @@
     }
 }
 
-/// Sends an order to the platform and logs the outcome. Fails without a call if the term does not allow one now.
+/// Sends an order to the platform and logs the outcome, with the demand that led to it. Fails without a call if the
+/// term does not allow one now.
 async fn send_order(
     state: &Arc<EdgeState>,
     provider: &DutyClient,
@@ -117,24 +121,24 @@
     demand: u64,
 ) -> SizeOutcome {
     let now = state.now();
-    let held = term.borrow().filter(|term| term.may_act(now, DutyClient::CALL_MS));
-    let Some(held) = held else { return SizeOutcome::Failed };
+    let active_term = term.borrow().filter(|term| term.may_act(now, DutyClient::CALL_MS));
+    let Some(term) = active_term else { return SizeOutcome::Failed };
     let _call_guard = state.begin_duty_call();
-    let duty = DutyCall { holder: &state.settings.vm, fencing_token: held.fencing_token };
+    let duty_call = DutyCall { holder: &state.settings.vm, fencing_token: term.fencing_token };
     let message = SizeOrder {
         service: service.clone(),
         failure_domain: order.failure_domain.clone(),
         reclaimable: order.reclaimable,
         desired: order.desired,
     };
-    let outcome = provider.scale(duty, &message).await;
+    let outcome = provider.scale(duty_call, &message).await;
     LogLine::new("upstreams_ordered")
         .field("service", service)
         .field("failure_domain", &order.failure_domain)
         .field("reclaimable", order.reclaimable)
         .field("desired", order.desired)
         .field("demand", demand)
-        .field("fencing_token", held.fencing_token)
+        .field("fencing_token", term.fencing_token)
         .field("result", format!("{outcome:?}").to_lowercase())
         .info();
     match outcome {
--- a/crates/edge/src/duty/usage_collector.rs
+++ b/crates/edge/src/duty/usage_collector.rs
@@ -21,6 +21,7 @@
 /// Counts that wait for the next write, with the channel for its outcome.
 struct PendingPush {
     push: UsagePush,
+    /// Receives whether the counts are stored.
     outcome: oneshot::Sender<bool>,
 }
 
@@ -29,6 +30,7 @@
 pub struct UsageCollector {
     state: Arc<EdgeState>,
     store: StoreAccess,
+    /// Counts received since the last write.
     pending: Rc<RefCell<Vec<PendingPush>>>,
 }
 
--- a/crates/edge/src/duty/usage_count_task.rs
+++ b/crates/edge/src/duty/usage_count_task.rs
@@ -34,8 +34,8 @@
     }
 }
 
-/// Stores one batch of counts through the collector, or directly if that fails. A batch that is not stored is returned by
-/// the tally again.
+/// Stores one batch of counts through the collector, or directly if that fails. A batch that is not stored is returned
+/// by the tally again.
 async fn store_batch(state: &EdgeState, store: &StoreAccess, peers: &PeerClient, batch: UsageBatch) {
     let UsageBatch { number, window, counts } = batch;
     let part = UsagePart { daemon: state.settings.vm.clone(), incarnation: state.incarnation, number, counts };
--- a/crates/edge/src/duty/usage_duty.rs
+++ b/crates/edge/src/duty/usage_duty.rs
@@ -1,4 +1,5 @@
-//! Sums the usage counts of each window over all daemons, seals the sums in the store, and reports them to the platform.
+//! Sums the usage counts of each window over all daemons, seals the sums in the store, and reports them to the
+//! platform.
 
 use super::duty_task::SharedTerm;
 use crate::{edge_state::EdgeState, store::StoreAccess};
@@ -14,9 +15,9 @@
 
 /// A window is sealed this long after its end; by then, all daemons have stored their counts.
 const SEAL_DELAY_MS: u64 = 5_000;
-/// Number of past windows that a new holder seals if they are not sealed, and reports again if they are.
+/// Number of past windows that a new holder checks: it reports the sealed ones again, and seals those after them.
 const LOOK_BACK_WINDOWS: u64 = 6;
-/// Number of sealed windows that are kept in the store, since a report may be questioned for some minutes.
+/// Number of sealed windows that are kept in the store, so that a report can be checked for some minutes.
 const SEALED_WINDOWS_KEPT: u64 = 64;
 /// Largest number of entries removed by one commit; below the platform's limit on the size of a commit.
 const REMOVALS_MAX: usize = 24;
@@ -25,6 +26,7 @@
 pub struct UsageDuty {
     state: Arc<EdgeState>,
     store: StoreAccess,
+    /// Client for reports to the platform; `None` if its address is not configured.
     provider: Option<DutyClient>,
     term: SharedTerm,
     /// Fencing token of the term to which `next_window` and `unreported` belong.
@@ -61,8 +63,8 @@
         self.report().await;
     }
 
-    /// The next window to be sealed, which is derived from the stored windows at the start of a term. `None` if they could
-    /// not be read.
+    /// The next window to be sealed, which is derived from the stored windows at the start of a term. `None` if they
+    /// could not be read.
     async fn window_to_seal(&mut self) -> Option<u64> {
         if self.next_window.is_some() {
             return self.next_window;
@@ -91,8 +93,8 @@
         Some(next_window)
     }
 
-    /// Sums a window's counts and stores the sums by one write that can succeed only once. Returns whether the window is
-    /// sealed.
+    /// Sums a window's counts and stores the sums by one write that can succeed only once. Returns whether the window
+    /// is sealed.
     async fn seal(&mut self, window: u64) -> bool {
         let page = match self.store.range(&KeyLayout::counts(window)).await {
             Ok(page) => page,
@@ -102,7 +104,7 @@
             }
         };
         let parts = unique_parts(&page);
-        let daemons = parts.len();
+        let batch_count = parts.len();
         let counts = UsageTally::sum(parts.into_values());
         let value = match encode(&UsageEntry { counts: counts.clone() }) {
             Ok(value) => value,
@@ -134,7 +136,7 @@
         };
         LogLine::new("usage_sealed")
             .field("window", window)
-            .field("daemons", daemons)
+            .field("daemons", batch_count)
             .field("requests", counts.values().sum::<u64>())
             .info();
         self.unreported.insert(window, counts);
@@ -147,9 +149,9 @@
         while let Some((window, counts)) = self.unreported.first_key_value() {
             let now = self.state.now();
             let Some(term) = self.term.borrow().filter(|term| term.may_act(now, DutyClient::CALL_MS)) else { return };
-            let duty = DutyCall { holder: &self.state.settings.vm, fencing_token: term.fencing_token };
+            let duty_call = DutyCall { holder: &self.state.settings.vm, fencing_token: term.fencing_token };
             let call_guard = self.state.begin_duty_call();
-            let outcome = provider.report(duty, *window, counts).await;
+            let outcome = provider.report(duty_call, *window, counts).await;
             drop(call_guard);
             LogLine::new("usage_reported")
                 .field("window", window)
@@ -157,7 +159,7 @@
                 .field("result", format!("{outcome:?}").to_lowercase())
                 .info();
             match outcome {
-                // With these statuses the platform refuses the report permanently, so it is not sent again.
+                // A report that was refused with one of these statuses is refused permanently, so it is not sent again.
                 DutyOutcome::Accepted | DutyOutcome::Refused(400 | 404 | 409 | 412 | 422) => {
                     let window = *window;
                     self.unreported.remove(&window);
@@ -168,8 +170,8 @@
     }
 }
 
-/// Batches of counts by daemon, incarnation and number of the batch. A batch may be stored in several entries and counts
-/// once.
+/// Batches of counts by daemon, incarnation and number of the batch. A batch may be stored in several entries and
+/// counts once.
 fn unique_parts(page: &RangePage) -> BTreeMap<(SharedName, u64, u64), BTreeMap<SharedName, u64>> {
     let entries = page.items.iter().filter_map(decode_logged::<UsageParts>);
     let parts = entries.flat_map(|entry| entry.parts);
--- a/crates/edge/src/job/claim_task.rs
+++ b/crates/edge/src/job/claim_task.rs
@@ -18,9 +18,9 @@
         let _ = actix_rt::time::timeout(CHECK_PERIOD, state.job_changed.notified()).await;
         let now = state.now();
         let claims = {
-            let regained_at = state.store_regained_at();
+            let reconnected_at = state.store_regained_at();
             let jobs = state.jobs();
-            state.ownership().claims(now, regained_at, |job| jobs.has_state(job))
+            state.ownership().claims(now, reconnected_at, |job| jobs.has_state(job))
         };
         let lease = state.lease().lease;
         if let Some(lease) = lease {
--- a/crates/edge/src/job/item_run.rs
+++ b/crates/edge/src/job/item_run.rs
@@ -22,11 +22,13 @@
 /// Longest run; after this, the item resumes in a new run at another upstream.
 const RUN_MS_MAX: u64 = 30_000;
 
-/// How a run ended, for the ledger, the log and the evaluation of the upstream.
+/// How a run ended.
 struct RunOutcome {
+    /// End of the run, for the ledger.
     end: RunEnd,
     /// Result as spelled in metrics and logs.
     reason: &'static str,
+    /// Outcome for the evaluation of the upstream.
     upstream_outcome: SamplerOutcome,
 }
 
@@ -34,16 +36,17 @@
     /// Classifies a failed attempt.
     fn from_failure(failure: AttemptFailure) -> Self {
         let end = if failure.may_have_run() { RunEnd::Broken } else { RunEnd::NotRun };
-        let outcome = match failure {
+        let upstream_outcome = match failure {
             // These failures concern only the item's model, so the upstream stays in use for other models.
             AttemptFailure::Refused | AttemptFailure::Misdirected => SamplerOutcome::Answered(None),
             other_failure => other_failure.outcome(),
         };
-        Self { end, reason: failure.as_str(), upstream_outcome: outcome }
+        Self { end, reason: failure.as_str(), upstream_outcome }
     }
 }
 
-/// Runs an item at the guard's upstream, and records its events and the end of the run in the job's ledger.
+/// Runs an item at the guard's upstream until `give_up_at` at most, and records its events and the end of the run in
+/// the job's ledger.
 pub async fn run_item(job: OwnedJob, work: ItemWork, mut guard: SamplerGuard, priority: u32, give_up_at: TimePoint) {
     let state = job.state.clone();
     let started_at = state.now();
--- a/crates/edge/src/job/job_index.rs
+++ b/crates/edge/src/job/job_index.rs
@@ -40,6 +40,7 @@
 /// Batch jobs by id, with the submissions and results that this process holds in memory.
 #[derive(Debug)]
 pub struct JobIndex {
+    /// Stored jobs whose entry has been read.
     jobs: HashMap<SharedName, JobView>,
     /// Jobs ended by their submitter, including jobs whose entry has not been read yet.
     ended: HashSet<SharedName>,
--- a/crates/edge/src/job/job_reader.rs
+++ b/crates/edge/src/job/job_reader.rs
@@ -188,7 +188,8 @@
     Ok((submission, body))
 }
 
-/// Reads the body of the item `item_id` from the job's owner, or else from the store. `None` if the job has no such item.
+/// Reads the body of the item `item_id` from the job's owner, or else from the store. `None` if the job has no such
+/// item.
 pub async fn read_item_body(
     state: &EdgeState,
     store: &StoreAccess,
--- a/crates/edge/src/job/job_runner.rs
+++ b/crates/edge/src/job/job_runner.rs
@@ -34,8 +34,8 @@
 /// Delay before a failed read of a job is repeated.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Runs the owned job `id` until it is settled or ended, another daemon owns it, or this daemon drains. In the last case
-/// an unfinished job is handed over.
+/// Runs the owned job `id` until it is settled or ended, another daemon owns it, or this daemon drains. In the last
+/// case an unfinished job is handed over.
 pub async fn run_job(state: Arc<EdgeState>, upstreams: Client, store: StoreAccess, id: SharedName) {
     if let Some(job) = open_job(&state, upstreams, store, &id).await {
         drive_job(&job).await;
@@ -65,6 +65,7 @@
 
 /// What a new owner needs in order to start a job.
 struct JobInputs {
+    /// Submission, and the progress that was handed over.
     pending: PendingJob,
     /// Stored results, in order of their positions.
     results: Vec<ResultEntry>,
--- a/crates/edge/src/job/job_writer.rs
+++ b/crates/edge/src/job/job_writer.rs
@@ -44,8 +44,8 @@
     pub id: SharedName,
     /// Stored entry of the job, or the entry to be stored.
     pub entry: JobEntry,
-    /// Jobs with the same key are assigned to the same daemon. The name of the route, or the path if the job has no route
-    /// any more; unused by the receiver of a job.
+    /// Jobs with the same key are assigned to the same daemon. The name of the route, or the path if the job has no
+    /// route any more; unused by the receiver of a job.
     pub placement_key: SharedName,
     /// Encoded submission.
     pub body: Bytes,
@@ -54,8 +54,8 @@
 }
 
 impl SubmittedJob {
-    /// Builds the message that transfers the job to `owner`, whose ownership entry was written at `revision`. `state` is
-    /// the progress of a job that has run before.
+    /// Builds the message that transfers the job to `owner`, whose ownership entry was written at `revision`. `state`
+    /// is the progress of a job that has run before.
     fn push_message(&self, owner: &ChosenOwner, revision: u64, state: Option<LedgerState>) -> JobPush {
         JobPush {
             job: self.id.clone(),
@@ -71,7 +71,9 @@
 /// The daemon selected to own a job.
 #[derive(Clone, Debug)]
 struct ChosenOwner {
+    /// Value of the ownership entry.
     signature: DaemonEntry,
+    /// Lease of the ownership entry, and address for the transfer.
     presence: DaemonPresence,
 }
 
@@ -170,9 +172,9 @@
     LogLine::new("job_pushed").field("job", &push.job).field("owner", control).field("result", result).info();
 }
 
-/// Transfers a job with its progress to another daemon, before this one stops. `revision` is that of the ownership entry
-/// to be replaced. If that entry cannot be replaced, the job is claimed by another daemon once this one's lease has ended;
-/// if the message fails, the new owner reads the job from the store.
+/// Transfers a job with its progress to another daemon, before this one stops. `revision` is that of the ownership
+/// entry to be replaced. If that entry cannot be replaced, the job is claimed by another daemon once this one's lease
+/// has ended; if the message fails, the new owner reads the job from the store.
 pub async fn hand_over_job(parts: &WorkerParts, job: &SubmittedJob, revision: u64, ledger: LedgerState) {
     let own_vm = parts.state.settings.vm.clone();
     let Some(owner) = choose_owner(&parts.state, &job.placement_key, Some(&own_vm)) else { return };
--- a/crates/edge/src/job/ledger_writer.rs
+++ b/crates/edge/src/job/ledger_writer.rs
@@ -17,8 +17,8 @@
 const CHECKPOINT_PERIOD_MS: u64 = 800;
 /// Largest results of one write; below the platform's limit on the size of a value.
 const CHUNK_BYTES_MAX: usize = 600_000;
-/// Size at which a checkpoint is closed, so that only its last text exceeds it; below the platform's limit on the size of
-/// a value.
+/// Size at which a checkpoint is closed, so that only its last text exceeds it; below the platform's limit on the size
+/// of a value.
 const CHECKPOINT_BYTES_MAX: usize = 400_000;
 
 /// Outcome of a write.
@@ -34,13 +34,16 @@
 struct ResultsWrite {
     key: String,
     entry: ResultsEntry,
+    /// Encoded `entry`.
     value: Bytes,
 }
 
 /// A text checkpoint to be stored.
 struct CheckpointWrite {
     key: String,
+    /// Number of the checkpoint in its job.
     number: usize,
+    /// Encoded checkpoint.
     value: Bytes,
 }
 
@@ -108,7 +111,8 @@
     }
 }
 
-/// Commits the results and the checkpoint, on the condition that neither key exists and the ownership entry is unchanged.
+/// Commits the results and the checkpoint, on the condition that neither key exists and the ownership entry is
+/// unchanged.
 async fn commit_writes(
     job: &OwnedJob,
     results: Option<&ResultsWrite>,
--- a/crates/edge/src/job/owner_read.rs
+++ b/crates/edge/src/job/owner_read.rs
@@ -67,8 +67,8 @@
     }
 }
 
-/// Reads the body of an item from the job's owner, which may be this process. The outer `None` means that it must be read
-/// from the store, the inner that the job has no such item.
+/// Reads the body of an item from the job's owner, which may be this process. The outer `None` means that it must be
+/// read from the store, the inner that the job has no such item.
 pub async fn item_from_owner(
     state: &EdgeState,
     peers: &PeerClient,
--- a/crates/edge/src/job/result_cache.rs
+++ b/crates/edge/src/job/result_cache.rs
@@ -14,6 +14,7 @@
 #[derive(Debug, Default)]
 struct CachedJob {
     results: Vec<Arc<ResultEntry>>,
+    /// Estimated size of the results.
     bytes: usize,
 }
 
@@ -22,8 +23,10 @@
 #[derive(Debug)]
 pub struct ResultCache {
     bytes_max: usize,
+    /// Estimated size of all cached results.
     bytes: usize,
     jobs: HashMap<SharedName, CachedJob>,
+    /// Cached jobs, in the order in which they were inserted.
     insertion_order: VecDeque<SharedName>,
 }
 
@@ -60,8 +63,8 @@
         }
     }
 
-    /// Results from `position` on, up to about `bytes_max` bytes, but at least one if there is any. `None` if the job is
-    /// not cached.
+    /// Results from `position` on, up to about `bytes_max` bytes, but at least one if there is any. `None` if the job
+    /// is not cached.
     #[must_use]
     pub fn read(&self, job: &str, position: usize, bytes_max: usize) -> Option<Vec<Arc<ResultEntry>>> {
         let cached = self.jobs.get(job)?;
--- a/crates/edge/src/job/score_run.rs
+++ b/crates/edge/src/job/score_run.rs
@@ -22,6 +22,7 @@
 /// A request to a scorer, with the upstream selected for it.
 pub struct ScoreCall {
     call: UpstreamCall,
+    /// Counts the request on its upstream.
     guard: SamplerGuard,
 }
 
