--- a/crates/edge/src/duty/mod.rs
+++ b/crates/edge/src/duty/mod.rs
@@ -1,4 +1,5 @@
-//! Duties of one daemon at a time: loads of weights, numbers of upstreams, usage reports, emptied VMs.
+//! Work of the one daemon that holds the duty: loads of weights, sizing of services, usage reports and retired VMs; and
+//! the tasks by which all daemons report to the holder.
 
 mod duty_task;
 mod load_duty;
@@ -12,4 +13,4 @@
 pub use duty_task::hold_duty;
 pub use run_report_task::{RUNS_PATH, report_runs};
 pub use usage_collector::{USAGE_PATH, UsageCollector};
-pub use usage_count_task::{record_usage, record_usage_now};
+pub use usage_count_task::{flush_usage, record_usage};
