--- a/crates/edge/src/duty/duty_task.rs
+++ b/crates/edge/src/duty/duty_task.rs
@@ -102,7 +102,7 @@
         let view = state.lease();
         (view.lease, view.ends_at)
     };
-    let (Some(lease), Ok(entry)) = (lease, encode(&state.signature())) else { return };
+    let (Some(lease), Ok(entry)) = (lease, encode(&state.daemon_entry())) else { return };
     let history = match read_history(store).await {
         Ok(history) => history,
         Err(error) => {
@@ -130,7 +130,8 @@
         Ok(CommitOutcome::Conflict(items)) => {
             // An earlier write of this process may have been done without an answer.
             let own = |item: &&StoreItem| {
-                item.lease == lease && decode::<DaemonEntry>(&item.value).is_ok_and(|entry| entry == state.signature())
+                item.lease == lease
+                    && decode::<DaemonEntry>(&item.value).is_ok_and(|entry| entry == state.daemon_entry())
             };
             let Some(item) = items.iter().find(own) else { return };
             item.revision
@@ -144,7 +145,7 @@
     LogLine::new("duty_taken").field("fencing_token", revision).field("after", last).field("waits_ms", wait_ms).info();
     EdgeMetrics::global().duty_held.set(1);
     *term.borrow_mut() = Some(DutyTerm::begin(revision, lease, now, ends_at, wait_ms));
-    state.lease().duty_known(revision, state.signature());
+    state.lease().duty_observed(revision, state.daemon_entry());
 }
 
 async fn read_history(store: &StoreAccess) -> anyhow::Result<DutyHistory> {
--- a/crates/edge/src/duty/load_duty.rs
+++ b/crates/edge/src/duty/load_duty.rs
@@ -45,14 +45,14 @@
         let may_act = self.term.borrow().is_some_and(|term| term.may_act(now, ORDER_MS));
         let Some(config) = self.state.config().filter(|_| may_act) else { return };
         let runs = {
-            let own = self.state.samplers().model_runs();
+            let own = self.state.upstreams().model_runs();
             let mut board = self.state.run_board();
             board.reported(self.state.settings.vm.clone(), own, now);
             board.runs(now)
         };
         for service in config.services.values().filter(|service| !service.models.is_empty()) {
             let upstreams: Vec<SamplerRecord> =
-                self.state.samplers().records().filter(|record| record.service == service.name).cloned().collect();
+                self.state.upstreams().records().filter(|record| record.service == service.name).cloned().collect();
             let models = model_demands(&self.state, &service.models);
             let view = LoadView { upstreams: &upstreams, models: &models, runs: &runs };
             let orders = self.planner.borrow_mut().plan(&view, now);
@@ -73,7 +73,7 @@
 
 /// What the named versions and the newest steps ask of each model.
 fn model_demands(state: &EdgeState, models: &[SharedName]) -> BTreeMap<SharedName, ModelDemand> {
-    let named = state.named_versions().clone();
+    let named = state.newest_versions().clone();
     let jobs = state.jobs();
     let demand = |model: &SharedName| {
         let mut steps: Vec<&JobEntry> =
@@ -137,7 +137,7 @@
     let Some(held) = term.borrow().filter(|term| term.may_act(now, ORDER_MS)) else {
         return (OrderOutcome::Conflict, "duty_lost".to_owned());
     };
-    let _counted = state.begin_duty_call();
+    let _counted = state.track_duty_call();
     let message = OrderMessage {
         model: &order.model,
         version: order.version,
--- a/crates/edge/src/duty/run_report_task.rs
+++ b/crates/edge/src/duty/run_report_task.rs
@@ -18,7 +18,7 @@
     let mut told = false;
     loop {
         actix_rt::time::sleep(REPORT_PERIOD).await;
-        let runs = state.samplers().model_runs();
+        let runs = state.upstreams().model_runs();
         if runs.is_empty() && !told {
             continue;
         }
--- a/crates/edge/src/duty/size_duty.rs
+++ b/crates/edge/src/duty/size_duty.rs
@@ -59,7 +59,7 @@
     }
 
     fn upstreams(&self, service: &str) -> Vec<SamplerRecord> {
-        let samplers = self.state.samplers();
+        let samplers = self.state.upstreams();
         samplers.records().filter(|record| *record.service == *service).cloned().collect()
     }
 
@@ -114,7 +114,7 @@
     let now = state.now();
     let held = term.borrow().filter(|term| term.may_act(now, DutyClient::CALL_MS));
     let Some(held) = held else { return SizeOutcome::Failed };
-    let _counted = state.begin_duty_call();
+    let _counted = state.track_duty_call();
     let duty = DutyCall { holder: &state.settings.vm, fencing_token: held.fencing_token };
     let message = SizeOrder {
         service: service.clone(),
--- a/crates/edge/src/duty/usage_collector.rs
+++ b/crates/edge/src/duty/usage_collector.rs
@@ -91,7 +91,7 @@
                 return false;
             }
         };
-        let key = KeyLayout::count(*window, &state.settings.vm, state.incarnation, state.next_usage_write());
+        let key = KeyLayout::count(*window, &state.settings.vm, state.incarnation, state.next_usage_write_number());
         commit = commit.put(key, value, 0);
     }
     let parts: usize = windows.iter().map(|(_, parts)| parts.len()).sum();
--- a/crates/edge/src/duty/usage_duty.rs
+++ b/crates/edge/src/duty/usage_duty.rs
@@ -146,7 +146,7 @@
             let now = self.state.now();
             let Some(term) = self.term.borrow().filter(|term| term.may_act(now, DutyClient::CALL_MS)) else { return };
             let duty = DutyCall { holder: &self.state.settings.vm, fencing_token: term.fencing_token };
-            let counted = self.state.begin_duty_call();
+            let counted = self.state.track_duty_call();
             let outcome = provider.report(duty, *window, counts).await;
             drop(counted);
             LogLine::new("usage_reported")
--- a/crates/edge/src/edge_metrics.rs
+++ b/crates/edge/src/edge_metrics.rs
@@ -47,15 +47,15 @@
     /// Repeated attempts, by reason.
     pub retries: Family<ReasonLabel, Counter>,
     /// Runs of items, by end.
-    pub runs: Family<ReasonLabel, Counter>,
+    pub item_runs: Family<ReasonLabel, Counter>,
     /// Calls of scorers, by end.
-    pub scores: Family<ReasonLabel, Counter>,
+    pub score_calls: Family<ReasonLabel, Counter>,
     /// Calls to the store, by purpose.
     pub store_calls: Family<PurposeLabel, Counter>,
     /// Time to the answer of a request.
-    pub latency: Histogram,
+    pub request_latency: Histogram,
     /// Time from a batch job's submission to its last listed result.
-    pub batch_time: Histogram,
+    pub batch_duration: Histogram,
     /// Configuration version in force.
     pub config_version: Gauge,
     /// Batch jobs owned.
@@ -85,11 +85,11 @@
             answers: Family::default(),
             refusals: Family::default(),
             retries: Family::default(),
-            runs: Family::default(),
-            scores: Family::default(),
+            item_runs: Family::default(),
+            score_calls: Family::default(),
             store_calls: Family::default(),
-            latency: Histogram::new(LATENCY_BUCKETS_SECONDS),
-            batch_time: Histogram::new(LATENCY_BUCKETS_SECONDS),
+            request_latency: Histogram::new(LATENCY_BUCKETS_SECONDS),
+            batch_duration: Histogram::new(LATENCY_BUCKETS_SECONDS),
             config_version: Gauge::default(),
             jobs_owned: Gauge::default(),
             duty_held: Gauge::default(),
@@ -98,11 +98,11 @@
         registry.register("answers", "Answers to requests by outcome", set.answers.clone());
         registry.register("refusals", "Refused requests by reason", set.refusals.clone());
         registry.register("retries", "Repeated attempts by reason", set.retries.clone());
-        registry.register("item_runs", "Runs of batch items by end", set.runs.clone());
-        registry.register("item_scores", "Calls of scorers by end", set.scores.clone());
+        registry.register("item_runs", "Runs of batch items by end", set.item_runs.clone());
+        registry.register("item_scores", "Calls of scorers by end", set.score_calls.clone());
         registry.register("store_calls", "Calls to the store by purpose", set.store_calls.clone());
-        registry.register("latency_seconds", "Time to the answer of a request", set.latency.clone());
-        registry.register("batch_seconds", "Time from submission to the last result", set.batch_time.clone());
+        registry.register("latency_seconds", "Time to the answer of a request", set.request_latency.clone());
+        registry.register("batch_seconds", "Time from submission to the last result", set.batch_duration.clone());
         registry.register("config_version", "Configuration version in force", set.config_version.clone());
         registry.register("jobs_owned", "Batch jobs owned", set.jobs_owned.clone());
         registry.register("duty_held", "1 while the duty is held", set.duty_held.clone());
@@ -110,7 +110,7 @@
     }
 
     /// Counts a call to the store.
-    pub fn store_called(purpose: &'static str) {
+    pub fn count_store_call(purpose: &'static str) {
         Self::global().store_calls.get_or_create(&PurposeLabel { purpose }).inc();
     }
 
@@ -123,7 +123,7 @@
     }
 
     /// Counts an event of a family by reason.
-    pub fn count(family: &Family<ReasonLabel, Counter>, reason: &'static str) {
+    pub fn increment(family: &Family<ReasonLabel, Counter>, reason: &'static str) {
         family.get_or_create(&ReasonLabel { reason }).inc();
     }
 
--- a/crates/edge/src/edge_state.rs
+++ b/crates/edge/src/edge_state.rs
@@ -37,20 +37,20 @@
     /// Wakes those who wait for results of owned jobs.
     pub results_listed: Notify,
     time: SteadyTime,
-    requests: AtomicUsize,
+    active_requests: AtomicUsize,
     config: RwLock<Option<Arc<TrafficConfig>>>,
-    samplers: Mutex<SamplerTable>,
-    named_versions: Mutex<BTreeMap<SharedName, u64>>,
+    upstreams: Mutex<SamplerTable>,
+    newest_versions: Mutex<BTreeMap<SharedName, u64>>,
     retired_vms: Mutex<Vec<SharedName>>,
     ownership: Mutex<OwnershipTable>,
     jobs: Mutex<JobIndex>,
     usage: Mutex<UsageTally>,
     lease: Mutex<LeaseView>,
     store_path: Mutex<PathChoice>,
-    store_regained_at: Mutex<Option<TimePoint>>,
+    store_reconnected_at: Mutex<Option<TimePoint>>,
     usage_writes: AtomicU64,
     run_board: Mutex<RunBoard>,
-    duty_calls: AtomicUsize,
+    pending_duty_calls: AtomicUsize,
 }
 
 /// Counts a call under the duty until its outcome is known.
@@ -59,7 +59,7 @@
 
 impl Drop for DutyCallGuard {
     fn drop(&mut self) {
-        self.0.duty_calls.fetch_sub(1, Ordering::SeqCst);
+        self.0.pending_duty_calls.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
@@ -78,7 +78,7 @@
 
 impl LeaseView {
     /// The duty's record was written at `revision`.
-    pub fn duty_known(&mut self, revision: u64, holder: DaemonEntry) {
+    pub fn duty_observed(&mut self, revision: u64, holder: DaemonEntry) {
         self.last_holder = Some(holder.daemon.clone());
         self.duty = Some((revision, holder));
     }
@@ -90,7 +90,7 @@
 
 impl Drop for RequestGuard {
     fn drop(&mut self) {
-        self.0.requests.fetch_sub(1, Ordering::SeqCst);
+        self.0.active_requests.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
@@ -111,20 +111,20 @@
             upstreams_changed: Notify::new(),
             results_listed: Notify::new(),
             time: SteadyTime::new(&clock),
-            requests: AtomicUsize::new(0),
+            active_requests: AtomicUsize::new(0),
             config: RwLock::new(None),
-            samplers: Mutex::default(),
-            named_versions: Mutex::default(),
+            upstreams: Mutex::default(),
+            newest_versions: Mutex::default(),
             retired_vms: Mutex::default(),
             ownership: Mutex::new(OwnershipTable::new(settings.vm.clone(), incarnation)),
             jobs: Mutex::new(JobIndex::new(settings.memory_bytes / RESULTS_MEMORY_DIVISOR)),
             usage: Mutex::new(UsageTally::new(settings.usage_window_ms)),
             lease: Mutex::default(),
             store_path: Mutex::new(PathChoice::new(fingerprint(&[settings.vm.as_bytes()]))),
-            store_regained_at: Mutex::default(),
+            store_reconnected_at: Mutex::default(),
             usage_writes: AtomicU64::new(0),
             run_board: Mutex::default(),
-            duty_calls: AtomicUsize::new(0),
+            pending_duty_calls: AtomicUsize::new(0),
             settings,
             clock,
         })
@@ -160,13 +160,13 @@
     }
 
     /// Upstreams.
-    pub fn samplers(&self) -> MutexGuard<'_, SamplerTable> {
-        lock(&self.samplers)
+    pub fn upstreams(&self) -> MutexGuard<'_, SamplerTable> {
+        lock(&self.upstreams)
     }
 
     /// Newest version of each model.
-    pub fn named_versions(&self) -> MutexGuard<'_, BTreeMap<SharedName, u64>> {
-        lock(&self.named_versions)
+    pub fn newest_versions(&self) -> MutexGuard<'_, BTreeMap<SharedName, u64>> {
+        lock(&self.newest_versions)
     }
 
     /// VMs that operators want emptied.
@@ -200,14 +200,14 @@
     }
 
     /// The store was found back at `at`.
-    pub fn store_regained(&self, at: TimePoint) {
-        *lock(&self.store_regained_at) = Some(at);
+    pub fn store_reconnected(&self, at: TimePoint) {
+        *lock(&self.store_reconnected_at) = Some(at);
     }
 
     /// When the store was found back after its last outage.
     #[must_use]
-    pub fn store_regained_at(&self) -> Option<TimePoint> {
-        *lock(&self.store_regained_at)
+    pub fn store_reconnected_at(&self) -> Option<TimePoint> {
+        *lock(&self.store_reconnected_at)
     }
 
     /// What other daemons run.
@@ -217,26 +217,26 @@
 
     /// Counts a call under the duty until the guard is dropped.
     #[must_use]
-    pub fn begin_duty_call(self: &Arc<Self>) -> DutyCallGuard {
-        self.duty_calls.fetch_add(1, Ordering::SeqCst);
+    pub fn track_duty_call(self: &Arc<Self>) -> DutyCallGuard {
+        self.pending_duty_calls.fetch_add(1, Ordering::SeqCst);
         DutyCallGuard(self.clone())
     }
 
     /// Calls under the duty whose outcome is not known yet.
     #[must_use]
-    pub fn duty_calls(&self) -> usize {
-        self.duty_calls.load(Ordering::SeqCst)
+    pub fn pending_duty_calls(&self) -> usize {
+        self.pending_duty_calls.load(Ordering::SeqCst)
     }
 
     /// Number of this process's next write of usage counts.
     #[must_use]
-    pub fn next_usage_write(&self) -> u64 {
+    pub fn next_usage_write_number(&self) -> u64 {
         self.usage_writes.fetch_add(1, Ordering::Relaxed)
     }
 
     /// Whether this daemon's lease holds for certain, so that nobody else owns what hangs on it.
     #[must_use]
-    pub fn is_lease_sure(&self) -> bool {
+    pub fn is_lease_valid(&self) -> bool {
         !self.is_draining() && self.lease().ends_at > self.now()
     }
 
@@ -248,20 +248,20 @@
 
     /// Counts a request until the guard is dropped.
     #[must_use]
-    pub fn begin_request(self: &Arc<Self>) -> RequestGuard {
-        self.requests.fetch_add(1, Ordering::SeqCst);
+    pub fn track_request(self: &Arc<Self>) -> RequestGuard {
+        self.active_requests.fetch_add(1, Ordering::SeqCst);
         RequestGuard(self.clone())
     }
 
     /// Requests being served.
     #[must_use]
-    pub fn requests(&self) -> usize {
-        self.requests.load(Ordering::SeqCst)
+    pub fn active_requests(&self) -> usize {
+        self.active_requests.load(Ordering::SeqCst)
     }
 
     /// How this daemon signs what it owns.
     #[must_use]
-    pub fn signature(&self) -> DaemonEntry {
+    pub fn daemon_entry(&self) -> DaemonEntry {
         DaemonEntry { daemon: self.settings.vm.clone(), incarnation: self.incarnation }
     }
 }
--- a/crates/edge/src/http/api_refusal.rs
+++ b/crates/edge/src/http/api_refusal.rs
@@ -30,7 +30,7 @@
     /// An upstream broke off; it may have run.
     UpstreamLost,
     /// The store cannot be asked; nothing ran.
-    StoreAway,
+    StoreUnreachable,
     /// The store did not say whether a batch job is on record.
     OutcomeUnknown,
     /// No such batch job or item exists.
@@ -53,7 +53,7 @@
             Self::DeadlinePassed => "deadline_passed",
             Self::AnswerLate => "answer_late",
             Self::UpstreamLost => "upstream_lost",
-            Self::StoreAway => "store_away",
+            Self::StoreUnreachable => "store_away",
             Self::OutcomeUnknown => "outcome_unknown",
             Self::JobUnknown => "job_unknown",
         }
@@ -69,7 +69,7 @@
             Self::HeaderTooLarge => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
             Self::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             Self::BodyLate => StatusCode::REQUEST_TIMEOUT,
-            Self::ConfigUnknown | Self::NoUpstream | Self::DeadlinePassed | Self::StoreAway => {
+            Self::ConfigUnknown | Self::NoUpstream | Self::DeadlinePassed | Self::StoreUnreachable => {
                 StatusCode::SERVICE_UNAVAILABLE
             }
             Self::AnswerLate | Self::OutcomeUnknown => StatusCode::GATEWAY_TIMEOUT,
@@ -80,7 +80,7 @@
     /// Seconds after which a caller may come again: about the time in which the cause passes.
     fn retry_after(self) -> Option<&'static str> {
         match self {
-            Self::ConfigUnknown | Self::StoreAway => Some("0.5"),
+            Self::ConfigUnknown | Self::StoreUnreachable => Some("0.5"),
             Self::NoUpstream | Self::DeadlinePassed => Some("0.1"),
             _ => None,
         }
@@ -89,7 +89,7 @@
     /// The answer.
     #[must_use]
     pub fn response(self) -> HttpResponse {
-        EdgeMetrics::count(&EdgeMetrics::global().refusals, self.code());
+        EdgeMetrics::increment(&EdgeMetrics::global().refusals, self.code());
         let mut response = HttpResponse::build(self.status());
         if let Some(seconds) = self.retry_after() {
             response.insert_header((header::RETRY_AFTER, seconds));
--- a/crates/edge/src/http/batch_api.rs
+++ b/crates/edge/src/http/batch_api.rs
@@ -69,7 +69,7 @@
     match outcome {
         SubmitOutcome::Accepted => Ok(HttpResponse::Accepted().finish()),
         SubmitOutcome::Foreign => Err(ApiRefusal::JobUnknown),
-        SubmitOutcome::NotDone => Err(ApiRefusal::StoreAway),
+        SubmitOutcome::NotDone => Err(ApiRefusal::StoreUnreachable),
         SubmitOutcome::Unknown => Err(ApiRefusal::OutcomeUnknown),
     }
 }
@@ -84,7 +84,7 @@
     let grant = context.grant(request)?;
     let view = job::view(&parts.state, &parts.store, id).await.map_err(|error| {
         LogLine::new("job_unread").field("job", id).field("reason", error).warn();
-        ApiRefusal::StoreAway
+        ApiRefusal::StoreUnreachable
     })?;
     let view = view.ok_or(ApiRefusal::JobUnknown)?;
     let organisation = grant.map_or_else(|| "".into(), |grant| grant.organisation);
@@ -112,14 +112,14 @@
     let wait_ms = if position >= view.entry.items { 0 } else { READ_WAIT_MS_MAX.min(wait_ms) };
     let until = context.arrived.plus_ms(wait_ms).min(context.deadline);
     let read = BoundedRead { position, bytes_max: PAGE_BYTES_MAX, until };
-    let results = job::read_page(&parts.state, &parts.store, &parts.peers, &id.into(), &read).await;
+    let results = job::read_page(&parts.state, &parts.store, &parts.peer_client, &id.into(), &read).await;
     let results = results.map_err(|error| {
         LogLine::new("results_unread").field("job", id).field("position", position).field("reason", error).warn();
-        ApiRefusal::StoreAway
+        ApiRefusal::StoreUnreachable
     })?;
     let results: Vec<ListedResult<'_>> = results.iter().map(|result| listed(result)).collect();
     let page = ResultPage { total: view.entry.items, next: position + results.len(), results };
-    let body = encode_page(&page).map_err(|_| ApiRefusal::StoreAway)?;
+    let body = encode_page(&page).map_err(|_| ApiRefusal::StoreUnreachable)?;
     Ok(HttpResponse::Ok().content_type("application/json").body(body))
 }
 
@@ -142,10 +142,11 @@
 ) -> Result<HttpResponse, ApiRefusal> {
     find(parts, context, request, id).await?;
     let item = parameter(request, ITEM_PARAMETER).ok_or(ApiRefusal::Malformed)?;
-    let body = job::read_body(&parts.state, &parts.store, &parts.peers, &id.into(), &item).await.map_err(|error| {
-        LogLine::new("item_unread").field("job", id).field("item", &item).field("reason", error).warn();
-        ApiRefusal::StoreAway
-    })?;
+    let body =
+        job::read_body(&parts.state, &parts.store, &parts.peer_client, &id.into(), &item).await.map_err(|error| {
+            LogLine::new("item_unread").field("job", id).field("item", &item).field("reason", error).warn();
+            ApiRefusal::StoreUnreachable
+        })?;
     let body = body.ok_or(ApiRefusal::JobUnknown)?;
     Ok(HttpResponse::Ok().content_type("application/octet-stream").body(body))
 }
@@ -161,5 +162,5 @@
     let deadline = context.deadline.min(parts.state.now().plus_ms(WRITE_MS_MAX));
     let ended = job::end(&parts.state, &parts.store, id, deadline).await;
     LogLine::new("job_end").field("job", id).field("request_id", &context.id).field("done", ended).info();
-    if ended { Ok(HttpResponse::Ok().finish()) } else { Err(ApiRefusal::StoreAway) }
+    if ended { Ok(HttpResponse::Ok().finish()) } else { Err(ApiRefusal::StoreUnreachable) }
 }
--- a/crates/edge/src/http/front_app.rs
+++ b/crates/edge/src/http/front_app.rs
@@ -18,7 +18,7 @@
 }
 
 async fn serve(parts: web::Data<WorkerParts>, request: HttpRequest, payload: web::Payload) -> HttpResponse {
-    let _counted = parts.state.begin_request();
+    let _counted = parts.state.track_request();
     let began = parts.state.now();
     let outcome = match RequestContext::read(&parts, &request) {
         Ok(context) => route(&parts, &context, &request, payload).await,
@@ -28,7 +28,7 @@
         Ok(response) => response,
         Err(refusal) => refuse(&request, refusal),
     };
-    EdgeMetrics::global().latency.observe(parts.state.now().since_ms(began) as f64 / MS_PER_SECOND);
+    EdgeMetrics::global().request_latency.observe(parts.state.now().since_ms(began) as f64 / MS_PER_SECOND);
     if parts.state.is_draining() {
         response.headers_mut().insert(header::CONNECTION, header::HeaderValue::from_static("close"));
     }
--- a/crates/edge/src/http/peer_api.rs
+++ b/crates/edge/src/http/peer_api.rs
@@ -26,7 +26,7 @@
     if !parts.state.store_path().is_direct_open() {
         return HttpResponse::ServiceUnavailable().finish();
     }
-    match parts.relay.pass_on(request.method().clone(), name, body).await {
+    match parts.relay_client.pass_on(request.method().clone(), name, body).await {
         Ok((status, body)) => {
             let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
             HttpResponse::build(status).content_type("application/json").body(body)
@@ -39,7 +39,7 @@
 /// Tells another daemon of changes in the store.
 pub async fn news(parts: web::Data<WorkerParts>, body: web::Bytes) -> HttpResponse {
     match decode::<NewsRequest>(&body) {
-        Ok(request) => answer(&parts.news.answer(request).await),
+        Ok(request) => answer(&parts.change_hub.answer(request).await),
         Err(error) => malformed(&error),
     }
 }
@@ -78,7 +78,7 @@
 /// Takes usage counts in, and answers once it is known whether they are on record.
 pub async fn usage(parts: web::Data<WorkerParts>, body: web::Bytes) -> HttpResponse {
     match decode::<UsagePush>(&body) {
-        Ok(push) => answer(&parts.collector.take(push).await),
+        Ok(push) => answer(&parts.usage_collector.take(push).await),
         Err(error) => malformed(&error),
     }
 }
--- a/crates/edge/src/http/proxy.rs
+++ b/crates/edge/src/http/proxy.rs
@@ -8,7 +8,8 @@
     client_watch::ClientWatch,
     edge_metrics::EdgeMetrics,
     relay::{
-        SamplerGuard, UpstreamCall, WholeAnswer, attempt_whole, forwarded_request_headers, forwarded_response_headers,
+        CompleteResponse, UpstreamCall, UpstreamGuard, fetch_complete, forwarded_request_headers,
+        forwarded_response_headers,
     },
     worker_parts::WorkerParts,
 };
@@ -68,7 +69,7 @@
         organisation: grant.map(|grant| grant.organisation),
         body,
         deadline: context.deadline.min(context.arrived.plus_ms(rule.timeout_ms)),
-        last_event: text(request.headers(), header::LAST_EVENT).and_then(|text| text.parse().ok()),
+        last_event_id: text(request.headers(), header::LAST_EVENT).and_then(|text| text.parse().ok()),
     };
     let watch = request.conn_data::<ClientWatch>().cloned();
     let work = attempts(parts, context, &call, &service, rule);
@@ -79,7 +80,7 @@
                 answer = work => answer?,
                 () = watch.closed() => {
                     LogLine::new("client_left").field("request_id", &context.id).info();
-                    EdgeMetrics::count(&EdgeMetrics::global().answers, "client_left");
+                    EdgeMetrics::increment(&EdgeMetrics::global().answers, "client_left");
                     return Err(ApiRefusal::AnswerLate);
                 }
             }
@@ -89,7 +90,7 @@
     Ok(respond(answer))
 }
 
-fn respond(answer: WholeAnswer) -> HttpResponse {
+fn respond(answer: CompleteResponse) -> HttpResponse {
     let mut response = HttpResponse::build(answer.status);
     for (name, value) in &forwarded_response_headers(&answer.headers) {
         response.append_header((name.clone(), value.clone()));
@@ -104,7 +105,7 @@
     runs: u32,
     refusals: u32,
     may_have_run: bool,
-    answer: Option<WholeAnswer>,
+    answer: Option<CompleteResponse>,
 }
 
 async fn attempts(
@@ -113,7 +114,7 @@
     call: &UpstreamCall,
     service: &SharedName,
     rule: &RouteRule,
-) -> Result<WholeAnswer, ApiRefusal> {
+) -> Result<CompleteResponse, ApiRefusal> {
     let state = &parts.state;
     let room_until = context.arrived.plus_ms(rule.objective_ms / ROOM_WAIT_DIVISOR);
     let mut log = AttemptLog::default();
@@ -129,7 +130,7 @@
             continue;
         };
         let sent = state.now();
-        let end = attempt_whole(&parts.upstreams, call, &guard, sent, ANSWER_BYTES_MAX).await;
+        let end = fetch_complete(&parts.upstream_client, call, &guard, sent, ANSWER_BYTES_MAX).await;
         let took_ms = state.now().since_ms(sent);
         let upstream = guard.record.id.clone();
         log.tried.push(upstream.clone());
@@ -148,7 +149,7 @@
             .info();
         match end {
             Ok(answer) => {
-                guard.end(SamplerOutcome::Answered(Some(took_ms)));
+                guard.set_outcome(SamplerOutcome::Answered(Some(took_ms)));
                 count_usage(parts, call, sent);
                 log.runs += 1;
                 log.may_have_run = true;
@@ -157,11 +158,11 @@
                 if !repeat {
                     break;
                 }
-                EdgeMetrics::count(&EdgeMetrics::global().retries, "upstream_failed");
+                EdgeMetrics::increment(&EdgeMetrics::global().retries, "upstream_failed");
             }
             Err(failure) => {
-                guard.end(failure.outcome());
-                EdgeMetrics::count(&EdgeMetrics::global().retries, failure.as_str());
+                guard.set_outcome(failure.upstream_outcome());
+                EdgeMetrics::increment(&EdgeMetrics::global().retries, failure.as_str());
                 if failure.may_have_run() {
                     count_usage(parts, call, sent);
                     log.runs += 1;
@@ -178,10 +179,10 @@
     conclude(parts, call, log)
 }
 
-fn conclude(parts: &WorkerParts, call: &UpstreamCall, log: AttemptLog) -> Result<WholeAnswer, ApiRefusal> {
+fn conclude(parts: &WorkerParts, call: &UpstreamCall, log: AttemptLog) -> Result<CompleteResponse, ApiRefusal> {
     if let Some(answer) = log.answer {
         let outcome = if answer.status.is_success() { "served" } else { "upstream_failed" };
-        EdgeMetrics::count(&EdgeMetrics::global().answers, outcome);
+        EdgeMetrics::increment(&EdgeMetrics::global().answers, outcome);
         return Ok(answer);
     }
     let late = parts.state.now() >= call.deadline;
@@ -193,7 +194,7 @@
     })
 }
 
-fn pick(parts: &WorkerParts, service: &str, id: &str, tried: &[SharedName]) -> Option<SamplerGuard> {
+fn pick(parts: &WorkerParts, service: &str, id: &str, tried: &[SharedName]) -> Option<UpstreamGuard> {
     let query = SamplerQuery {
         service,
         model: None,
@@ -202,7 +203,7 @@
         room: RoomNeed::Queue,
         affinity: id,
     };
-    SamplerGuard::pick(&parts.state, &query)
+    UpstreamGuard::pick(&parts.state, &query)
 }
 
 /// Counts a request that an upstream began to run.
--- a/crates/edge/src/http/ready_app.rs
+++ b/crates/edge/src/http/ready_app.rs
@@ -5,7 +5,7 @@
     duty::{RUNS_PATH, USAGE_PATH},
     edge_metrics::EdgeMetrics,
     job::{ITEM_BODY_PATH, JOB_PUSH_PATH, RESULTS_PATH},
-    store::{NEWS_PATH, RELAY_PATH},
+    store::{CHANGES_PATH, RELAY_PATH},
     worker_parts::WorkerParts,
 };
 use actix_web::{HttpResponse, web};
@@ -34,7 +34,7 @@
 pub fn configure_control(app: &mut web::ServiceConfig) {
     app.app_data(web::PayloadConfig::new(peer_api::PUSH_BYTES_MAX))
         .route(JOB_PUSH_PATH, web::post().to(peer_api::take_job))
-        .route(NEWS_PATH, web::post().to(peer_api::news))
+        .route(CHANGES_PATH, web::post().to(peer_api::news))
         .route(RESULTS_PATH, web::post().to(peer_api::results))
         .route(RUNS_PATH, web::post().to(peer_api::runs))
         .route(USAGE_PATH, web::post().to(peer_api::usage))
--- a/crates/edge/src/job/claim_task.rs
+++ b/crates/edge/src/job/claim_task.rs
@@ -18,7 +18,7 @@
         let _ = actix_rt::time::timeout(LOOK_PERIOD, state.job_changed.notified()).await;
         let now = state.now();
         let claims = {
-            let regained_at = state.store_regained_at();
+            let regained_at = state.store_reconnected_at();
             let jobs = state.jobs();
             state.ownership().claims(now, regained_at, |job| jobs.is_held(job))
         };
@@ -33,7 +33,7 @@
 }
 
 async fn claim_job(state: &EdgeState, store: &StoreAccess, claim: &ClaimOrder, lease: u64) {
-    let entry = match encode(&state.signature()) {
+    let entry = match encode(&state.daemon_entry()) {
         Ok(entry) => entry,
         Err(error) => return LogLine::new("job_claim_failed").field("job", &claim.job).field("reason", error).warn(),
     };
--- a/crates/edge/src/job/item_run.rs
+++ b/crates/edge/src/job/item_run.rs
@@ -3,7 +3,7 @@
 use super::owned_job::OwnedJob;
 use crate::{
     edge_metrics::EdgeMetrics,
-    relay::{AttemptFailure, SamplerGuard, UpstreamCall, begin, ends_with_connection, is_orderly_end},
+    relay::{AttemptFailure, UpstreamCall, UpstreamGuard, is_clean_close, is_delimited_by_close, start_attempt},
 };
 use actix_web::http::{
     Method, StatusCode,
@@ -35,14 +35,14 @@
         let outcome = match failure {
             // These concern the item's model only.
             AttemptFailure::Refused | AttemptFailure::Misdirected => SamplerOutcome::Answered(None),
-            other => other.outcome(),
+            other => other.upstream_outcome(),
         };
         Self { end, reason: failure.as_str(), outcome }
     }
 }
 
 /// Runs an item and enters what came of it into the job's ledger.
-pub async fn run_item(job: OwnedJob, work: ItemWork, mut guard: SamplerGuard, priority: u32, give_up_at: TimePoint) {
+pub async fn run_item(job: OwnedJob, work: ItemWork, mut guard: UpstreamGuard, priority: u32, give_up_at: TimePoint) {
     let state = job.state.clone();
     let began = state.now();
     let mut pace = RunPace::new(began);
@@ -50,11 +50,11 @@
     let events = job.ledger.borrow().events(work.index);
     let took_ms = state.now().since_ms(began);
     let fresh = events.saturating_sub(work.resume_after.map_or(0, |last| last + 1 - FIRST_EVENT));
-    guard.end(match report.outcome {
+    guard.set_outcome(match report.outcome {
         SamplerOutcome::Answered(_) => SamplerOutcome::Answered(pace.pace_ms()),
         outcome => outcome,
     });
-    EdgeMetrics::count(&EdgeMetrics::global().runs, report.reason);
+    EdgeMetrics::increment(&EdgeMetrics::global().item_runs, report.reason);
     LogLine::new("item_run")
         .field("job", &job.id)
         .field("item", &job.submission.items[work.index].id)
@@ -68,7 +68,7 @@
     if report.end == RunEnd::NotRun
         && let Some(model) = model(&job, work.index)
     {
-        state.samplers().model_refused(&guard.record.id, &model, state.now());
+        state.upstreams().model_refused(&guard.record.id, &model, state.now());
     }
     drop(guard);
     job.ledger.borrow_mut().run_ended(work.index, report.end, state.now());
@@ -76,7 +76,7 @@
 }
 
 /// Version of the item's model at the upstream, as the list says.
-fn listed_version(job: &OwnedJob, index: usize, guard: &SamplerGuard) -> u64 {
+fn listed_version(job: &OwnedJob, index: usize, guard: &UpstreamGuard) -> u64 {
     let version = model(job, index).and_then(|model| guard.record.versions.get(&model).copied());
     version.unwrap_or(0)
 }
@@ -100,14 +100,14 @@
         organisation: job.organisation.clone(),
         body: item.body.clone(),
         deadline,
-        last_event: work.resume_after,
+        last_event_id: work.resume_after,
     }
 }
 
 async fn stream_item(
     job: &OwnedJob,
     work: ItemWork,
-    guard: &SamplerGuard,
+    guard: &UpstreamGuard,
     priority: u32,
     give_up_at: TimePoint,
     pace: &mut RunPace,
@@ -115,7 +115,7 @@
     let state = &job.state;
     let now = state.now();
     let call = item_call(job, work, priority, give_up_at.min(now.plus_ms(RUN_MS_MAX)));
-    let begun = actix_rt::time::timeout(FIRST_ANSWER_MAX, begin(&job.upstreams, &call, guard, now)).await;
+    let begun = actix_rt::time::timeout(FIRST_ANSWER_MAX, start_attempt(&job.upstreams, &call, guard, now)).await;
     let mut answer = match begun {
         Ok(Ok(answer)) => answer,
         Ok(Err(error)) => return RunReport::of(error.failure),
@@ -139,7 +139,7 @@
         }
         status => {
             LogLine::new("item_status").field("item", &call.id).field("status", status.as_u16()).warn();
-            return RunReport::of(AttemptFailure::Spoilt);
+            return RunReport::of(AttemptFailure::Malformed);
         }
     }
     let version = answer.headers().get(header::VERSION).and_then(|value| value.to_str().ok()?.trim().parse().ok());
@@ -155,7 +155,7 @@
         let chunk = match actix_rt::time::timeout(silence, answer.next()).await {
             Ok(Some(Ok(chunk))) => chunk,
             Ok(None) => return whole(&events),
-            Ok(Some(Err(error))) if ends_with_connection(&headers) && is_orderly_end(&error) => return whole(&events),
+            Ok(Some(Err(error))) if is_delimited_by_close(&headers) && is_clean_close(&error) => return whole(&events),
             Ok(Some(Err(_))) => return RunReport::of(AttemptFailure::Lost),
             Err(_) => return RunReport::of(AttemptFailure::TimedOut),
         };
@@ -164,7 +164,7 @@
         for event in arrived {
             version = event.version.or(version);
             // An event of unknown version cannot be kept.
-            let Some(version) = version else { return RunReport::of(AttemptFailure::Spoilt) };
+            let Some(version) = version else { return RunReport::of(AttemptFailure::Malformed) };
             let verdict = job.ledger.borrow_mut().event(work.index, event.number, version, &event.data);
             match verdict {
                 EventVerdict::Taken => {}
@@ -179,13 +179,13 @@
             }
         }
         if events.is_malformed() {
-            return RunReport::of(AttemptFailure::Spoilt);
+            return RunReport::of(AttemptFailure::Malformed);
         }
     }
 }
 
 /// Milliseconds of an event at the fastest other upstream that would take the item now.
-fn pace_elsewhere(job: &OwnedJob, index: usize, guard: &SamplerGuard) -> Option<u64> {
+fn pace_elsewhere(job: &OwnedJob, index: usize, guard: &UpstreamGuard) -> Option<u64> {
     let model = model(job, index);
     let query = SamplerQuery {
         service: &guard.record.service,
@@ -195,12 +195,12 @@
         room: RoomNeed::FreeSlot,
         affinity: "",
     };
-    job.state.samplers().pace_elsewhere(&query, &guard.record.id, job.state.now())
+    job.state.upstreams().pace_elsewhere(&query, &guard.record.id, job.state.now())
 }
 
 fn whole(events: &EventReader) -> RunReport {
     if !events.is_between_events() {
-        return RunReport::of(AttemptFailure::Spoilt);
+        return RunReport::of(AttemptFailure::Malformed);
     }
     RunReport { end: RunEnd::Whole, reason: "whole", outcome: SamplerOutcome::Answered(None) }
 }
--- a/crates/edge/src/job/job_runner.rs
+++ b/crates/edge/src/job/job_runner.rs
@@ -10,7 +10,7 @@
     score_run::{ScoreHindrance, place_score, score_item},
 };
 use crate::{
-    edge_metrics::EdgeMetrics, edge_state::EdgeState, relay::SamplerGuard, store::StoreAccess,
+    edge_metrics::EdgeMetrics, edge_state::EdgeState, relay::UpstreamGuard, store::StoreAccess,
     worker_parts::WorkerParts,
 };
 use awc::Client;
@@ -43,7 +43,7 @@
         }
         let ledger = job.ledger.borrow();
         let ms = state.now().since_ms(job.submitted);
-        EdgeMetrics::global().batch_time.observe(ms as f64 / 1_000.0);
+        EdgeMetrics::global().batch_duration.observe(ms as f64 / 1_000.0);
         LogLine::new("job_left")
             .field("job", &id)
             .field("listed", ledger.listed())
@@ -270,7 +270,7 @@
 }
 
 /// Chooses the upstream for an item.
-fn place(job: &OwnedJob, rule: &RouteRule, work: ItemWork) -> Option<SamplerGuard> {
+fn place(job: &OwnedJob, rule: &RouteRule, work: ItemWork) -> Option<UpstreamGuard> {
     let item = &job.submission.items[work.index];
     let model = model(job, work.index);
     let service = rule.service(pimentoslip_kernel::fingerprint(&[item.id.as_bytes()]))?;
@@ -282,5 +282,5 @@
         room: RoomNeed::FreeSlot,
         affinity: &item.group,
     };
-    SamplerGuard::pick(&job.state, &query)
+    UpstreamGuard::pick(&job.state, &query)
 }
--- a/crates/edge/src/job/job_writer.rs
+++ b/crates/edge/src/job/job_writer.rs
@@ -134,7 +134,7 @@
 fn accept(parts: &WorkerParts, job: &NewJob, owner: Option<ChosenOwner>, revision: u64) {
     let Some(owner) = owner else { return receive(&parts.state, job, None, None) };
     let record = owner.signature.clone().into_owner(revision);
-    if owner.signature == parts.state.signature() {
+    if owner.signature == parts.state.daemon_entry() {
         return receive(&parts.state, job, Some(record), None);
     }
     {
@@ -145,7 +145,7 @@
         ownership.owner_known(job.id.clone(), record, now);
     }
     let push = job.push(&owner, revision, None);
-    actix_rt::spawn(push_job(parts.upstreams.clone(), owner.presence.control, push));
+    actix_rt::spawn(push_job(parts.upstream_client.clone(), owner.presence.control, push));
 }
 
 /// Hands a job to its owner. If that fails, the owner reads the job from the store.
@@ -172,7 +172,7 @@
     match parts.store.commit(&commit).await {
         Ok(CommitOutcome::Done(revision)) => {
             let push = job.push(&owner, revision, Some(ledger));
-            push_job(parts.upstreams.clone(), owner.presence.control, push).await;
+            push_job(parts.upstream_client.clone(), owner.presence.control, push).await;
         }
         Ok(CommitOutcome::Conflict(_)) => {
             LogLine::new("job_not_handed_over").field("job", &job.id).field("reason", "owner changed").info()
--- a/crates/edge/src/job/owner_read.rs
+++ b/crates/edge/src/job/owner_read.rs
@@ -29,7 +29,7 @@
             return ResultsAnswer::Listed(results);
         }
         // Only the one owner can say that nothing is listed.
-        let is_owner = state.ownership().is_mine(job) && state.jobs().is_held(job) && state.is_lease_sure();
+        let is_owner = state.ownership().is_mine(job) && state.jobs().is_held(job) && state.is_lease_valid();
         if !is_owner {
             return ResultsAnswer::Unsure;
         }
--- a/crates/edge/src/job/score_run.rs
+++ b/crates/edge/src/job/score_run.rs
@@ -3,7 +3,7 @@
 use super::owned_job::OwnedJob;
 use crate::{
     edge_metrics::EdgeMetrics,
-    relay::{SamplerGuard, UpstreamCall, attempt_whole},
+    relay::{UpstreamCall, UpstreamGuard, fetch_complete},
 };
 use actix_web::http::{Method, StatusCode, header::HeaderMap};
 use pimentoslip_kernel::{RoomNeed, RouteRule, SamplerOutcome, SamplerQuery, ScoreEnd, fingerprint};
@@ -21,7 +21,7 @@
 /// A scorer's call that has found its upstream.
 pub struct ScoreCall {
     call: UpstreamCall,
-    guard: SamplerGuard,
+    guard: UpstreamGuard,
 }
 
 /// Why a scorer's call cannot be made now.
@@ -47,7 +47,7 @@
         room: RoomNeed::SpareSlot,
         affinity: &scorer.id,
     };
-    let guard = SamplerGuard::pick(state, &query).ok_or(ScoreHindrance::NoRoom)?;
+    let guard = UpstreamGuard::pick(state, &query).ok_or(ScoreHindrance::NoRoom)?;
     let call = UpstreamCall {
         id: scorer.id.clone(),
         method: Method::POST,
@@ -57,7 +57,7 @@
         organisation: None,
         body: scorer.body.clone(),
         deadline: state.now().plus_ms(rule.timeout_ms.min(SCORE_MS_MAX)),
-        last_event: None,
+        last_event_id: None,
     };
     Ok(ScoreCall { call, guard })
 }
@@ -69,7 +69,7 @@
 /// Scores an item and enters the score into the job's ledger.
 pub async fn score_item(job: OwnedJob, index: usize, placed: ScoreCall) {
     let (end, reason) = score(&job, placed).await;
-    EdgeMetrics::count(&EdgeMetrics::global().scores, reason);
+    EdgeMetrics::increment(&EdgeMetrics::global().score_calls, reason);
     // A signed score shows in the item's result.
     if reason != SIGNED {
         LogLine::new("item_not_scored")
@@ -93,14 +93,14 @@
 async fn score(job: &OwnedJob, placed: ScoreCall) -> (ScoreEnd, &'static str) {
     let ScoreCall { call, mut guard } = placed;
     let now = job.state.now();
-    let answer = match attempt_whole(&job.upstreams, &call, &guard, now, ANSWER_BYTES_MAX).await {
+    let answer = match fetch_complete(&job.upstreams, &call, &guard, now, ANSWER_BYTES_MAX).await {
         Ok(answer) => answer,
         Err(failure) => {
-            guard.end(failure.outcome());
+            guard.set_outcome(failure.upstream_outcome());
             return (ScoreEnd::Broken, failure.as_str());
         }
     };
-    guard.end(SamplerOutcome::Answered(Some(job.state.now().since_ms(now))));
+    guard.set_outcome(SamplerOutcome::Answered(Some(job.state.now().since_ms(now))));
     let signature = answer.headers.get(header::SIGNATURE).and_then(|value| value.to_str().ok());
     match (answer.status, signature) {
         (status, Some(signature)) if status.is_success() => (ScoreEnd::Signed(signature.to_owned()), SIGNED),
--- a/crates/edge/src/lease_task.rs
+++ b/crates/edge/src/lease_task.rs
@@ -11,21 +11,21 @@
 use std::{sync::Arc, time::Duration};
 
 /// Time to live of the lease: a dead daemon's jobs are taken over after it.
-pub const LEASE_MS: u64 = 3_000;
+pub const LEASE_TTL_MS: u64 = 3_000;
 /// Time between renewals; two may be lost.
 const RENEW_PERIOD: Duration = Duration::from_millis(900);
 /// Pause after a failed renewal.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
 
 /// Takes and renews the lease until the daemon drains.
-pub async fn keep_lease(state: Arc<EdgeState>, store: StoreAccess) {
-    let lease_ms = LEASE_MS.max(state.settings.lease_ms_min);
+pub async fn maintain_lease(state: Arc<EdgeState>, store: StoreAccess) {
+    let lease_ms = LEASE_TTL_MS.max(state.settings.lease_ms_min);
     while !state.is_draining() {
         let held = state.lease().lease;
         let asked = state.now();
         let pause = match held {
             None => take(&state, &store, lease_ms).await,
-            Some(lease) => match store.keep(lease).await {
+            Some(lease) => match store.renew_lease(lease).await {
                 Ok(()) => {
                     renewed(&state, lease, asked.plus_ms(lease_ms));
                     RENEW_PERIOD
@@ -60,7 +60,7 @@
 
 async fn take(state: &EdgeState, store: &StoreAccess, lease_ms: u64) -> Duration {
     let asked = state.now();
-    let lease = match store.grant(lease_ms).await {
+    let lease = match store.grant_lease(lease_ms).await {
         Ok(lease) => lease,
         Err(error) => {
             LogLine::new("lease_not_granted").field("reason", error).warn();
@@ -95,11 +95,11 @@
 }
 
 /// Ends the lease, so that others take over at once.
-pub async fn end_lease(state: &EdgeState, store: &StoreAccess) {
+pub async fn revoke_lease(state: &EdgeState, store: &StoreAccess) {
     let held = state.lease().lease.take();
     state.lease().ends_at = TimePoint(0);
     let Some(lease) = held else { return };
-    match store.end(lease).await {
+    match store.revoke_lease(lease).await {
         Ok(()) => LogLine::new("lease_ended").field("lease", lease).info(),
         Err(error) => LogLine::new("lease_left_to_expire").field("lease", lease).field("reason", error).warn(),
     }
--- a/crates/edge/src/peer_client.rs
+++ b/crates/edge/src/peer_client.rs
@@ -19,7 +19,7 @@
 pub enum PeerError {
     /// No whole answer came.
     #[error("no answer from the peer: {problem}; the store is used instead")]
-    Silent {
+    Unresponsive {
         /// What happened.
         problem: String,
     },
@@ -65,15 +65,15 @@
         let timeout = Duration::from_millis(timeout_ms);
         let sent = self.client.post(format!("http://{control}{path}")).timeout(timeout).send_body(body);
         let whole = async {
-            let mut answer = sent.await.map_err(|error| PeerError::Silent { problem: error.to_string() })?;
+            let mut answer = sent.await.map_err(|error| PeerError::Unresponsive { problem: error.to_string() })?;
             if !answer.status().is_success() {
                 return Err(PeerError::Refused { status: answer.status().as_u16() });
             }
             let body = answer.body().limit(ANSWER_BYTES_MAX).await;
-            body.map_err(|error| PeerError::Silent { problem: error.to_string() })
+            body.map_err(|error| PeerError::Unresponsive { problem: error.to_string() })
         };
         let body = actix_rt::time::timeout(timeout, whole).await;
-        let body = body.map_err(|_| PeerError::Silent { problem: format!("nothing in {timeout_ms} ms") })??;
+        let body = body.map_err(|_| PeerError::Unresponsive { problem: format!("nothing in {timeout_ms} ms") })??;
         Ok(decode(&body)?)
     }
 }
--- a/crates/edge/src/relay/attempt.rs
+++ b/crates/edge/src/relay/attempt.rs
@@ -1,6 +1,6 @@
 //! One attempt at one upstream, up to the header of its answer.
 
-use super::{SamplerGuard, UpstreamCall};
+use super::{UpstreamCall, UpstreamGuard};
 use actix_web::http::{StatusCode, header::HeaderMap};
 use awc::{
     Client, ClientResponse,
@@ -31,7 +31,7 @@
     /// The answer was another request's.
     Mismatch,
     /// The answer was cut or spoilt.
-    Spoilt,
+    Malformed,
 }
 
 impl AttemptFailure {
@@ -45,7 +45,7 @@
             Self::Lost => "lost",
             Self::TimedOut => "timed_out",
             Self::Mismatch => "mismatch",
-            Self::Spoilt => "spoilt",
+            Self::Malformed => "spoilt",
         }
     }
 
@@ -57,11 +57,11 @@
 
     /// What the failure says about the upstream.
     #[must_use]
-    pub fn outcome(self) -> SamplerOutcome {
+    pub fn upstream_outcome(self) -> SamplerOutcome {
         match self {
             Self::Refused => SamplerOutcome::Refused,
             Self::Unreachable | Self::Misdirected | Self::Lost | Self::TimedOut => SamplerOutcome::Failed,
-            Self::Mismatch | Self::Spoilt => SamplerOutcome::Answered(None),
+            Self::Mismatch | Self::Malformed => SamplerOutcome::Answered(None),
         }
     }
 }
@@ -80,10 +80,10 @@
 }
 
 /// Sends `call` to the guard's upstream and waits for the header of an answer that belongs to it.
-pub async fn begin(
+pub async fn start_attempt(
     client: &Client,
     call: &UpstreamCall,
-    guard: &SamplerGuard,
+    guard: &UpstreamGuard,
     now: TimePoint,
 ) -> Result<ClientResponse<impl Stream<Item = std::result::Result<Bytes, PayloadError>> + Unpin + use<>>> {
     let left_ms = call.deadline.since_ms(now);
@@ -105,7 +105,7 @@
     if let Some(organisation) = &call.organisation {
         request = request.insert_header((header::ORGANISATION, &**organisation));
     }
-    if let Some(last) = call.last_event {
+    if let Some(last) = call.last_event_id {
         request = request.insert_header((header::LAST_EVENT, last.to_string()));
     }
     let answer = match request.send_body(call.body.clone()).await {
@@ -113,7 +113,7 @@
         Err(SendRequestError::Connect(ConnectError::Disconnected)) => return Err(AttemptFailure::Lost.into()),
         Err(SendRequestError::Connect(_)) => return Err(AttemptFailure::Unreachable.into()),
         Err(SendRequestError::Timeout) => return Err(AttemptFailure::TimedOut.into()),
-        Err(SendRequestError::Response(_)) => return Err(AttemptFailure::Spoilt.into()),
+        Err(SendRequestError::Response(_)) => return Err(AttemptFailure::Malformed.into()),
         Err(_) => return Err(AttemptFailure::Lost.into()),
     };
     if let Some(requests) = load(answer.headers()) {
@@ -139,7 +139,7 @@
         return Err(AttemptFailure::Mismatch.into());
     }
     if headers.contains_key("content-encoding") {
-        return Err(AttemptFailure::Spoilt.into());
+        return Err(AttemptFailure::Malformed.into());
     }
     Ok(())
 }
--- a/crates/edge/src/relay/whole_answer.rs
+++ b/crates/edge/src/relay/complete_response.rs
@@ -1,6 +1,6 @@
 //! An upstream's answer once it is whole.
 
-use super::{AttemptFailure, Result, SamplerGuard, UpstreamCall, begin};
+use super::{AttemptFailure, Result, UpstreamCall, UpstreamGuard, start_attempt};
 use actix_web::http::{
     StatusCode,
     header::{CONTENT_LENGTH, HeaderMap, TRANSFER_ENCODING},
@@ -13,7 +13,7 @@
 
 /// Status, headers and the whole body.
 #[derive(Clone, Debug)]
-pub struct WholeAnswer {
+pub struct CompleteResponse {
     /// Status.
     pub status: StatusCode,
     /// Headers.
@@ -24,7 +24,7 @@
 
 /// Reads the rest of an answer. Only what the message itself ends counts as whole, or the orderly end of
 /// the connection where the message names no length.
-async fn read_whole<S>(mut answer: ClientResponse<S>, bytes_max: usize) -> Result<WholeAnswer>
+async fn read_whole<S>(mut answer: ClientResponse<S>, bytes_max: usize) -> Result<CompleteResponse>
 where
     S: Stream<Item = std::result::Result<Bytes, PayloadError>> + Unpin,
 {
@@ -33,21 +33,21 @@
     while let Some(chunk) = answer.next().await {
         match chunk {
             Ok(chunk) if body.len() + chunk.len() <= bytes_max => body.extend_from_slice(&chunk),
-            Ok(_) => return Err(AttemptFailure::Spoilt.into()),
-            Err(error) if ends_with_connection(&headers) && is_orderly_end(&error) => break,
+            Ok(_) => return Err(AttemptFailure::Malformed.into()),
+            Err(error) if is_delimited_by_close(&headers) && is_clean_close(&error) => break,
             Err(_) => return Err(AttemptFailure::Lost.into()),
         }
     }
-    Ok(WholeAnswer { status, headers, body: body.freeze() })
+    Ok(CompleteResponse { status, headers, body: body.freeze() })
 }
 
 /// Whether the body lasts until the connection's end.
-pub fn ends_with_connection(headers: &HeaderMap) -> bool {
+pub fn is_delimited_by_close(headers: &HeaderMap) -> bool {
     !headers.contains_key(CONTENT_LENGTH) && !headers.contains_key(TRANSFER_ENCODING)
 }
 
 /// Whether the upstream closed the connection in order.
-pub fn is_orderly_end(error: &PayloadError) -> bool {
+pub fn is_clean_close(error: &PayloadError) -> bool {
     match error {
         PayloadError::Incomplete(None) => true,
         PayloadError::Incomplete(Some(error)) | PayloadError::Io(error) => error.kind() == ErrorKind::UnexpectedEof,
@@ -56,16 +56,16 @@
 }
 
 /// Sends `call` to the guard's upstream and reads its whole answer before the call's deadline.
-pub async fn attempt_whole(
+pub async fn fetch_complete(
     client: &Client,
     call: &UpstreamCall,
-    guard: &SamplerGuard,
+    guard: &UpstreamGuard,
     now: TimePoint,
     bytes_max: usize,
-) -> std::result::Result<WholeAnswer, AttemptFailure> {
+) -> std::result::Result<CompleteResponse, AttemptFailure> {
     let left = Duration::from_millis(call.deadline.since_ms(now));
     let whole = async {
-        let answer = begin(client, call, guard, now).await?;
+        let answer = start_attempt(client, call, guard, now).await?;
         read_whole(answer, bytes_max).await
     };
     match actix_rt::time::timeout(left, whole).await {
--- a/crates/edge/src/relay/mod.rs
+++ b/crates/edge/src/relay/mod.rs
@@ -1,13 +1,13 @@
 //! Calls to upstreams.
 
 mod attempt;
+mod complete_response;
 mod header_filter;
-mod sampler_guard;
 mod upstream_call;
-mod whole_answer;
+mod upstream_guard;
 
-pub use attempt::{AttemptFailure, Result, begin};
+pub use attempt::{AttemptFailure, Result, start_attempt};
+pub use complete_response::{CompleteResponse, fetch_complete, is_clean_close, is_delimited_by_close};
 pub use header_filter::{forwarded_request_headers, forwarded_response_headers};
-pub use sampler_guard::SamplerGuard;
 pub use upstream_call::UpstreamCall;
-pub use whole_answer::{WholeAnswer, attempt_whole, ends_with_connection, is_orderly_end};
+pub use upstream_guard::UpstreamGuard;
--- a/crates/edge/src/relay/upstream_call.rs
+++ b/crates/edge/src/relay/upstream_call.rs
@@ -24,5 +24,5 @@
     /// When the caller stops waiting.
     pub deadline: TimePoint,
     /// Number of the last event that is known, for a stream that goes on.
-    pub last_event: Option<u64>,
+    pub last_event_id: Option<u64>,
 }
--- a/crates/edge/src/relay/sampler_guard.rs
+++ b/crates/edge/src/relay/upstream_guard.rs
@@ -6,35 +6,35 @@
 
 /// Keeps a request counted on an upstream until the guard is closed or dropped.
 #[derive(Debug)]
-pub struct SamplerGuard {
+pub struct UpstreamGuard {
     state: Arc<EdgeState>,
     /// The upstream.
     pub record: SamplerRecord,
     outcome: SamplerOutcome,
 }
 
-impl SamplerGuard {
+impl UpstreamGuard {
     /// Chooses an upstream for `query`.
     #[must_use]
     pub fn pick(state: &Arc<EdgeState>, query: &SamplerQuery<'_>) -> Option<Self> {
-        let record = state.samplers().pick(query, state.now())?;
+        let record = state.upstreams().pick(query, state.now())?;
         Some(Self { state: state.clone(), record, outcome: SamplerOutcome::Abandoned })
     }
 
     /// Sets how the attempt ended; without this nothing is learned from it.
-    pub fn end(&mut self, outcome: SamplerOutcome) {
+    pub fn set_outcome(&mut self, outcome: SamplerOutcome) {
         self.outcome = outcome;
     }
 
     /// The upstream reported its load.
     pub fn load_reported(&self, requests: u64) {
-        self.state.samplers().load_reported(&self.record.id, requests, self.state.now());
+        self.state.upstreams().load_reported(&self.record.id, requests, self.state.now());
     }
 }
 
-impl Drop for SamplerGuard {
+impl Drop for UpstreamGuard {
     fn drop(&mut self) {
         let now = self.state.now();
-        self.state.samplers().ended(&self.record.id, self.outcome, now);
+        self.state.upstreams().ended(&self.record.id, self.outcome, now);
     }
 }
--- a/crates/edge/src/run_edge.rs
+++ b/crates/edge/src/run_edge.rs
@@ -7,8 +7,8 @@
     edge_state::EdgeState,
     http::{configure_control, configure_front, configure_ready},
     job::claim_jobs,
-    lease_task::{end_lease, keep_lease},
-    store::{FollowedKeys, ListedUpstreams, OperatorKeys, follow},
+    lease_task::{maintain_lease, revoke_lease},
+    store::{CoordinationKeys, OperatorKeys, UpstreamKeys, follow_prefix},
     worker_parts::WorkerParts,
 };
 use actix_rt::signal::unix::{SignalKind, signal};
@@ -69,7 +69,7 @@
     leave(&state).await;
     // Idle connections are closed, and requests that came last are finished.
     front.stop(true).await;
-    LogLine::new("stopped").field("requests", state.requests()).info();
+    LogLine::new("stopped").field("requests", state.active_requests()).info();
     // The log's writer needs a moment for the last lines.
     actix_rt::time::sleep(POLL).await;
     Ok(())
@@ -88,16 +88,28 @@
 
 fn spawn_tasks(state: &Arc<EdgeState>) {
     let parts = WorkerParts::new(state.clone());
-    let WorkerParts { store, upstreams, feed, peers, .. } = parts;
-    actix_rt::spawn(follow(state.clone(), feed.purposed("follow_operator"), OperatorKeys::new(state.clone())));
-    actix_rt::spawn(follow(state.clone(), feed.purposed("follow_upstreams"), ListedUpstreams::new(state.clone())));
-    actix_rt::spawn(follow(state.clone(), feed.purposed("follow_daemons"), FollowedKeys::new(state.clone())));
-    actix_rt::spawn(keep_lease(state.clone(), store.purposed("lease")));
-    actix_rt::spawn(claim_jobs(state.clone(), upstreams.clone(), store.purposed("own_jobs")));
-    actix_rt::spawn(hold_duty(state.clone(), upstreams, store.purposed("duty")));
+    let WorkerParts { store, upstream_client, change_feed, peer_client, .. } = parts;
+    actix_rt::spawn(follow_prefix(
+        state.clone(),
+        change_feed.with_purpose("follow_operator"),
+        OperatorKeys::new(state.clone()),
+    ));
+    actix_rt::spawn(follow_prefix(
+        state.clone(),
+        change_feed.with_purpose("follow_upstreams"),
+        UpstreamKeys::new(state.clone()),
+    ));
+    actix_rt::spawn(follow_prefix(
+        state.clone(),
+        change_feed.with_purpose("follow_daemons"),
+        CoordinationKeys::new(state.clone()),
+    ));
+    actix_rt::spawn(maintain_lease(state.clone(), store.with_purpose("lease")));
+    actix_rt::spawn(claim_jobs(state.clone(), upstream_client.clone(), store.with_purpose("own_jobs")));
+    actix_rt::spawn(hold_duty(state.clone(), upstream_client, store.with_purpose("duty")));
     actix_rt::spawn(report_calls());
-    actix_rt::spawn(report_runs(state.clone(), peers.clone()));
-    actix_rt::spawn(record_usage(state.clone(), store.purposed("usage"), peers));
+    actix_rt::spawn(report_runs(state.clone(), peer_client.clone()));
+    actix_rt::spawn(record_usage(state.clone(), store.with_purpose("usage"), peer_client));
 }
 
 /// Writes how often the store was called, which its operators charge for.
@@ -154,20 +166,20 @@
 /// Leaves the balancer, gives jobs and the duty up, and waits for every request.
 async fn leave(state: &Arc<EdgeState>) {
     let began = state.now();
-    LogLine::new("draining").field("requests", state.requests()).info();
+    LogLine::new("draining").field("requests", state.active_requests()).info();
     state.draining.store(true, Ordering::SeqCst);
     state.job_changed.notify_waiters();
-    let WorkerParts { store, peers, .. } = WorkerParts::new(state.clone());
+    let WorkerParts { store, peer_client, .. } = WorkerParts::new(state.clone());
     // Owned jobs are handed over before the lease ends, on which their records hang.
     let handed_by = began.plus_ms(HAND_OVER_MS);
-    while (state.jobs().held() > 0 && state.now() < handed_by) || state.duty_calls() > 0 {
+    while (state.jobs().held() > 0 && state.now() < handed_by) || state.pending_duty_calls() > 0 {
         actix_rt::time::sleep(POLL).await;
     }
-    end_lease(state, &store).await;
+    revoke_lease(state, &store).await;
     let leave_at = began.plus_ms(LEAVE_MS);
     let last = began.plus_ms(state.settings.grace_ms.saturating_sub(GRACE_MARGIN_MS));
-    while state.now() < leave_at || (state.requests() > 0 && state.now() < last) {
+    while state.now() < leave_at || (state.active_requests() > 0 && state.now() < last) {
         actix_rt::time::sleep(POLL).await;
     }
-    crate::duty::record_usage_now(state, &store, &peers).await;
+    crate::duty::record_usage_now(state, &store, &peer_client).await;
 }
--- a/crates/edge/src/store/news_feed.rs
+++ b/crates/edge/src/store/change_feed.rs
@@ -13,7 +13,7 @@
 use std::{cell::RefCell, collections::HashMap, rc::Rc, sync::Arc};
 
 /// Path at which daemons ask for changes.
-pub const NEWS_PATH: &str = "/peer/news";
+pub const CHANGES_PATH: &str = "/peer/news";
 
 /// Longest wait of a watch at the store in milliseconds. A watch on a silent connection is given up after it; a VM whose
 /// connections were cut counts as disturbed for three seconds, in which a change need not be in force.
@@ -33,7 +33,7 @@
 
 /// Hears of changes for one thread.
 #[derive(Clone, Debug)]
-pub struct NewsFeed {
+pub struct ChangeFeed {
     state: Arc<EdgeState>,
     store: StoreAccess,
     peers: PeerClient,
@@ -47,7 +47,7 @@
     watches_region: bool,
 }
 
-impl NewsFeed {
+impl ChangeFeed {
     /// Reads `store` where no other daemon watches for this one.
     #[must_use]
     pub fn new(state: Arc<EdgeState>, store: StoreAccess, peers: PeerClient) -> Self {
@@ -56,8 +56,8 @@
 
     /// The same feed, whose calls to the store serve `purpose`.
     #[must_use]
-    pub fn purposed(&self, purpose: &'static str) -> Self {
-        Self { store: self.store.purposed(purpose), ..self.clone() }
+    pub fn with_purpose(&self, purpose: &'static str) -> Self {
+        Self { store: self.store.with_purpose(purpose), ..self.clone() }
     }
 
     /// Access to the store for what is no change.
@@ -67,7 +67,7 @@
     }
 
     /// Changes below `prefix` after `revision`; waits for the first one.
-    pub async fn next(&self, prefix: &str, revision: u64) -> Result<WatchBatch> {
+    pub async fn next_changes(&self, prefix: &str, revision: u64) -> Result<WatchBatch> {
         let mut is_retry = false;
         for source in self.sources() {
             let wait_ms = match (is_retry, source.watches_region) {
@@ -76,7 +76,7 @@
                 (false, false) => PEER_WAIT_MS,
             };
             let request = NewsRequest { prefix: prefix.to_owned(), revision, wait_ms };
-            match self.peers.call(&source.control, NEWS_PATH, &request, wait_ms + ANSWER_SLACK_MS).await {
+            match self.peers.call(&source.control, CHANGES_PATH, &request, wait_ms + ANSWER_SLACK_MS).await {
                 Ok(NewsAnswer::Changes { changes, revision }) => {
                     return Ok(WatchBatch { changes: changes.into_iter().map(store_change).collect(), revision });
                 }
@@ -114,7 +114,7 @@
 }
 
 /// The message for what happened to an entry.
-pub fn news_change(change: &StoreChange) -> NewsChange {
+pub fn change_message(change: &StoreChange) -> NewsChange {
     match change {
         StoreChange::Written(item) => NewsChange {
             key: item.key.clone(),
--- a/crates/edge/src/store/news_hub.rs
+++ b/crates/edge/src/store/change_hub.rs
@@ -1,6 +1,6 @@
 //! One watch for all daemons that ask the same.
 
-use super::{NewsFeed, news_feed::news_change};
+use super::{ChangeFeed, change_feed::change_message};
 use futures_util::{
     FutureExt,
     future::{LocalBoxFuture, Shared},
@@ -17,21 +17,21 @@
 /// Watches on their way, and those that brought changes. Daemons that follow a prefix from the same revision ask the
 /// same, so a daemon that comes later gets what the others got.
 #[derive(Clone)]
-pub struct NewsHub {
-    feed: NewsFeed,
+pub struct ChangeHub {
+    feed: ChangeFeed,
     flights: Rc<RefCell<HashMap<(String, u64), Flight>>>,
 }
 
-impl std::fmt::Debug for NewsHub {
+impl std::fmt::Debug for ChangeHub {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         formatter.debug_struct("NewsHub").finish_non_exhaustive()
     }
 }
 
-impl NewsHub {
+impl ChangeHub {
     /// Asks `feed` for all.
     #[must_use]
-    pub fn new(feed: NewsFeed) -> Self {
+    pub fn new(feed: ChangeFeed) -> Self {
         Self { feed, flights: Rc::default() }
     }
 
@@ -44,9 +44,10 @@
             Err(_) => Rc::new(Ok(WatchBatch { changes: Vec::new(), revision: key.1 })),
         };
         match &*news {
-            Ok(news) => {
-                NewsAnswer::Changes { changes: news.changes.iter().map(news_change).collect(), revision: news.revision }
-            }
+            Ok(news) => NewsAnswer::Changes {
+                changes: news.changes.iter().map(change_message).collect(),
+                revision: news.revision,
+            },
             Err(StoreError::HistoryGone) => NewsAnswer::HistoryGone,
             Err(_) => NewsAnswer::StoreAway,
         }
@@ -59,7 +60,7 @@
         let (hub, key) = (self.clone(), key.clone());
         let asked = key.clone();
         let watch = async move {
-            let news = hub.feed.next(&key.0, key.1).await;
+            let news = hub.feed.next_changes(&key.0, key.1).await;
             if !news.as_ref().is_ok_and(|news| !news.changes.is_empty()) {
                 hub.flights.borrow_mut().remove(&key);
             }
--- a/crates/edge/src/store/followed_keys.rs
+++ b/crates/edge/src/store/coordination_keys.rs
@@ -1,6 +1,6 @@
 //! What the daemons tell each other through the store.
 
-use super::FollowedPrefix;
+use super::PrefixHandler;
 use crate::edge_state::EdgeState;
 use pimentoslip_kernel::{DaemonPresence, TimePoint};
 use pimentoslip_platform::{RangePage, StoreChange, StoreItem};
@@ -13,12 +13,12 @@
 
 /// Keeps jobs, owners, daemons and the duty's holder in view.
 #[derive(Debug)]
-pub struct FollowedKeys {
+pub struct CoordinationKeys {
     state: Arc<EdgeState>,
     known: BTreeSet<String>,
 }
 
-impl FollowedKeys {
+impl CoordinationKeys {
     /// Writes what it reads into `state`.
     #[must_use]
     pub fn new(state: Arc<EdgeState>) -> Self {
@@ -66,7 +66,7 @@
             self.state.ownership().owner_known(job.into(), entry.into_owner(item.revision), now);
         } else if item.key == KeyLayout::DUTY {
             LogLine::new("duty_holder").field("holder", &entry.daemon).field("fencing_token", item.revision).info();
-            self.state.lease().duty_known(item.revision, entry);
+            self.state.lease().duty_observed(item.revision, entry);
         }
     }
 
@@ -93,11 +93,11 @@
     LogLine::new("entry_unreadable").field("key", &item.key).field("reason", error).warn();
 }
 
-impl FollowedPrefix for FollowedKeys {
+impl PrefixHandler for CoordinationKeys {
     const PREFIX: &'static str = KeyLayout::FOLLOWED;
-    const GATHER_MS: u64 = 300;
+    const BATCH_DELAY_MS: u64 = 300;
 
-    fn reset(&mut self, page: RangePage, now: TimePoint) {
+    fn apply_snapshot(&mut self, page: RangePage, now: TimePoint) {
         let listed: BTreeSet<String> = page.items.iter().map(|item| item.key.clone()).collect();
         for key in std::mem::take(&mut self.known) {
             if !listed.contains(&key) {
@@ -110,7 +110,7 @@
         self.state.job_changed.notify_waiters();
     }
 
-    fn change(&mut self, change: StoreChange, now: TimePoint) {
+    fn apply_change(&mut self, change: StoreChange, now: TimePoint) {
         match change {
             StoreChange::Written(item) => self.written(&item, now),
             StoreChange::Removed { key, revision } => self.removed(&key, revision, now),
--- a/crates/edge/src/store/mod.rs
+++ b/crates/edge/src/store/mod.rs
@@ -1,17 +1,17 @@
 //! Follows the platform's store.
 
-mod followed_keys;
-mod follower;
-mod listed_upstreams;
-mod news_feed;
-mod news_hub;
+mod change_feed;
+mod change_hub;
+mod coordination_keys;
 mod operator_keys;
+mod prefix_handler;
 mod store_access;
+mod upstream_keys;
 
-pub use followed_keys::FollowedKeys;
-pub use follower::{FollowedPrefix, follow};
-pub use listed_upstreams::ListedUpstreams;
-pub use news_feed::{NEWS_PATH, NewsFeed};
-pub use news_hub::NewsHub;
+pub use change_feed::{CHANGES_PATH, ChangeFeed};
+pub use change_hub::ChangeHub;
+pub use coordination_keys::CoordinationKeys;
 pub use operator_keys::OperatorKeys;
+pub use prefix_handler::{PrefixHandler, follow_prefix};
 pub use store_access::{RELAY_PATH, StoreAccess};
+pub use upstream_keys::UpstreamKeys;
--- a/crates/edge/src/store/operator_keys.rs
+++ b/crates/edge/src/store/operator_keys.rs
@@ -1,6 +1,6 @@
 //! What operators and trainers write.
 
-use super::FollowedPrefix;
+use super::PrefixHandler;
 use crate::edge_state::EdgeState;
 use pimentoslip_kernel::TimePoint;
 use pimentoslip_platform::{
@@ -55,7 +55,7 @@
     fn version_written(&self, item: &StoreItem) {
         match decode_named_version(&item.value) {
             Ok((model, version)) => {
-                let mut named = self.state.named_versions();
+                let mut named = self.state.newest_versions();
                 let newest = named.entry(model.clone()).or_default();
                 *newest = (*newest).max(version);
                 LogLine::new("version_named").field("model", model).field("version", version).info();
@@ -67,17 +67,17 @@
     }
 }
 
-impl FollowedPrefix for OperatorKeys {
+impl PrefixHandler for OperatorKeys {
     const PREFIX: &'static str = OPERATOR_PREFIX;
-    const GATHER_MS: u64 = 0;
+    const BATCH_DELAY_MS: u64 = 0;
 
-    fn reset(&mut self, page: RangePage, _now: TimePoint) {
+    fn apply_snapshot(&mut self, page: RangePage, _now: TimePoint) {
         for item in &page.items {
             self.written(item);
         }
     }
 
-    fn change(&mut self, change: StoreChange, _now: TimePoint) {
+    fn apply_change(&mut self, change: StoreChange, _now: TimePoint) {
         match change {
             StoreChange::Written(item) => self.written(&item),
             StoreChange::Removed { key, .. } => {
--- a/crates/edge/src/store/follower.rs
+++ b/crates/edge/src/store/prefix_handler.rs
@@ -1,6 +1,6 @@
 //! Keeps a prefix of the store in view.
 
-use super::NewsFeed;
+use super::ChangeFeed;
 use crate::edge_state::EdgeState;
 use pimentoslip_kernel::TimePoint;
 use pimentoslip_platform::{RangePage, StoreChange, StoreError};
@@ -11,24 +11,24 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
 /// What is done with the entries of a prefix.
-pub trait FollowedPrefix: 'static {
+pub trait PrefixHandler: 'static {
     /// Prefix.
     const PREFIX: &'static str;
     /// Pause after changes, in which further ones gather, in milliseconds.
-    const GATHER_MS: u64;
+    const BATCH_DELAY_MS: u64;
 
     /// All entries, as read at once.
-    fn reset(&mut self, page: RangePage, now: TimePoint);
+    fn apply_snapshot(&mut self, page: RangePage, now: TimePoint);
 
     /// One change.
-    fn change(&mut self, change: StoreChange, now: TimePoint);
+    fn apply_change(&mut self, change: StoreChange, now: TimePoint);
 
     /// Called after each round.
-    fn round(&mut self, _now: TimePoint) {}
+    fn after_poll(&mut self, _now: TimePoint) {}
 }
 
 /// Follows `prefix` for as long as the process lives.
-pub async fn follow<F: FollowedPrefix>(state: Arc<EdgeState>, feed: NewsFeed, mut prefix: F) {
+pub async fn follow_prefix<F: PrefixHandler>(state: Arc<EdgeState>, feed: ChangeFeed, mut prefix: F) {
     let mut lost: Option<TimePoint> = None;
     loop {
         let page = feed.store().range(F::PREFIX).await;
@@ -36,7 +36,7 @@
             Ok(page) => {
                 regain::<F>(&state, &mut lost);
                 let revision = page.revision;
-                prefix.reset(page, state.now());
+                prefix.apply_snapshot(page, state.now());
                 revision
             }
             Err(error) => {
@@ -46,18 +46,18 @@
             }
         };
         loop {
-            match feed.next(F::PREFIX, revision).await {
+            match feed.next_changes(F::PREFIX, revision).await {
                 Ok(news) => {
                     regain::<F>(&state, &mut lost);
                     revision = news.revision;
                     let now = state.now();
                     let changed = !news.changes.is_empty();
                     for change in news.changes {
-                        prefix.change(change, now);
+                        prefix.apply_change(change, now);
                     }
-                    prefix.round(now);
-                    if changed && F::GATHER_MS > 0 {
-                        actix_rt::time::sleep(Duration::from_millis(F::GATHER_MS)).await;
+                    prefix.after_poll(now);
+                    if changed && F::BATCH_DELAY_MS > 0 {
+                        actix_rt::time::sleep(Duration::from_millis(F::BATCH_DELAY_MS)).await;
                     }
                 }
                 Err(error @ (StoreError::HistoryGone | StoreError::Malformed { .. })) => {
@@ -66,7 +66,7 @@
                 }
                 Err(error) => {
                     lose::<F>(&state, &mut lost, &error);
-                    prefix.round(state.now());
+                    prefix.after_poll(state.now());
                     actix_rt::time::sleep(RETRY_PAUSE).await;
                 }
             }
@@ -74,14 +74,14 @@
     }
 }
 
-fn lose<F: FollowedPrefix>(state: &EdgeState, lost: &mut Option<TimePoint>, error: &StoreError) {
+fn lose<F: PrefixHandler>(state: &EdgeState, lost: &mut Option<TimePoint>, error: &StoreError) {
     if lost.is_none() {
         LogLine::new("store_lost").field("prefix", F::PREFIX).field("reason", error).warn();
         *lost = Some(state.now());
     }
 }
 
-fn regain<F: FollowedPrefix>(state: &EdgeState, lost: &mut Option<TimePoint>) {
+fn regain<F: PrefixHandler>(state: &EdgeState, lost: &mut Option<TimePoint>) {
     if let Some(since) = lost.take() {
         let away_ms = state.now().since_ms(since);
         LogLine::new("store_regained").field("prefix", F::PREFIX).field("away_ms", away_ms).info();
--- a/crates/edge/src/store/store_access.rs
+++ b/crates/edge/src/store/store_access.rs
@@ -36,7 +36,7 @@
 
     /// The same access, whose calls serve `purpose`.
     #[must_use]
-    pub fn purposed(&self, purpose: &'static str) -> Self {
+    pub fn with_purpose(&self, purpose: &'static str) -> Self {
         Self { direct: self.direct.purposed(purpose), relays: Rc::default(), ..self.clone() }
     }
 
@@ -81,7 +81,7 @@
             _ => {
                 if choice.worked(path, now) {
                     drop(choice);
-                    self.state.store_regained(now);
+                    self.state.store_reconnected(now);
                     LogLine::new("store_path_regained").field("path", path).info();
                 }
             }
@@ -143,17 +143,17 @@
     }
 
     /// As [`StoreClient::grant`].
-    pub async fn grant(&self, ttl_ms: u64) -> Result<u64> {
+    pub async fn grant_lease(&self, ttl_ms: u64) -> Result<u64> {
         self.call(false, async |client, _| client.grant(ttl_ms).await).await
     }
 
     /// As [`StoreClient::keep`].
-    pub async fn keep(&self, lease: u64) -> Result<()> {
+    pub async fn renew_lease(&self, lease: u64) -> Result<()> {
         self.call(true, async |client, _| client.keep(lease).await).await
     }
 
     /// As [`StoreClient::end`].
-    pub async fn end(&self, lease: u64) -> Result<()> {
+    pub async fn revoke_lease(&self, lease: u64) -> Result<()> {
         self.call(true, async |client, _| client.end(lease).await).await
     }
 }
--- a/crates/edge/src/store/listed_upstreams.rs
+++ b/crates/edge/src/store/upstream_keys.rs
@@ -1,6 +1,6 @@
 //! The list of upstreams.
 
-use super::FollowedPrefix;
+use super::PrefixHandler;
 use crate::edge_state::EdgeState;
 use pimentoslip_kernel::{SharedName, TimePoint};
 use pimentoslip_platform::{RangePage, StoreChange, StoreItem, UPSTREAM_PREFIX, decode_record, upstream_id};
@@ -13,13 +13,13 @@
 
 /// Keeps the table of upstreams as listed.
 #[derive(Debug)]
-pub struct ListedUpstreams {
+pub struct UpstreamKeys {
     state: Arc<EdgeState>,
     /// Upstreams whose entries are missing since the store was away.
     missing: BTreeMap<SharedName, TimePoint>,
 }
 
-impl ListedUpstreams {
+impl UpstreamKeys {
     /// Writes what it reads into `state`.
     #[must_use]
     pub fn new(state: Arc<EdgeState>) -> Self {
@@ -31,7 +31,7 @@
         self.missing.remove(id);
         match decode_record(id, &item.value) {
             Ok(record) => {
-                let mut samplers = self.state.samplers();
+                let mut samplers = self.state.upstreams();
                 let before = samplers.get(id);
                 if before.is_none_or(|before| before.state != record.state || before.address != record.address) {
                     LogLine::new("upstream_listed")
@@ -47,7 +47,7 @@
             }
             Err(error) => {
                 LogLine::new("upstream_unreadable").field("upstream", id).field("reason", error).warn();
-                self.state.samplers().remove(id);
+                self.state.upstreams().remove(id);
             }
         }
     }
@@ -59,38 +59,38 @@
             return;
         }
         LogLine::new("upstream_delisted").field("upstream", id).info();
-        self.state.samplers().remove(id);
+        self.state.upstreams().remove(id);
     }
 }
 
-impl ListedUpstreams {
+impl UpstreamKeys {
     /// Until when an entry that is missing now may come back because the store was away.
     fn returns_by(&self, now: TimePoint) -> TimePoint {
         if !self.state.store_path().is_direct_open() {
             return now.plus_ms(RETURN_MS);
         }
-        self.state.store_regained_at().map_or(TimePoint(0), |at| at.plus_ms(RETURN_MS))
+        self.state.store_reconnected_at().map_or(TimePoint(0), |at| at.plus_ms(RETURN_MS))
     }
 }
 
-impl FollowedPrefix for ListedUpstreams {
+impl PrefixHandler for UpstreamKeys {
     const PREFIX: &'static str = UPSTREAM_PREFIX;
-    const GATHER_MS: u64 = 0;
+    const BATCH_DELAY_MS: u64 = 0;
 
-    fn reset(&mut self, page: RangePage, now: TimePoint) {
+    fn apply_snapshot(&mut self, page: RangePage, now: TimePoint) {
         for item in &page.items {
             self.written(item);
         }
         let listed = |id: &str| page.items.iter().any(|item| upstream_id(&item.key) == Some(id));
         let gone: Vec<SharedName> =
-            self.state.samplers().records().map(|record| record.id.clone()).filter(|id| !listed(id)).collect();
+            self.state.upstreams().records().map(|record| record.id.clone()).filter(|id| !listed(id)).collect();
         for id in gone {
             self.removed(&id, now);
         }
         self.state.job_changed.notify_waiters();
     }
 
-    fn change(&mut self, change: StoreChange, now: TimePoint) {
+    fn apply_change(&mut self, change: StoreChange, now: TimePoint) {
         match change {
             StoreChange::Written(item) => self.written(&item),
             StoreChange::Removed { key, .. } => {
@@ -103,13 +103,13 @@
         self.state.upstreams_changed.notify_waiters();
     }
 
-    fn round(&mut self, now: TimePoint) {
+    fn after_poll(&mut self, now: TimePoint) {
         let due: Vec<SharedName> =
             self.missing.iter().filter(|(_, until)| **until <= now).map(|(id, _)| id.clone()).collect();
         for id in due {
             self.missing.remove(&id);
             LogLine::new("upstream_delisted").field("upstream", &id).field("reason", "not back after the store").info();
-            self.state.samplers().remove(&id);
+            self.state.upstreams().remove(&id);
         }
     }
 }
--- a/crates/edge/src/worker_parts.rs
+++ b/crates/edge/src/worker_parts.rs
@@ -5,7 +5,7 @@
     edge_metrics::EdgeMetrics,
     edge_state::EdgeState,
     peer_client::PeerClient,
-    store::{NewsFeed, NewsHub, StoreAccess},
+    store::{ChangeFeed, ChangeHub, StoreAccess},
 };
 use awc::Client;
 use pimentoslip_client::client_with_user_timeout;
@@ -21,19 +21,19 @@
     /// State.
     pub state: Arc<EdgeState>,
     /// Client for upstreams.
-    pub upstreams: Client,
+    pub upstream_client: Client,
     /// Client for other daemons.
-    pub peers: PeerClient,
+    pub peer_client: PeerClient,
     /// Client for the store.
     pub store: StoreAccess,
     /// Client for the store that passes peers' calls on.
-    pub relay: StoreClient,
+    pub relay_client: StoreClient,
     /// Changes in the store, for this daemon.
-    pub feed: NewsFeed,
+    pub change_feed: ChangeFeed,
     /// Changes in the store, for other daemons.
-    pub news: NewsHub,
+    pub change_hub: ChangeHub,
     /// Usage counts of other daemons.
-    pub collector: UsageCollector,
+    pub usage_collector: UsageCollector,
 }
 
 impl std::fmt::Debug for WorkerParts {
@@ -46,18 +46,18 @@
     /// Creates the parts of the current thread.
     #[must_use]
     pub fn new(state: Arc<EdgeState>) -> Self {
-        let direct = StoreClient::new(state.settings.store, EdgeMetrics::store_called);
+        let direct = StoreClient::new(state.settings.store, EdgeMetrics::count_store_call);
         let store = StoreAccess::new(state.clone(), direct.purposed("serve_batches"));
-        let peers = PeerClient::default();
-        let feed = NewsFeed::new(state.clone(), store.clone(), peers.clone());
+        let peer_client = PeerClient::default();
+        let change_feed = ChangeFeed::new(state.clone(), store.clone(), peer_client.clone());
         Self {
-            upstreams: client_with_user_timeout(UPSTREAM_USER_TIMEOUT),
-            news: NewsHub::new(feed.purposed("news")),
-            collector: UsageCollector::new(state.clone(), store.purposed("usage")),
-            relay: direct.purposed("relay"),
-            peers,
+            upstream_client: client_with_user_timeout(UPSTREAM_USER_TIMEOUT),
+            change_hub: ChangeHub::new(change_feed.with_purpose("news")),
+            usage_collector: UsageCollector::new(state.clone(), store.with_purpose("usage")),
+            relay_client: direct.purposed("relay"),
+            peer_client,
             store,
-            feed,
+            change_feed,
             state,
         }
     }
