--- a/crates/edge/src/http/api_refusal.rs
+++ b/crates/edge/src/http/api_refusal.rs
@@ -8,11 +8,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApiRefusal {
     /// No configuration is known yet.
-    ConfigUnknown,
+    ConfigNotLoaded,
     /// No route matches.
-    RouteUnknown,
+    RouteNotFound,
     /// The key is missing or unknown.
-    KeyUnknown,
+    KeyInvalid,
     /// The request or its body is malformed.
     Malformed,
     /// The header is too large.
@@ -20,13 +20,13 @@
     /// The body is too large.
     BodyTooLarge,
     /// The body did not arrive in time.
-    BodyLate,
+    BodyTimeout,
     /// No upstream has room or can be reached; nothing ran.
     NoUpstream,
     /// Time is up; nothing ran.
     DeadlinePassed,
     /// Time is up; it may have run.
-    AnswerLate,
+    ResponseTimeout,
     /// An upstream broke off; it may have run.
     UpstreamLost,
     /// The store cannot be asked; nothing ran.
@@ -34,7 +34,7 @@
     /// The store did not say whether a batch job is on record.
     OutcomeUnknown,
     /// No such batch job or item exists.
-    JobUnknown,
+    JobNotFound,
 }
 
 impl ApiRefusal {
@@ -42,20 +42,20 @@
     #[must_use]
     pub fn code(self) -> &'static str {
         match self {
-            Self::ConfigUnknown => "config_unknown",
-            Self::RouteUnknown => "route_unknown",
-            Self::KeyUnknown => "key_unknown",
+            Self::ConfigNotLoaded => "config_unknown",
+            Self::RouteNotFound => "route_unknown",
+            Self::KeyInvalid => "key_unknown",
             Self::Malformed => "malformed",
             Self::HeaderTooLarge => "header_too_large",
             Self::BodyTooLarge => "body_too_large",
-            Self::BodyLate => "body_late",
+            Self::BodyTimeout => "body_late",
             Self::NoUpstream => "no_upstream",
             Self::DeadlinePassed => "deadline_passed",
-            Self::AnswerLate => "answer_late",
+            Self::ResponseTimeout => "answer_late",
             Self::UpstreamLost => "upstream_lost",
             Self::StoreUnreachable => "store_away",
             Self::OutcomeUnknown => "outcome_unknown",
-            Self::JobUnknown => "job_unknown",
+            Self::JobNotFound => "job_unknown",
         }
     }
 
@@ -63,16 +63,16 @@
     #[must_use]
     pub fn status(self) -> StatusCode {
         match self {
-            Self::RouteUnknown | Self::JobUnknown => StatusCode::NOT_FOUND,
-            Self::KeyUnknown => StatusCode::UNAUTHORIZED,
+            Self::RouteNotFound | Self::JobNotFound => StatusCode::NOT_FOUND,
+            Self::KeyInvalid => StatusCode::UNAUTHORIZED,
             Self::Malformed => StatusCode::BAD_REQUEST,
             Self::HeaderTooLarge => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
             Self::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            Self::BodyLate => StatusCode::REQUEST_TIMEOUT,
-            Self::ConfigUnknown | Self::NoUpstream | Self::DeadlinePassed | Self::StoreUnreachable => {
+            Self::BodyTimeout => StatusCode::REQUEST_TIMEOUT,
+            Self::ConfigNotLoaded | Self::NoUpstream | Self::DeadlinePassed | Self::StoreUnreachable => {
                 StatusCode::SERVICE_UNAVAILABLE
             }
-            Self::AnswerLate | Self::OutcomeUnknown => StatusCode::GATEWAY_TIMEOUT,
+            Self::ResponseTimeout | Self::OutcomeUnknown => StatusCode::GATEWAY_TIMEOUT,
             Self::UpstreamLost => StatusCode::BAD_GATEWAY,
         }
     }
@@ -80,7 +80,7 @@
     /// Seconds after which a caller may come again: about the time in which the cause passes.
     fn retry_after(self) -> Option<&'static str> {
         match self {
-            Self::ConfigUnknown | Self::StoreUnreachable => Some("0.5"),
+            Self::ConfigNotLoaded | Self::StoreUnreachable => Some("0.5"),
             Self::NoUpstream | Self::DeadlinePassed => Some("0.1"),
             _ => None,
         }
--- a/crates/edge/src/http/batch_api.rs
+++ b/crates/edge/src/http/batch_api.rs
@@ -3,7 +3,7 @@
 use super::{
     api_refusal::ApiRefusal,
     proxy::read_body,
-    request_context::{RequestContext, text},
+    request_context::{RequestContext, header_text},
 };
 use crate::{
     job::{self, BoundedRead, JobView, NewJob, SubmitOutcome},
@@ -27,7 +27,7 @@
 const WRITE_MS_MAX: u64 = 2_000;
 
 /// Accepts a batch job.
-pub async fn submit(
+pub async fn submit_job(
     parts: &WorkerParts,
     context: &RequestContext,
     request: &HttpRequest,
@@ -37,7 +37,7 @@
     if request.method() != Method::POST || context.id.is_empty() {
         return Err(ApiRefusal::Malformed);
     }
-    let grant = if rule.open { None } else { context.grant(request)? };
+    let grant = if rule.open { None } else { context.key_grant(request)? };
     let organisation = grant.map_or_else(|| "".into(), |grant| grant.organisation);
     let body = read_body(parts, context, payload).await?;
     let submission = decode_submission(&body).map_err(|error| {
@@ -68,62 +68,63 @@
         .info();
     match outcome {
         SubmitOutcome::Accepted => Ok(HttpResponse::Accepted().finish()),
-        SubmitOutcome::Foreign => Err(ApiRefusal::JobUnknown),
+        SubmitOutcome::Foreign => Err(ApiRefusal::JobNotFound),
         SubmitOutcome::NotDone => Err(ApiRefusal::StoreUnreachable),
         SubmitOutcome::Unknown => Err(ApiRefusal::OutcomeUnknown),
     }
 }
 
 /// The job that a call names, if its key is one of the job's organisation.
-async fn find(
+async fn find_job(
     parts: &WorkerParts,
     context: &RequestContext,
     request: &HttpRequest,
     id: &str,
 ) -> Result<JobView, ApiRefusal> {
-    let grant = context.grant(request)?;
+    let grant = context.key_grant(request)?;
     let view = job::view(&parts.state, &parts.store, id).await.map_err(|error| {
         LogLine::new("job_unread").field("job", id).field("reason", error).warn();
         ApiRefusal::StoreUnreachable
     })?;
-    let view = view.ok_or(ApiRefusal::JobUnknown)?;
+    let view = view.ok_or(ApiRefusal::JobNotFound)?;
     let organisation = grant.map_or_else(|| "".into(), |grant| grant.organisation);
     if view.entry.organisation != organisation {
-        return Err(ApiRefusal::JobUnknown);
+        return Err(ApiRefusal::JobNotFound);
     }
     Ok(view)
 }
 
-fn parameter(request: &HttpRequest, name: &str) -> Option<String> {
+fn query_parameter(request: &HttpRequest, name: &str) -> Option<String> {
     parse(request.query_string().as_bytes()).find(|(key, _)| key == name).map(|(_, value)| value.into_owned())
 }
 
 /// Reads results.
-pub async fn read(
+pub async fn read_results(
     parts: &WorkerParts,
     context: &RequestContext,
     request: &HttpRequest,
     id: &str,
 ) -> Result<HttpResponse, ApiRefusal> {
-    let view = find(parts, context, request, id).await?;
-    let position = parameter(request, POSITION_PARAMETER).map_or(Ok(0), |text| text.parse::<usize>());
+    let view = find_job(parts, context, request, id).await?;
+    let position = query_parameter(request, POSITION_PARAMETER).map_or(Ok(0), |text| text.parse::<usize>());
     let position = position.map_err(|_| ApiRefusal::Malformed)?;
-    let wait_ms = text(request.headers(), header::WAIT_MS).and_then(|text| text.trim().parse().ok()).unwrap_or(0);
+    let wait_ms =
+        header_text(request.headers(), header::WAIT_MS).and_then(|text| text.trim().parse().ok()).unwrap_or(0);
     let wait_ms = if position >= view.entry.items { 0 } else { READ_WAIT_MS_MAX.min(wait_ms) };
-    let until = context.arrived.plus_ms(wait_ms).min(context.deadline);
+    let until = context.arrived_at.plus_ms(wait_ms).min(context.deadline);
     let read = BoundedRead { position, bytes_max: PAGE_BYTES_MAX, until };
     let results = job::read_page(&parts.state, &parts.store, &parts.peer_client, &id.into(), &read).await;
     let results = results.map_err(|error| {
         LogLine::new("results_unread").field("job", id).field("position", position).field("reason", error).warn();
         ApiRefusal::StoreUnreachable
     })?;
-    let results: Vec<ListedResult<'_>> = results.iter().map(|result| listed(result)).collect();
+    let results: Vec<ListedResult<'_>> = results.iter().map(|result| listed_result(result)).collect();
     let page = ResultPage { total: view.entry.items, next: position + results.len(), results };
     let body = encode_page(&page).map_err(|_| ApiRefusal::StoreUnreachable)?;
     Ok(HttpResponse::Ok().content_type("application/json").body(body))
 }
 
-fn listed(result: &ResultEntry) -> ListedResult<'_> {
+fn listed_result(result: &ResultEntry) -> ListedResult<'_> {
     ListedResult {
         id: &result.id,
         state: if result.completed { "completed" } else { "terminated" },
@@ -134,31 +135,31 @@
 }
 
 /// Reads the body of an item.
-pub async fn item(
+pub async fn read_item(
     parts: &WorkerParts,
     context: &RequestContext,
     request: &HttpRequest,
     id: &str,
 ) -> Result<HttpResponse, ApiRefusal> {
-    find(parts, context, request, id).await?;
-    let item = parameter(request, ITEM_PARAMETER).ok_or(ApiRefusal::Malformed)?;
+    find_job(parts, context, request, id).await?;
+    let item = query_parameter(request, ITEM_PARAMETER).ok_or(ApiRefusal::Malformed)?;
     let body =
         job::read_body(&parts.state, &parts.store, &parts.peer_client, &id.into(), &item).await.map_err(|error| {
             LogLine::new("item_unread").field("job", id).field("item", &item).field("reason", error).warn();
             ApiRefusal::StoreUnreachable
         })?;
-    let body = body.ok_or(ApiRefusal::JobUnknown)?;
+    let body = body.ok_or(ApiRefusal::JobNotFound)?;
     Ok(HttpResponse::Ok().content_type("application/octet-stream").body(body))
 }
 
 /// Ends a batch job.
-pub async fn end(
+pub async fn end_job(
     parts: &WorkerParts,
     context: &RequestContext,
     request: &HttpRequest,
     id: &str,
 ) -> Result<HttpResponse, ApiRefusal> {
-    find(parts, context, request, id).await?;
+    find_job(parts, context, request, id).await?;
     let deadline = context.deadline.min(parts.state.now().plus_ms(WRITE_MS_MAX));
     let ended = job::end(&parts.state, &parts.store, id, deadline).await;
     LogLine::new("job_end").field("job", id).field("request_id", &context.id).field("done", ended).info();
--- a/crates/edge/src/http/front_app.rs
+++ b/crates/edge/src/http/front_app.rs
@@ -20,13 +20,13 @@
 async fn serve(parts: web::Data<WorkerParts>, request: HttpRequest, payload: web::Payload) -> HttpResponse {
     let _counted = parts.state.track_request();
     let began = parts.state.now();
-    let outcome = match RequestContext::read(&parts, &request) {
-        Ok(context) => route(&parts, &context, &request, payload).await,
+    let outcome = match RequestContext::from_request(&parts, &request) {
+        Ok(context) => dispatch(&parts, &context, &request, payload).await,
         Err(refusal) => Err(refusal),
     };
     let mut response = match outcome {
         Ok(response) => response,
-        Err(refusal) => refuse(&request, refusal),
+        Err(refusal) => refusal_response(&request, refusal),
     };
     EdgeMetrics::global().request_latency.observe(parts.state.now().since_ms(began) as f64 / MS_PER_SECOND);
     if parts.state.is_draining() {
@@ -35,7 +35,7 @@
     response
 }
 
-fn refuse(request: &HttpRequest, refusal: ApiRefusal) -> HttpResponse {
+fn refusal_response(request: &HttpRequest, refusal: ApiRefusal) -> HttpResponse {
     let id = request.headers().get(pimentoslip_platform::header::REQUEST_ID);
     LogLine::new("refused")
         .field("request_id", id.and_then(|id| id.to_str().ok()).unwrap_or_default())
@@ -46,7 +46,7 @@
     refusal.response()
 }
 
-async fn route(
+async fn dispatch(
     parts: &WorkerParts,
     context: &RequestContext,
     request: &HttpRequest,
@@ -54,17 +54,17 @@
 ) -> Result<HttpResponse, ApiRefusal> {
     if let Some(job) = context.path.strip_prefix(BATCH_PATH) {
         return match *request.method() {
-            Method::GET => batch_api::read(parts, context, request, job).await,
-            Method::DELETE => batch_api::end(parts, context, request, job).await,
-            _ => Err(ApiRefusal::RouteUnknown),
+            Method::GET => batch_api::read_results(parts, context, request, job).await,
+            Method::DELETE => batch_api::end_job(parts, context, request, job).await,
+            _ => Err(ApiRefusal::RouteNotFound),
         };
     }
     if let Some(job) = context.path.strip_prefix(ITEM_PATH) {
-        return batch_api::item(parts, context, request, job).await;
+        return batch_api::read_item(parts, context, request, job).await;
     }
-    let rule = context.config.route(&context.host, &context.path).ok_or(ApiRefusal::RouteUnknown)?.clone();
+    let rule = context.config.route(&context.host, &context.path).ok_or(ApiRefusal::RouteNotFound)?.clone();
     if rule.batch().is_some() {
-        return batch_api::submit(parts, context, request, payload, &rule).await;
+        return batch_api::submit_job(parts, context, request, payload, &rule).await;
     }
-    proxy::proxy(parts, context, request, payload, &rule).await
+    proxy::forward_request(parts, context, request, payload, &rule).await
 }
--- a/crates/edge/src/http/peer_api.rs
+++ b/crates/edge/src/http/peer_api.rs
@@ -20,7 +20,7 @@
 pub const PUSH_BYTES_MAX: usize = 33 << 20;
 
 /// Passes a peer's call on to the store. A failure before anything was sent is told from one of unknown outcome.
-pub async fn relay(parts: web::Data<WorkerParts>, request: HttpRequest, body: web::Bytes) -> HttpResponse {
+pub async fn relay_store_call(parts: web::Data<WorkerParts>, request: HttpRequest, body: web::Bytes) -> HttpResponse {
     let path = request.uri().path_and_query().map(ToString::to_string).unwrap_or_default();
     let Some(name) = path.strip_prefix(RELAY_PATH) else { return HttpResponse::NotFound().finish() };
     if !parts.state.store_path().is_direct_open() {
@@ -37,53 +37,53 @@
 }
 
 /// Tells another daemon of changes in the store.
-pub async fn news(parts: web::Data<WorkerParts>, body: web::Bytes) -> HttpResponse {
+pub async fn read_changes(parts: web::Data<WorkerParts>, body: web::Bytes) -> HttpResponse {
     match decode::<NewsRequest>(&body) {
-        Ok(request) => answer(&parts.change_hub.answer(request).await),
-        Err(error) => malformed(&error),
+        Ok(request) => message_response(&parts.change_hub.answer(request).await),
+        Err(error) => malformed_response(&error),
     }
 }
 
 /// Reads results for another daemon.
-pub async fn results(parts: web::Data<WorkerParts>, body: web::Bytes) -> HttpResponse {
+pub async fn read_results(parts: web::Data<WorkerParts>, body: web::Bytes) -> HttpResponse {
     let request: ResultsRequest = match decode(&body) {
         Ok(request) => request,
-        Err(error) => return malformed(&error),
+        Err(error) => return malformed_response(&error),
     };
     let until = parts.state.now().plus_ms(request.wait_ms);
     let read = BoundedRead { position: request.position, bytes_max: request.bytes_max, until };
-    answer(&owned_results(&parts.state, &request.job, &read).await)
+    message_response(&owned_results(&parts.state, &request.job, &read).await)
 }
 
 /// Reads the body of an item for another daemon.
-pub async fn item(parts: web::Data<WorkerParts>, body: web::Bytes) -> HttpResponse {
+pub async fn read_item(parts: web::Data<WorkerParts>, body: web::Bytes) -> HttpResponse {
     match decode::<ItemRequest>(&body) {
-        Ok(request) => answer(&owned_item(&parts.state, &request.job, &request.item)),
-        Err(error) => malformed(&error),
+        Ok(request) => message_response(&owned_item(&parts.state, &request.job, &request.item)),
+        Err(error) => malformed_response(&error),
     }
 }
 
 /// Takes in what another daemon runs.
-pub async fn runs(parts: web::Data<WorkerParts>, body: web::Bytes) -> HttpResponse {
+pub async fn receive_runs(parts: web::Data<WorkerParts>, body: web::Bytes) -> HttpResponse {
     match decode::<RunReport>(&body) {
         Ok(report) => {
             let now = parts.state.now();
             parts.state.run_board().reported(report.daemon, report.runs, now);
-            answer(&true)
+            message_response(&true)
         }
-        Err(error) => malformed(&error),
+        Err(error) => malformed_response(&error),
     }
 }
 
 /// Takes usage counts in, and answers once it is known whether they are on record.
-pub async fn usage(parts: web::Data<WorkerParts>, body: web::Bytes) -> HttpResponse {
+pub async fn receive_usage(parts: web::Data<WorkerParts>, body: web::Bytes) -> HttpResponse {
     match decode::<UsagePush>(&body) {
-        Ok(push) => answer(&parts.usage_collector.take(push).await),
-        Err(error) => malformed(&error),
+        Ok(push) => message_response(&parts.usage_collector.take(push).await),
+        Err(error) => malformed_response(&error),
     }
 }
 
-fn answer(message: &impl Serialize) -> HttpResponse {
+fn message_response(message: &impl Serialize) -> HttpResponse {
     match encode(message) {
         Ok(body) => HttpResponse::Ok().body(body),
         Err(error) => {
@@ -93,17 +93,17 @@
     }
 }
 
-fn malformed(error: &CodecError) -> HttpResponse {
+fn malformed_response(error: &CodecError) -> HttpResponse {
     LogLine::new("peer_call_malformed").field("reason", error).warn();
     HttpResponse::BadRequest().finish()
 }
 
 /// Takes in a job that this process owns.
-pub async fn take_job(parts: web::Data<WorkerParts>, body: web::Bytes) -> HttpResponse {
+pub async fn receive_job(parts: web::Data<WorkerParts>, body: web::Bytes) -> HttpResponse {
     let state = &parts.state;
     let push: JobPush = match decode(&body) {
         Ok(push) => push,
-        Err(error) => return malformed(&error),
+        Err(error) => return malformed_response(&error),
     };
     if push.incarnation != state.incarnation || state.is_draining() {
         return HttpResponse::Conflict().finish();
--- a/crates/edge/src/http/proxy.rs
+++ b/crates/edge/src/http/proxy.rs
@@ -2,7 +2,7 @@
 
 use super::{
     api_refusal::ApiRefusal,
-    request_context::{RequestContext, text},
+    request_context::{RequestContext, header_text},
 };
 use crate::{
     client_watch::ClientWatch,
@@ -43,19 +43,19 @@
         Ok(Ok(Ok(body))) => Ok(body),
         Ok(Ok(Err(_))) => Err(ApiRefusal::Malformed),
         Ok(Err(_)) => Err(ApiRefusal::BodyTooLarge),
-        Err(_) => Err(ApiRefusal::BodyLate),
+        Err(_) => Err(ApiRefusal::BodyTimeout),
     }
 }
 
 /// Sends a request to upstreams of its route's service until one answers it.
-pub async fn proxy(
+pub async fn forward_request(
     parts: &WorkerParts,
     context: &RequestContext,
     request: &HttpRequest,
     payload: web::Payload,
     rule: &RouteRule,
 ) -> Result<HttpResponse, ApiRefusal> {
-    let grant = if rule.open { None } else { context.grant(request)? };
+    let grant = if rule.open { None } else { context.key_grant(request)? };
     let body = read_body(parts, context, payload).await?;
     let draw = fingerprint(&[context.id.as_bytes()]);
     let service = rule.service(draw).ok_or(ApiRefusal::NoUpstream)?.clone();
@@ -68,11 +68,11 @@
         headers: forwarded_request_headers(request.headers()),
         organisation: grant.map(|grant| grant.organisation),
         body,
-        deadline: context.deadline.min(context.arrived.plus_ms(rule.timeout_ms)),
-        last_event_id: text(request.headers(), header::LAST_EVENT).and_then(|text| text.parse().ok()),
+        deadline: context.deadline.min(context.arrived_at.plus_ms(rule.timeout_ms)),
+        last_event_id: header_text(request.headers(), header::LAST_EVENT).and_then(|text| text.parse().ok()),
     };
     let watch = request.conn_data::<ClientWatch>().cloned();
-    let work = attempts(parts, context, &call, &service, rule);
+    let work = try_upstreams(parts, context, &call, &service, rule);
     let answer = match watch {
         // A request that may run once is finished for its caller's sake, who may ask what became of it.
         Some(watch) if rule.kind == RouteKind::Idempotent => {
@@ -81,16 +81,16 @@
                 () = watch.closed() => {
                     LogLine::new("client_left").field("request_id", &context.id).info();
                     EdgeMetrics::increment(&EdgeMetrics::global().answers, "client_left");
-                    return Err(ApiRefusal::AnswerLate);
+                    return Err(ApiRefusal::ResponseTimeout);
                 }
             }
         }
         _ => work.await?,
     };
-    Ok(respond(answer))
+    Ok(caller_response(answer))
 }
 
-fn respond(answer: CompleteResponse) -> HttpResponse {
+fn caller_response(answer: CompleteResponse) -> HttpResponse {
     let mut response = HttpResponse::build(answer.status);
     for (name, value) in &forwarded_response_headers(&answer.headers) {
         response.append_header((name.clone(), value.clone()));
@@ -100,7 +100,7 @@
 
 /// What is known after the attempts so far.
 #[derive(Debug, Default)]
-struct AttemptLog {
+struct AttemptHistory {
     tried: Vec<SharedName>,
     runs: u32,
     refusals: u32,
@@ -108,7 +108,7 @@
     answer: Option<CompleteResponse>,
 }
 
-async fn attempts(
+async fn try_upstreams(
     parts: &WorkerParts,
     context: &RequestContext,
     call: &UpstreamCall,
@@ -116,10 +116,10 @@
     rule: &RouteRule,
 ) -> Result<CompleteResponse, ApiRefusal> {
     let state = &parts.state;
-    let room_until = context.arrived.plus_ms(rule.objective_ms / ROOM_WAIT_DIVISOR);
-    let mut log = AttemptLog::default();
+    let room_until = context.arrived_at.plus_ms(rule.objective_ms / ROOM_WAIT_DIVISOR);
+    let mut log = AttemptHistory::default();
     while log.runs < rule.attempts_max && log.refusals <= REFUSALS_MAX && state.now() < call.deadline {
-        let picked = pick(parts, service, &call.id, &log.tried);
+        let picked = pick_upstream(parts, service, &call.id, &log.tried);
         let Some(mut guard) = picked else {
             let now = state.now();
             if log.answer.is_some() || now >= room_until.min(call.deadline) {
@@ -176,10 +176,14 @@
             }
         }
     }
-    conclude(parts, call, log)
+    final_response(parts, call, log)
 }
 
-fn conclude(parts: &WorkerParts, call: &UpstreamCall, log: AttemptLog) -> Result<CompleteResponse, ApiRefusal> {
+fn final_response(
+    parts: &WorkerParts,
+    call: &UpstreamCall,
+    log: AttemptHistory,
+) -> Result<CompleteResponse, ApiRefusal> {
     if let Some(answer) = log.answer {
         let outcome = if answer.status.is_success() { "served" } else { "upstream_failed" };
         EdgeMetrics::increment(&EdgeMetrics::global().answers, outcome);
@@ -187,14 +191,14 @@
     }
     let late = parts.state.now() >= call.deadline;
     Err(match (log.may_have_run, late) {
-        (true, true) => ApiRefusal::AnswerLate,
+        (true, true) => ApiRefusal::ResponseTimeout,
         (true, false) => ApiRefusal::UpstreamLost,
         (false, true) => ApiRefusal::DeadlinePassed,
         (false, false) => ApiRefusal::NoUpstream,
     })
 }
 
-fn pick(parts: &WorkerParts, service: &str, id: &str, tried: &[SharedName]) -> Option<UpstreamGuard> {
+fn pick_upstream(parts: &WorkerParts, service: &str, id: &str, tried: &[SharedName]) -> Option<UpstreamGuard> {
     let query = SamplerQuery {
         service,
         model: None,
--- a/crates/edge/src/http/ready_app.rs
+++ b/crates/edge/src/http/ready_app.rs
@@ -33,12 +33,12 @@
 /// Routes of the address for operators.
 pub fn configure_control(app: &mut web::ServiceConfig) {
     app.app_data(web::PayloadConfig::new(peer_api::PUSH_BYTES_MAX))
-        .route(JOB_PUSH_PATH, web::post().to(peer_api::take_job))
-        .route(CHANGES_PATH, web::post().to(peer_api::news))
-        .route(RESULTS_PATH, web::post().to(peer_api::results))
-        .route(RUNS_PATH, web::post().to(peer_api::runs))
-        .route(USAGE_PATH, web::post().to(peer_api::usage))
-        .route(ITEM_BODY_PATH, web::post().to(peer_api::item))
-        .route(&format!("{RELAY_PATH}{{call:.*}}"), web::to(peer_api::relay))
+        .route(JOB_PUSH_PATH, web::post().to(peer_api::receive_job))
+        .route(CHANGES_PATH, web::post().to(peer_api::read_changes))
+        .route(RESULTS_PATH, web::post().to(peer_api::read_results))
+        .route(RUNS_PATH, web::post().to(peer_api::receive_runs))
+        .route(USAGE_PATH, web::post().to(peer_api::receive_usage))
+        .route(ITEM_BODY_PATH, web::post().to(peer_api::read_item))
+        .route(&format!("{RELAY_PATH}{{call:.*}}"), web::to(peer_api::relay_store_call))
         .route("/metrics", web::get().to(metrics));
 }
