--- a/crates/edge/src/client_watch.rs
+++ b/crates/edge/src/client_watch.rs
@@ -1,26 +1,27 @@
-//! Notices that a client has closed its connection.
+//! Detects that a client has closed its connection while its request is being served.
 
 use actix_web::{dev::Extensions, rt::net::TcpStream};
 use socket2::Socket;
 use std::{any::Any, io::ErrorKind, mem::MaybeUninit, os::fd::AsFd, sync::Arc, time::Duration};
 
-/// How often a waiting request looks at its connection; upstreams must hear of a close within 0.5 s.
-const LOOK_PERIOD: Duration = Duration::from_millis(100);
+/// Interval at which a pending request checks its client's connection; upstreams must be notified of a close within
+/// 0.5 s.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A second handle on a client's connection. The HTTP server notices a close only when it writes.
+/// A duplicated socket handle on a client's connection. The HTTP server itself detects a close only when it writes.
 #[derive(Clone, Debug)]
 pub struct ClientWatch(Arc<Socket>);
 
 impl ClientWatch {
-    /// Keeps a handle on a new connection; for the server's connection hook.
+    /// Stores a handle on a new connection in its extensions. Passed to the server as its `on_connect` hook.
     pub fn on_connect(connection: &dyn Any, data: &mut Extensions) {
         let Some(stream) = connection.downcast_ref::<TcpStream>() else { return };
-        // Without a handle a close is noticed when the answer is written.
+        // If the socket cannot be duplicated, a close is detected when the response is written.
         let Ok(handle) = stream.as_fd().try_clone_to_owned() else { return };
         data.insert(Self(Arc::new(Socket::from(handle))));
     }
 
-    /// Whether the client can still get an answer.
+    /// Whether the client can still receive a response.
     fn is_open(&self) -> bool {
         let mut buffer = [MaybeUninit::uninit(); 1];
         match self.0.peek(&mut buffer) {
@@ -32,7 +33,7 @@
     /// Waits until the client has closed its connection.
     pub async fn closed(&self) {
         while self.is_open() {
-            actix_rt::time::sleep(LOOK_PERIOD).await;
+            actix_rt::time::sleep(CHECK_INTERVAL).await;
         }
     }
 }
--- a/crates/edge/src/edge_metrics.rs
+++ b/crates/edge/src/edge_metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of the daemon.
+//! The daemon's metrics, in the OpenMetrics text format.
 
 use prometheus_client::{
     encoding::{EncodeLabelSet, text},
@@ -9,7 +9,7 @@
 
 const LATENCY_BUCKETS_SECONDS: [f64; 12] = [0.005, 0.01, 0.02, 0.05, 0.1, 0.15, 0.25, 0.5, 1.0, 2.0, 5.0, 10.0];
 
-/// Purposes of calls to the store.
+/// Values of the `purpose` label of calls to the store.
 const STORE_PURPOSES: [&str; 10] = [
     "news",
     "follow_operator",
@@ -23,44 +23,44 @@
     "relay",
 ];
 
-/// Labels by what was done with a request, or why.
+/// Labels for the outcome of an operation or its reason.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ReasonLabel {
-    /// Code from the documented list.
+    /// Outcome or reason code, such as `served` or `no_upstream`.
     pub reason: &'static str,
 }
 
-/// Labels a store call by its purpose.
+/// Labels for the purpose of a call to the store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct PurposeLabel {
-    /// Purpose.
+    /// One of the store purposes listed in this module.
     pub purpose: &'static str,
 }
 
 /// All counters, gauges and histograms of the process.
 pub struct EdgeMetrics {
     registry: Registry,
-    /// Answers to requests, by outcome.
+    /// Responses to callers, by outcome.
     pub answers: Family<ReasonLabel, Counter>,
-    /// Refusals of the daemon's own, by reason.
+    /// Requests that the daemon refused itself, by reason.
     pub refusals: Family<ReasonLabel, Counter>,
-    /// Repeated attempts, by reason.
+    /// Failed attempts at upstreams, by reason.
     pub retries: Family<ReasonLabel, Counter>,
-    /// Runs of items, by end.
+    /// Ended runs of batch items, by result.
     pub item_runs: Family<ReasonLabel, Counter>,
-    /// Calls of scorers, by end.
+    /// Calls of scorers, by result.
     pub score_calls: Family<ReasonLabel, Counter>,
     /// Calls to the store, by purpose.
     pub store_calls: Family<PurposeLabel, Counter>,
-    /// Time to the answer of a request.
+    /// Time from the arrival of a request to its response, in seconds.
     pub request_latency: Histogram,
-    /// Time from a batch job's submission to its last listed result.
+    /// Time from a batch job's submission to its last listed result, in seconds.
     pub batch_duration: Histogram,
-    /// Configuration version in force.
+    /// Version of the applied configuration.
     pub config_version: Gauge,
-    /// Batch jobs owned.
+    /// Number of batch jobs that this daemon owns.
     pub jobs_owned: Gauge,
-    /// 1 while the duty is held.
+    /// 1 while this daemon holds the duty, otherwise 0.
     pub duty_held: Gauge,
 }
 
@@ -73,14 +73,14 @@
 static METRICS: LazyLock<EdgeMetrics> = LazyLock::new(EdgeMetrics::new);
 
 impl EdgeMetrics {
-    /// The process's metrics.
+    /// The metrics of this process.
     #[must_use]
     pub fn global() -> &'static Self {
         &METRICS
     }
 
     fn new() -> Self {
-        let mut set = Self {
+        let mut metrics = Self {
             registry: Registry::with_prefix("pimentoslip"),
             answers: Family::default(),
             refusals: Family::default(),
@@ -94,19 +94,19 @@
             jobs_owned: Gauge::default(),
             duty_held: Gauge::default(),
         };
-        let registry = &mut set.registry;
-        registry.register("answers", "Answers to requests by outcome", set.answers.clone());
-        registry.register("refusals", "Refused requests by reason", set.refusals.clone());
-        registry.register("retries", "Repeated attempts by reason", set.retries.clone());
-        registry.register("item_runs", "Runs of batch items by end", set.item_runs.clone());
-        registry.register("item_scores", "Calls of scorers by end", set.score_calls.clone());
-        registry.register("store_calls", "Calls to the store by purpose", set.store_calls.clone());
-        registry.register("latency_seconds", "Time to the answer of a request", set.request_latency.clone());
-        registry.register("batch_seconds", "Time from submission to the last result", set.batch_duration.clone());
-        registry.register("config_version", "Configuration version in force", set.config_version.clone());
-        registry.register("jobs_owned", "Batch jobs owned", set.jobs_owned.clone());
-        registry.register("duty_held", "1 while the duty is held", set.duty_held.clone());
-        set
+        let registry = &mut metrics.registry;
+        registry.register("answers", "Answers to requests by outcome", metrics.answers.clone());
+        registry.register("refusals", "Refused requests by reason", metrics.refusals.clone());
+        registry.register("retries", "Repeated attempts by reason", metrics.retries.clone());
+        registry.register("item_runs", "Runs of batch items by end", metrics.item_runs.clone());
+        registry.register("item_scores", "Calls of scorers by end", metrics.score_calls.clone());
+        registry.register("store_calls", "Calls to the store by purpose", metrics.store_calls.clone());
+        registry.register("latency_seconds", "Time to the answer of a request", metrics.request_latency.clone());
+        registry.register("batch_seconds", "Time from submission to the last result", metrics.batch_duration.clone());
+        registry.register("config_version", "Configuration version in force", metrics.config_version.clone());
+        registry.register("jobs_owned", "Batch jobs owned", metrics.jobs_owned.clone());
+        registry.register("duty_held", "1 while the duty is held", metrics.duty_held.clone());
+        metrics
     }
 
     /// Counts a call to the store.
@@ -114,24 +114,25 @@
         Self::global().store_calls.get_or_create(&PurposeLabel { purpose }).inc();
     }
 
-    /// Calls to the store so far, by purpose, as one field of a log line.
+    /// Number of calls to the store since the start, as `purpose:count` pairs for one field of a log line.
     #[must_use]
     pub fn store_calls_text(&self) -> String {
-        let count = |purpose: &&'static str| self.store_calls.get_or_create(&PurposeLabel { purpose }).get();
-        let pairs: Vec<String> = STORE_PURPOSES.iter().map(|purpose| format!("{purpose}:{}", count(purpose))).collect();
+        let call_count = |purpose: &&'static str| self.store_calls.get_or_create(&PurposeLabel { purpose }).get();
+        let pairs: Vec<String> =
+            STORE_PURPOSES.iter().map(|purpose| format!("{purpose}:{}", call_count(purpose))).collect();
         pairs.join(",")
     }
 
-    /// Counts an event of a family by reason.
+    /// Increments the counter of `family` for `reason`.
     pub fn increment(family: &Family<ReasonLabel, Counter>, reason: &'static str) {
         family.get_or_create(&ReasonLabel { reason }).inc();
     }
 
-    /// The text form that scrapers read.
+    /// All metrics in the OpenMetrics text format.
     #[must_use]
     pub fn encode(&self) -> String {
         let mut text = String::new();
-        // Writing to a string cannot fail.
+        // Writing to a `String` cannot fail.
         let _ = text::encode(&mut text, &self.registry);
         text
     }
--- a/crates/edge/src/edge_state.rs
+++ b/crates/edge/src/edge_state.rs
@@ -1,4 +1,4 @@
-//! What all parts of a daemon share.
+//! State shared by all listeners and tasks of a daemon.
 
 use crate::{edge_metrics::EdgeMetrics, job::JobIndex, steady_time::SteadyTime};
 use pimentoslip_client::OwnerClock;
@@ -16,27 +16,28 @@
 };
 use tokio::sync::Notify;
 
-/// One part in this many of the process's memory may hold results that others read.
+/// Cached batch results may use up to the process's memory limit divided by this.
 const RESULTS_MEMORY_DIVISOR: usize = 8;
 
-/// State shared between listeners and tasks. Locks are held for a decision, never across a wait.
+/// State shared between the HTTP listeners and the background tasks. Each lock is held only while a decision is made,
+/// never across an `await`.
 #[derive(Debug)]
 pub struct EdgeState {
-    /// Settings.
+    /// Settings read from the settings file at start.
     pub settings: ProcessSettings,
-    /// Clock for everything with an owner.
+    /// Clock for leases, deadlines and ownership; it counts the time for which the VM was suspended.
     pub clock: Arc<OwnerClock>,
     /// Start of this process in milliseconds since the Unix epoch.
     pub incarnation: u64,
-    /// Whether this daemon leaves.
+    /// Whether this daemon is draining before it stops.
     pub draining: AtomicBool,
-    /// Wakes the tasks that run batch jobs.
+    /// Wakes the task that claims and starts batch jobs, after a change of jobs, upstreams or configuration.
     pub job_changed: Notify,
-    /// Wakes the duty's holder.
+    /// Wakes the duty task after a change of the listed upstreams.
     pub upstreams_changed: Notify,
-    /// Wakes those who wait for results of owned jobs.
+    /// Wakes readers that wait for results of batch jobs owned by this daemon.
     pub results_listed: Notify,
-    time: SteadyTime,
+    steady_time: SteadyTime,
     active_requests: AtomicUsize,
     config: RwLock<Option<Arc<TrafficConfig>>>,
     upstreams: Mutex<SamplerTable>,
@@ -53,7 +54,7 @@
     pending_duty_calls: AtomicUsize,
 }
 
-/// Counts a call under the duty until its outcome is known.
+/// Counts a call made under the duty as pending until the guard is dropped.
 #[derive(Debug)]
 pub struct DutyCallGuard(Arc<EdgeState>);
 
@@ -63,28 +64,28 @@
     }
 }
 
-/// What is known of the daemon's lease and of the duty that hangs on somebody's lease.
+/// This daemon's lease, and the duty's holder as last observed in the store.
 #[derive(Clone, Debug, Default)]
 pub struct LeaseView {
-    /// The lease, while it holds.
+    /// Id of the lease; `None` before it is granted and after it is lost.
     pub lease: Option<u64>,
-    /// The end of the lease unless it is renewed.
+    /// When the lease expires unless it is renewed.
     pub ends_at: TimePoint,
-    /// Revision and holder of the duty's record.
+    /// Revision and value of the duty's entry in the store; `None` while nobody holds the duty.
     pub duty: Option<(u64, DaemonEntry)>,
-    /// Who held the duty last, as far as this process has heard.
+    /// Name of the daemon that held the duty last, as observed by this process.
     pub last_holder: Option<SharedName>,
 }
 
 impl LeaseView {
-    /// The duty's record was written at `revision`.
+    /// Records that `holder` was written as the duty's holder at `revision`.
     pub fn duty_observed(&mut self, revision: u64, holder: DaemonEntry) {
         self.last_holder = Some(holder.daemon.clone());
         self.duty = Some((revision, holder));
     }
 }
 
-/// Counts a request until it is answered.
+/// Counts a request as active until the guard is dropped.
 #[derive(Debug)]
 pub struct RequestGuard(Arc<EdgeState>);
 
@@ -99,7 +100,7 @@
 }
 
 impl EdgeState {
-    /// Creates the state of a process that starts now.
+    /// Creates the state of a daemon; its incarnation is the current time.
     #[must_use]
     pub fn new(settings: ProcessSettings) -> Arc<Self> {
         let clock = Arc::new(OwnerClock::default());
@@ -110,7 +111,7 @@
             job_changed: Notify::new(),
             upstreams_changed: Notify::new(),
             results_listed: Notify::new(),
-            time: SteadyTime::new(&clock),
+            steady_time: SteadyTime::new(&clock),
             active_requests: AtomicUsize::new(0),
             config: RwLock::new(None),
             upstreams: Mutex::default(),
@@ -130,25 +131,25 @@
         })
     }
 
-    /// The current time.
+    /// Current time of the monotonic clock, in milliseconds since boot.
     #[must_use]
     pub fn now(&self) -> TimePoint {
         self.clock.steady()
     }
 
-    /// The time of day, undisturbed by jumps of the VM's clock.
+    /// Wall-clock time in milliseconds since the Unix epoch; a jump of the VM's clock takes effect only if it lasts.
     #[must_use]
     pub fn unix_ms(&self) -> u64 {
-        self.time.unix_ms(&self.clock)
+        self.steady_time.unix_ms(&self.clock)
     }
 
-    /// The configuration in force, once one is known.
+    /// The applied configuration; `None` until one has been read from the store.
     #[must_use]
     pub fn config(&self) -> Option<Arc<TrafficConfig>> {
         self.config.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Puts `config` in force unless the one in force is as new. Returns whether it did.
+    /// Applies `config` if its version is higher than that of the applied one. Returns whether it was applied.
     pub fn apply_config(&self, config: TrafficConfig) -> bool {
         let mut current = self.config.write().unwrap_or_else(PoisonError::into_inner);
         if current.as_ref().is_some_and(|current| current.version >= config.version) {
@@ -159,107 +160,108 @@
         true
     }
 
-    /// Upstreams.
+    /// Locks the table of listed upstreams and their load.
     pub fn upstreams(&self) -> MutexGuard<'_, SamplerTable> {
         lock(&self.upstreams)
     }
 
-    /// Newest version of each model.
+    /// Locks the newest weight version of each model, as written by trainers.
     pub fn newest_versions(&self) -> MutexGuard<'_, BTreeMap<SharedName, u64>> {
         lock(&self.newest_versions)
     }
 
-    /// VMs that operators want emptied.
+    /// Locks the list of VMs that operators have asked to drain.
     pub fn retired_vms(&self) -> MutexGuard<'_, Vec<SharedName>> {
         lock(&self.retired_vms)
     }
 
-    /// Owners of batch jobs.
+    /// Locks the table of live daemons and of the owners of batch jobs.
     pub fn ownership(&self) -> MutexGuard<'_, OwnershipTable> {
         lock(&self.ownership)
     }
 
-    /// Batch jobs.
+    /// Locks the index of batch jobs.
     pub fn jobs(&self) -> MutexGuard<'_, JobIndex> {
         lock(&self.jobs)
     }
 
-    /// Requests begun.
+    /// Locks the counts of served requests, which are billed by usage window and organisation.
     pub fn usage(&self) -> MutexGuard<'_, UsageTally> {
         lock(&self.usage)
     }
 
-    /// The daemon's lease.
+    /// Locks the state of this daemon's lease and of the duty.
     pub fn lease(&self) -> MutexGuard<'_, LeaseView> {
         lock(&self.lease)
     }
 
-    /// Which way calls to the store take.
+    /// Locks the choice of the path to the store: direct or relayed through a peer.
     pub fn store_path(&self) -> MutexGuard<'_, PathChoice> {
         lock(&self.store_path)
     }
 
-    /// The store was found back at `at`.
+    /// Records that the direct path to the store works again since `at`.
     pub fn store_reconnected(&self, at: TimePoint) {
         *lock(&self.store_reconnected_at) = Some(at);
     }
 
-    /// When the store was found back after its last outage.
+    /// When the direct path to the store worked again after its last failure; `None` if it has not failed.
     #[must_use]
     pub fn store_reconnected_at(&self) -> Option<TimePoint> {
         *lock(&self.store_reconnected_at)
     }
 
-    /// What other daemons run.
+    /// Locks the numbers of batch items that other daemons run at each upstream.
     pub fn run_board(&self) -> MutexGuard<'_, RunBoard> {
         lock(&self.run_board)
     }
 
-    /// Counts a call under the duty until the guard is dropped.
+    /// Counts a call made under the duty as pending until the guard is dropped.
     #[must_use]
     pub fn track_duty_call(self: &Arc<Self>) -> DutyCallGuard {
         self.pending_duty_calls.fetch_add(1, Ordering::SeqCst);
         DutyCallGuard(self.clone())
     }
 
-    /// Calls under the duty whose outcome is not known yet.
+    /// Number of calls made under the duty whose outcome is not yet received.
     #[must_use]
     pub fn pending_duty_calls(&self) -> usize {
         self.pending_duty_calls.load(Ordering::SeqCst)
     }
 
-    /// Number of this process's next write of usage counts.
+    /// Sequence number for this process's next write of usage counts; each call returns the next one.
     #[must_use]
     pub fn next_usage_write_number(&self) -> u64 {
         self.usage_writes.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Whether this daemon's lease holds for certain, so that nobody else owns what hangs on it.
+    /// Whether this daemon's lease cannot have expired yet, so that no other daemon can own what depends on it. False
+    /// while draining.
     #[must_use]
     pub fn is_lease_valid(&self) -> bool {
         !self.is_draining() && self.lease().ends_at > self.now()
     }
 
-    /// Whether this daemon leaves.
+    /// Whether this daemon is draining before it stops.
     #[must_use]
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::SeqCst)
     }
 
-    /// Counts a request until the guard is dropped.
+    /// Counts a request as active until the guard is dropped.
     #[must_use]
     pub fn track_request(self: &Arc<Self>) -> RequestGuard {
         self.active_requests.fetch_add(1, Ordering::SeqCst);
         RequestGuard(self.clone())
     }
 
-    /// Requests being served.
+    /// Number of requests that are being served.
     #[must_use]
     pub fn active_requests(&self) -> usize {
         self.active_requests.load(Ordering::SeqCst)
     }
 
-    /// How this daemon signs what it owns.
+    /// Name and incarnation of this daemon, as stored in the entries that it owns.
     #[must_use]
     pub fn daemon_entry(&self) -> DaemonEntry {
         DaemonEntry { daemon: self.settings.vm.clone(), incarnation: self.incarnation }
--- a/crates/edge/src/lease_task.rs
+++ b/crates/edge/src/lease_task.rs
@@ -1,4 +1,4 @@
-//! Keeps the daemon's lease, on which its presence, its jobs and the duty hang.
+//! Acquires and renews the daemon's lease, to which the store entries for its presence, its jobs and the duty are bound.
 
 use crate::{edge_state::EdgeState, store::StoreAccess};
 use pimentoslip_kernel::TimePoint;
@@ -10,61 +10,62 @@
 };
 use std::{sync::Arc, time::Duration};
 
-/// Time to live of the lease: a dead daemon's jobs are taken over after it.
+/// Time to live of the lease in milliseconds; other daemons take over a dead daemon's jobs after it.
 pub const LEASE_TTL_MS: u64 = 3_000;
-/// Time between renewals; two may be lost.
-const RENEW_PERIOD: Duration = Duration::from_millis(900);
-/// Pause after a failed renewal.
-const RETRY_PAUSE: Duration = Duration::from_millis(250);
+/// Interval between renewals; the lease survives two lost ones.
+const RENEW_INTERVAL: Duration = Duration::from_millis(900);
+/// Delay before a failed grant or renewal is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Takes and renews the lease until the daemon drains.
+/// Acquires and renews the lease until the daemon drains.
 pub async fn maintain_lease(state: Arc<EdgeState>, store: StoreAccess) {
     let lease_ms = LEASE_TTL_MS.max(state.settings.lease_ms_min);
     while !state.is_draining() {
-        let held = state.lease().lease;
-        let asked = state.now();
-        let pause = match held {
-            None => take(&state, &store, lease_ms).await,
+        let current_lease = state.lease().lease;
+        let requested_at = state.now();
+        let delay = match current_lease {
+            None => acquire_lease(&state, &store, lease_ms).await,
             Some(lease) => match store.renew_lease(lease).await {
                 Ok(()) => {
-                    renewed(&state, lease, asked.plus_ms(lease_ms));
-                    RENEW_PERIOD
+                    lease_renewed(&state, lease, requested_at.plus_ms(lease_ms));
+                    RENEW_INTERVAL
                 }
                 Err(StoreError::LeaseGone) => {
                     LogLine::new("lease_lost").field("lease", lease).warn();
-                    lost(&state);
+                    lease_lost(&state);
                     Duration::ZERO
                 }
                 Err(error) => {
                     LogLine::new("lease_not_renewed").field("lease", lease).field("reason", error).warn();
-                    RETRY_PAUSE
+                    RETRY_DELAY
                 }
             },
         };
-        actix_rt::time::sleep(pause).await;
+        actix_rt::time::sleep(delay).await;
     }
 }
 
-fn renewed(state: &EdgeState, lease: u64, ends_at: TimePoint) {
+fn lease_renewed(state: &EdgeState, lease: u64, ends_at: TimePoint) {
     let mut view = state.lease();
     if view.lease == Some(lease) {
         view.ends_at = ends_at;
     }
 }
 
-fn lost(state: &EdgeState) {
+fn lease_lost(state: &EdgeState) {
     let mut view = state.lease();
     view.lease = None;
     view.ends_at = TimePoint(0);
 }
 
-async fn take(state: &EdgeState, store: &StoreAccess, lease_ms: u64) -> Duration {
-    let asked = state.now();
+/// Requests a lease, stores the daemon's presence under it, and returns the delay before the next call.
+async fn acquire_lease(state: &EdgeState, store: &StoreAccess, lease_ms: u64) -> Duration {
+    let requested_at = state.now();
     let lease = match store.grant_lease(lease_ms).await {
         Ok(lease) => lease,
         Err(error) => {
             LogLine::new("lease_not_granted").field("reason", error).warn();
-            return RETRY_PAUSE;
+            return RETRY_DELAY;
         }
     };
     let control = state.settings.control.map(|address| address.to_string()).unwrap_or_default();
@@ -79,26 +80,26 @@
         Ok(entry) => entry,
         Err(error) => {
             LogLine::new("lease_not_used").field("reason", error).warn();
-            return RETRY_PAUSE;
+            return RETRY_DELAY;
         }
     };
     let commit = StoreCommit::default().put(KeyLayout::daemon(&state.settings.vm), entry, lease);
     if let Err(error) = store.commit(&commit).await {
         LogLine::new("presence_not_recorded").field("reason", error).warn();
-        return RETRY_PAUSE;
+        return RETRY_DELAY;
     }
     LogLine::new("lease_granted").field("lease", lease).info();
     let mut view = state.lease();
     view.lease = Some(lease);
-    view.ends_at = asked.plus_ms(lease_ms);
-    RENEW_PERIOD
+    view.ends_at = requested_at.plus_ms(lease_ms);
+    RENEW_INTERVAL
 }
 
-/// Ends the lease, so that others take over at once.
+/// Revokes the lease, so that other daemons can take over at once.
 pub async fn revoke_lease(state: &EdgeState, store: &StoreAccess) {
-    let held = state.lease().lease.take();
+    let current_lease = state.lease().lease.take();
     state.lease().ends_at = TimePoint(0);
-    let Some(lease) = held else { return };
+    let Some(lease) = current_lease else { return };
     match store.revoke_lease(lease).await {
         Ok(()) => LogLine::new("lease_ended").field("lease", lease).info(),
         Err(error) => LogLine::new("lease_left_to_expire").field("lease", lease).field("reason", error).warn(),
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,5 +1,6 @@
-//! The daemon on the users' platform: one on each entry VM, all alike. What must last stands in the
-//! platform's store; everything else may be lost with the process.
+//! The daemon that runs on each entry VM. It forwards requests to upstreams, runs batch jobs and takes turns in holding
+//! the duty. All daemons are equal. Durable state is kept in the platform's key-value store; a process may lose
+//! everything else.
 
 mod client_watch;
 mod duty;
--- a/crates/edge/src/peer_client.rs
+++ b/crates/edge/src/peer_client.rs
@@ -1,4 +1,4 @@
-//! Calls to other daemons.
+//! HTTP client for calls to the control listeners of other daemons.
 
 use awc::Client;
 use pimentoslip_client::client_with_user_timeout;
@@ -6,10 +6,11 @@
 use serde::{Serialize, de::DeserializeOwned};
 use std::time::Duration;
 
-/// Unacknowledged bytes towards a peer are given up after this; round trips take milliseconds.
+/// TCP user timeout of connections to peers: a connection is closed when sent bytes stay unacknowledged for this long.
+/// Round trips take milliseconds.
 const PEER_USER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Largest answer: a page of results, which the interface for callers bounds.
-const ANSWER_BYTES_MAX: usize = 8 << 20;
+/// Largest response body in bytes: a page of results, which the batch API limits.
+const RESPONSE_BYTES_MAX: usize = 8 << 20;
 
 /// Result of a call to a peer.
 pub type Result<T> = std::result::Result<T, PeerError>;
@@ -17,16 +18,16 @@
 /// Why a call to a peer failed.
 #[derive(Debug, thiserror::Error)]
 pub enum PeerError {
-    /// No whole answer came.
-    #[error("no answer from the peer: {problem}; the store is used instead")]
+    /// No complete response was received in time.
+    #[error("no complete response from the peer: {problem}; the store is used instead")]
     Unresponsive {
-        /// What happened.
+        /// Description of the failure.
         problem: String,
     },
-    /// It did not take the call.
-    #[error("the peer answered {status}; the store is used instead")]
+    /// The peer returned an error status.
+    #[error("the peer returned HTTP status {status}; the store is used instead")]
     Refused {
-        /// Status.
+        /// HTTP status code.
         status: u16,
     },
     /// A message could not be encoded or decoded.
@@ -34,7 +35,7 @@
     Malformed(#[from] pimentoslip_wire::CodecError),
 }
 
-/// A client for one thread.
+/// HTTP client for other daemons; each thread has its own.
 #[derive(Clone)]
 pub struct PeerClient {
     client: Client,
@@ -53,7 +54,7 @@
 }
 
 impl PeerClient {
-    /// Sends `request` to `path` of the daemon at `control` and waits for its answer for up to `timeout_ms`.
+    /// Posts `request` to `path` of the daemon at the address `control` and waits up to `timeout_ms` for its response.
     pub async fn call<A: DeserializeOwned>(
         &self,
         control: &str,
@@ -64,16 +65,17 @@
         let body = encode(request)?;
         let timeout = Duration::from_millis(timeout_ms);
         let sent = self.client.post(format!("http://{control}{path}")).timeout(timeout).send_body(body);
-        let whole = async {
-            let mut answer = sent.await.map_err(|error| PeerError::Unresponsive { problem: error.to_string() })?;
-            if !answer.status().is_success() {
-                return Err(PeerError::Refused { status: answer.status().as_u16() });
+        let complete_body = async {
+            let mut response = sent.await.map_err(|error| PeerError::Unresponsive { problem: error.to_string() })?;
+            if !response.status().is_success() {
+                return Err(PeerError::Refused { status: response.status().as_u16() });
             }
-            let body = answer.body().limit(ANSWER_BYTES_MAX).await;
+            let body = response.body().limit(RESPONSE_BYTES_MAX).await;
             body.map_err(|error| PeerError::Unresponsive { problem: error.to_string() })
         };
-        let body = actix_rt::time::timeout(timeout, whole).await;
-        let body = body.map_err(|_| PeerError::Unresponsive { problem: format!("nothing in {timeout_ms} ms") })??;
+        let body = actix_rt::time::timeout(timeout, complete_body).await;
+        let body =
+            body.map_err(|_| PeerError::Unresponsive { problem: format!("timed out after {timeout_ms} ms") })??;
         Ok(decode(&body)?)
     }
 }
--- a/crates/edge/src/run_edge.rs
+++ b/crates/edge/src/run_edge.rs
@@ -22,35 +22,36 @@
     time::Duration,
 };
 
-/// Result of running a daemon.
+/// Result of starting or running a daemon.
 pub type Result<T> = anyhow::Result<T>;
 
-/// Longest time for a request's header; clients send it at once.
+/// Time within which a client must have sent the header of its request; clients send it at once.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Idle connections are kept longer than clients keep them.
+/// Time after which idle connections are closed; clients close theirs sooner.
 const KEEP_ALIVE: Duration = Duration::from_secs(75);
-/// After SIGTERM connections are taken for this long, until the balancer has noticed.
-const LEAVE_MS: u64 = 3_200;
-/// Requests are waited for until this long before the process would be killed.
+/// After SIGTERM new connections are accepted for this long, until the load balancer has stopped sending them.
+const BALANCER_REACTION_MS: u64 = 3_200;
+/// Waiting for active requests stops this long before the end of the grace period, at which the process is killed.
 const GRACE_MARGIN_MS: u64 = 3_000;
-/// Requests that came last have this long, in seconds.
-const LAST_REQUESTS_SECONDS: u64 = 2;
-/// Time between two lines about calls to the store.
-const CALLS_PERIOD: Duration = Duration::from_secs(10);
-/// Longest time for handing jobs over, in milliseconds; it takes two calls for each.
-const HAND_OVER_MS: u64 = 700;
-const POLL: Duration = Duration::from_millis(50);
+/// Time for requests that are still active when the HTTP server is stopped.
+const SHUTDOWN_TIMEOUT_SECONDS: u64 = 2;
+/// Interval at which the numbers of calls to the store are logged.
+const CALL_LOG_INTERVAL: Duration = Duration::from_secs(10);
+/// Longest time for the handover of all owned jobs; each takes two calls.
+const JOB_HANDOVER_MS: u64 = 700;
+/// Interval at which the conditions for the next step of a shutdown are checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Serves until SIGTERM. Metrics are served at the address for operators, and at `metrics_port` if there is one.
+/// Runs a daemon until SIGTERM. Metrics are served at the control address, and also at `metrics_port` if one is given.
 pub async fn run_edge(settings: ProcessSettings, metrics_port: Option<u16>) -> Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut hangup = signal(SignalKind::hangup())?;
     let state = EdgeState::new(settings);
-    let front = serve_front(&state)?;
-    serve_small(&state, state.settings.ready, configure_ready)?;
-    serve_small(&state, state.settings.control, configure_control)?;
-    let metrics = metrics_port.and_then(|port| Some(SocketAddr::new(state.settings.ip.parse().ok()?, port)));
-    if let Err(error) = serve_small(&state, metrics, configure_control) {
+    let public_server = serve_public(&state)?;
+    serve_internal(&state, state.settings.ready, configure_ready)?;
+    serve_internal(&state, state.settings.control, configure_control)?;
+    let metrics_address = metrics_port.and_then(|port| Some(SocketAddr::new(state.settings.ip.parse().ok()?, port)));
+    if let Err(error) = serve_internal(&state, metrics_address, configure_control) {
         LogLine::new("metrics_not_served").field("reason", format!("{error:#}")).warn();
     }
     spawn_tasks(&state);
@@ -63,21 +64,21 @@
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
-            _ = hangup.recv() => reload(&state),
+            _ = hangup.recv() => check_settings_file(&state),
         }
     }
-    leave(&state).await;
-    // Idle connections are closed, and requests that came last are finished.
-    front.stop(true).await;
+    drain(&state).await;
+    // Closes idle connections and lets the remaining requests finish.
+    public_server.stop(true).await;
     LogLine::new("stopped").field("requests", state.active_requests()).info();
-    // The log's writer needs a moment for the last lines.
-    actix_rt::time::sleep(POLL).await;
+    // Gives the log writer thread time to write the last lines.
+    actix_rt::time::sleep(POLL_INTERVAL).await;
     Ok(())
 }
 
-/// Addresses and identity cannot change while a process runs; the file is checked, so that an operator
-/// sees what the next start would find.
-fn reload(state: &EdgeState) {
+/// Checks the settings file on SIGHUP and logs the result, so that an operator sees whether the next start would
+/// succeed. Nothing is applied, as addresses and identity cannot change while a process runs.
+fn check_settings_file(state: &EdgeState) {
     match ProcessSettings::from_env() {
         Ok(settings) => {
             LogLine::new("reload").field("vm", &settings.vm).field("same_vm", settings.vm == state.settings.vm).info()
@@ -107,30 +108,31 @@
     actix_rt::spawn(maintain_lease(state.clone(), store.with_purpose("lease")));
     actix_rt::spawn(claim_jobs(state.clone(), upstream_client.clone(), store.with_purpose("own_jobs")));
     actix_rt::spawn(hold_duty(state.clone(), upstream_client, store.with_purpose("duty")));
-    actix_rt::spawn(report_calls());
+    actix_rt::spawn(log_store_calls());
     actix_rt::spawn(report_runs(state.clone(), peer_client.clone()));
     actix_rt::spawn(record_usage(state.clone(), store.with_purpose("usage"), peer_client));
 }
 
-/// Writes how often the store was called, which its operators charge for.
-async fn report_calls() {
+/// Logs the number of calls to the store at a fixed interval; the store's operators charge for each call.
+async fn log_store_calls() {
     loop {
-        actix_rt::time::sleep(CALLS_PERIOD).await;
+        actix_rt::time::sleep(CALL_LOG_INTERVAL).await;
         LogLine::new("store_calls").field("by_purpose", EdgeMetrics::global().store_calls_text()).info();
     }
 }
 
-fn serve_front(state: &Arc<EdgeState>) -> Result<ServerHandle> {
-    let address = state.settings.public.context("the settings name no address for callers")?;
-    let shared = state.clone();
+/// Starts the public HTTP server, to which callers connect.
+fn serve_public(state: &Arc<EdgeState>) -> Result<ServerHandle> {
+    let address = state.settings.public.context("the settings file has no public address; add one")?;
+    let shared_state = state.clone();
     let server = HttpServer::new(move || {
-        let parts = WorkerParts::new(shared.clone());
+        let parts = WorkerParts::new(shared_state.clone());
         App::new().app_data(web::Data::new(parts)).configure(configure_front)
     })
     .workers(1)
     .client_request_timeout(HEADER_TIMEOUT)
     .keep_alive(KEEP_ALIVE)
-    .shutdown_timeout(LAST_REQUESTS_SECONDS)
+    .shutdown_timeout(SHUTDOWN_TIMEOUT_SECONDS)
     .on_connect(ClientWatch::on_connect)
     .disable_signals()
     .listen(bind(address)?)?
@@ -140,15 +142,16 @@
     Ok(handle)
 }
 
-fn serve_small(
+/// Starts an HTTP server for the readiness probe, or for peers and operators. Without an address it does nothing.
+fn serve_internal(
     state: &Arc<EdgeState>,
     address: Option<SocketAddr>,
     configure: fn(&mut web::ServiceConfig),
 ) -> Result<()> {
     let Some(address) = address else { return Ok(()) };
-    let shared = state.clone();
+    let shared_state = state.clone();
     let server = HttpServer::new(move || {
-        let parts = WorkerParts::new(shared.clone());
+        let parts = WorkerParts::new(shared_state.clone());
         App::new().app_data(web::Data::new(parts)).configure(configure)
     })
     .workers(1)
@@ -163,23 +166,23 @@
     TcpListener::bind(address).with_context(|| format!("cannot listen on {address}; check the settings file"))
 }
 
-/// Leaves the balancer, gives jobs and the duty up, and waits for every request.
-async fn leave(state: &Arc<EdgeState>) {
-    let began = state.now();
+/// Drains the daemon: fails the readiness probe, hands over jobs and the duty, and waits for active requests.
+async fn drain(state: &Arc<EdgeState>) {
+    let started_at = state.now();
     LogLine::new("draining").field("requests", state.active_requests()).info();
     state.draining.store(true, Ordering::SeqCst);
     state.job_changed.notify_waiters();
     let WorkerParts { store, peer_client, .. } = WorkerParts::new(state.clone());
-    // Owned jobs are handed over before the lease ends, on which their records hang.
-    let handed_by = began.plus_ms(HAND_OVER_MS);
-    while (state.jobs().held() > 0 && state.now() < handed_by) || state.pending_duty_calls() > 0 {
-        actix_rt::time::sleep(POLL).await;
+    // Owned jobs are handed over before the lease is revoked, because that deletes their ownership entries.
+    let handover_deadline = started_at.plus_ms(JOB_HANDOVER_MS);
+    while (state.jobs().held() > 0 && state.now() < handover_deadline) || state.pending_duty_calls() > 0 {
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
     revoke_lease(state, &store).await;
-    let leave_at = began.plus_ms(LEAVE_MS);
-    let last = began.plus_ms(state.settings.grace_ms.saturating_sub(GRACE_MARGIN_MS));
-    while state.now() < leave_at || (state.active_requests() > 0 && state.now() < last) {
-        actix_rt::time::sleep(POLL).await;
+    let balancer_deadline = started_at.plus_ms(BALANCER_REACTION_MS);
+    let request_deadline = started_at.plus_ms(state.settings.grace_ms.saturating_sub(GRACE_MARGIN_MS));
+    while state.now() < balancer_deadline || (state.active_requests() > 0 && state.now() < request_deadline) {
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
     crate::duty::record_usage_now(state, &store, &peer_client).await;
 }
--- a/crates/edge/src/run_storage.rs
+++ b/crates/edge/src/run_storage.rs
@@ -1,11 +1,12 @@
-//! The process on VMs with a disk. Nothing is kept there: what must last stands in the platform's store.
+//! The process on VMs with a disk (role `storage`). It serves nothing and stores nothing on the disk: durable state is
+//! kept in the platform's key-value store.
 
 use crate::run_edge::Result;
 use actix_rt::signal::unix::{SignalKind, signal};
 use pimentoslip_platform::ProcessSettings;
 use pimentoslip_telemetry::LogLine;
 
-/// Waits for SIGTERM.
+/// Runs until SIGTERM.
 pub async fn run_storage(settings: ProcessSettings) -> Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut hangup = signal(SignalKind::hangup())?;
--- a/crates/edge/src/steady_time.rs
+++ b/crates/edge/src/steady_time.rs
@@ -1,24 +1,24 @@
-//! Time of day that does not follow jumps of the VM's clock.
+//! Wall-clock time that does not follow jumps of the VM's clock.
 
 use pimentoslip_client::OwnerClock;
 use pimentoslip_kernel::WallOffset;
 use std::sync::{Mutex, PoisonError};
 
-/// Milliseconds since the Unix epoch, from the steady clock and an offset that changes only when the
-/// VM's clock has differed for long.
+/// Wall-clock time derived from the monotonic clock and an offset. Drift is followed at once; a jump changes the offset
+/// only after the VM's clock has differed for long.
 #[derive(Debug)]
 pub struct SteadyTime {
     offset: Mutex<WallOffset>,
 }
 
 impl SteadyTime {
-    /// Starts with the VM's clock as it is.
+    /// Starts with the current offset between the VM's wall clock and its monotonic clock.
     #[must_use]
     pub fn new(clock: &OwnerClock) -> Self {
         Self { offset: Mutex::new(WallOffset::new(clock.steady(), clock.unix_ms())) }
     }
 
-    /// The time of day.
+    /// Wall-clock time in milliseconds since the Unix epoch.
     #[must_use]
     pub fn unix_ms(&self, clock: &OwnerClock) -> u64 {
         let mut offset = self.offset.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/edge/src/worker_parts.rs
+++ b/crates/edge/src/worker_parts.rs
@@ -1,4 +1,4 @@
-//! State and clients of one thread.
+//! The shared state and the clients that one thread uses.
 
 use crate::{
     duty::UsageCollector,
@@ -12,27 +12,28 @@
 use pimentoslip_platform::StoreClient;
 use std::{sync::Arc, time::Duration};
 
-/// Unacknowledged bytes towards an upstream are given up after this; round trips take milliseconds.
+/// TCP user timeout of connections to upstreams: a connection is closed when sent bytes stay unacknowledged for this
+/// long. Round trips take milliseconds.
 const UPSTREAM_USER_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// State and clients of a worker.
+/// Shared state and clients of a worker thread; passed to the HTTP handlers.
 #[derive(Clone)]
 pub struct WorkerParts {
-    /// State.
+    /// State shared with all other threads.
     pub state: Arc<EdgeState>,
-    /// Client for upstreams.
+    /// HTTP client for upstreams.
     pub upstream_client: Client,
-    /// Client for other daemons.
+    /// HTTP client for other daemons.
     pub peer_client: PeerClient,
-    /// Client for the store.
+    /// Access to the store, direct or relayed through a peer.
     pub store: StoreAccess,
-    /// Client for the store that passes peers' calls on.
+    /// Direct client for the store, used to relay calls of peers that cannot reach it.
     pub relay_client: StoreClient,
-    /// Changes in the store, for this daemon.
+    /// Source of store changes for this daemon.
     pub change_feed: ChangeFeed,
-    /// Changes in the store, for other daemons.
+    /// Shared store watches that serve changes to other daemons.
     pub change_hub: ChangeHub,
-    /// Usage counts of other daemons.
+    /// Collects usage counts of other daemons and stores them together.
     pub usage_collector: UsageCollector,
 }
 
@@ -43,18 +44,18 @@
 }
 
 impl WorkerParts {
-    /// Creates the parts of the current thread.
+    /// Creates the clients of the current thread.
     #[must_use]
     pub fn new(state: Arc<EdgeState>) -> Self {
-        let direct = StoreClient::new(state.settings.store, EdgeMetrics::count_store_call);
-        let store = StoreAccess::new(state.clone(), direct.purposed("serve_batches"));
+        let direct_client = StoreClient::new(state.settings.store, EdgeMetrics::count_store_call);
+        let store = StoreAccess::new(state.clone(), direct_client.purposed("serve_batches"));
         let peer_client = PeerClient::default();
         let change_feed = ChangeFeed::new(state.clone(), store.clone(), peer_client.clone());
         Self {
             upstream_client: client_with_user_timeout(UPSTREAM_USER_TIMEOUT),
             change_hub: ChangeHub::new(change_feed.with_purpose("news")),
             usage_collector: UsageCollector::new(state.clone(), store.with_purpose("usage")),
-            relay_client: direct.purposed("relay"),
+            relay_client: direct_client.purposed("relay"),
             peer_client,
             store,
             change_feed,
