--- a/crates/edge/src/duty/duty_task.rs
+++ b/crates/edge/src/duty/duty_task.rs
@@ -107,7 +107,7 @@
         let view = state.lease();
         (view.lease, view.ends_at)
     };
-    let (Some(lease), Ok(entry)) = (lease, encode(&state.signature())) else { return };
+    let (Some(lease), Ok(entry)) = (lease, encode(&state.daemon_entry())) else { return };
     let history = match read_history(store).await {
         Ok(history) => history,
         Err(error) => {
@@ -135,7 +135,8 @@
         Ok(CommitOutcome::Conflict(items)) => {
             // An earlier commit of this process may have succeeded without a response.
             let is_own = |item: &&StoreItem| {
-                item.lease == lease && decode::<DaemonEntry>(&item.value).is_ok_and(|entry| entry == state.signature())
+                item.lease == lease
+                    && decode::<DaemonEntry>(&item.value).is_ok_and(|entry| entry == state.daemon_entry())
             };
             let Some(item) = items.iter().find(is_own) else { return };
             item.revision
@@ -153,7 +154,7 @@
         .info();
     EdgeMetrics::global().duty_held.set(1);
     *term.borrow_mut() = Some(DutyTerm::start(revision, lease, now, ends_at, wait_ms));
-    state.lease().duty_known(revision, state.signature());
+    state.lease().duty_observed(revision, state.daemon_entry());
 }
 
 /// Reads the previous holders of the duty from the store.
--- a/crates/edge/src/duty/load_duty.rs
+++ b/crates/edge/src/duty/load_duty.rs
@@ -46,14 +46,14 @@
         let may_act = self.term.borrow().is_some_and(|term| term.may_act(now, ORDER_TIMEOUT_MS));
         let Some(config) = self.state.config().filter(|_| may_act) else { return };
         let runs = {
-            let own_runs = self.state.samplers().model_requests();
+            let own_runs = self.state.upstreams().model_requests();
             let mut board = self.state.run_board();
             board.runs_reported(self.state.settings.vm.clone(), own_runs, now);
             board.runs_by_upstream(now)
         };
         for service in config.services.values().filter(|service| !service.models.is_empty()) {
             let upstreams: Vec<SamplerRecord> =
-                self.state.samplers().records().filter(|record| record.service == service.name).cloned().collect();
+                self.state.upstreams().records().filter(|record| record.service == service.name).cloned().collect();
             let models = model_demands(&self.state, &service.models);
             let view = ServiceSnapshot { upstreams: &upstreams, models: &models, runs: &runs };
             let orders = self.planner.borrow_mut().plan(&view, now);
@@ -74,7 +74,7 @@
 
 /// Demand for each model, from its newest named version and its latest steps.
 fn model_demands(state: &EdgeState, models: &[SharedName]) -> BTreeMap<SharedName, ModelDemand> {
-    let named_versions = state.named_versions().clone();
+    let named_versions = state.newest_versions().clone();
     let jobs = state.jobs();
     let demand = |model: &SharedName| {
         let mut steps: Vec<&JobEntry> =
@@ -142,7 +142,7 @@
     let Some(active_term) = term.borrow().filter(|term| term.may_act(now, ORDER_TIMEOUT_MS)) else {
         return (LoadOutcome::Conflict, "duty_lost".to_owned());
     };
-    let _call_guard = state.begin_duty_call();
+    let _call_guard = state.track_duty_call();
     let message = OrderMessage {
         model: &order.model,
         version: order.version,
--- a/crates/edge/src/duty/run_report_task.rs
+++ b/crates/edge/src/duty/run_report_task.rs
@@ -19,7 +19,7 @@
     let mut reported_runs = false;
     loop {
         actix_rt::time::sleep(REPORT_PERIOD).await;
-        let runs = state.samplers().model_requests();
+        let runs = state.upstreams().model_requests();
         if runs.is_empty() && !reported_runs {
             continue;
         }
--- a/crates/edge/src/duty/size_duty.rs
+++ b/crates/edge/src/duty/size_duty.rs
@@ -63,7 +63,7 @@
 
     /// The upstreams of `service` in the platform's list.
     fn upstreams(&self, service: &str) -> Vec<SamplerRecord> {
-        let samplers = self.state.samplers();
+        let samplers = self.state.upstreams();
         samplers.records().filter(|record| *record.service == *service).cloned().collect()
     }
 
@@ -123,7 +123,7 @@
     let now = state.now();
     let active_term = term.borrow().filter(|term| term.may_act(now, DutyClient::CALL_MS));
     let Some(term) = active_term else { return ScalingOutcome::Failed };
-    let _call_guard = state.begin_duty_call();
+    let _call_guard = state.track_duty_call();
     let duty_call = DutyCall { holder: &state.settings.vm, fencing_token: term.fencing_token };
     let message = SizeOrder {
         service: service.clone(),
--- a/crates/edge/src/duty/usage_duty.rs
+++ b/crates/edge/src/duty/usage_duty.rs
@@ -150,7 +150,7 @@
             let now = self.state.now();
             let Some(term) = self.term.borrow().filter(|term| term.may_act(now, DutyClient::CALL_MS)) else { return };
             let duty_call = DutyCall { holder: &self.state.settings.vm, fencing_token: term.fencing_token };
-            let call_guard = self.state.begin_duty_call();
+            let call_guard = self.state.track_duty_call();
             let outcome = provider.report(duty_call, *window, counts).await;
             drop(call_guard);
             LogLine::new("usage_reported")
--- a/crates/edge/src/http/proxy.rs
+++ b/crates/edge/src/http/proxy.rs
@@ -1,22 +1,10 @@
 //! Requests that are answered by one upstream.
 
-use super::{
-    api_refusal::ApiRefusal,
-    request_context::{RequestContext, text},
-};
-use crate::{
-    client_watch::ClientWatch,
-    edge_metrics::EdgeMetrics,
-    relay::{
-        SamplerGuard, UpstreamCall, WholeAnswer, attempt_whole, forwarded_request_headers, forwarded_response_headers,
-    },
-    worker_parts::WorkerParts,
-};
+use super::{api_refusal::ApiRefusal, request_context::{RequestContext, header_text}};
+use crate::{client_watch::ClientWatch, edge_metrics::EdgeMetrics, relay::{CompleteResponse, UpstreamCall, UpstreamGuard, fetch_complete, forwarded_request_headers, forwarded_response_headers}, worker_parts::WorkerParts};
 use actix_web::{HttpRequest, HttpResponse, web};
 use bytes::Bytes;
-use pimentoslip_kernel::{
-    CapacityNeed, RouteKind, RouteRule, SamplerOutcome, SamplerQuery, SharedName, TimePoint, fingerprint,
-};
+use pimentoslip_kernel::{CapacityNeed, RouteKind, RouteRule, SamplerOutcome, SamplerQuery, SharedName, TimePoint, fingerprint};
 use pimentoslip_platform::header;
 use pimentoslip_telemetry::LogLine;
 use std::time::Duration;
@@ -42,19 +30,19 @@
         Ok(Ok(Ok(body))) => Ok(body),
         Ok(Ok(Err(_))) => Err(ApiRefusal::Malformed),
         Ok(Err(_)) => Err(ApiRefusal::BodyTooLarge),
-        Err(_) => Err(ApiRefusal::BodyLate),
+        Err(_) => Err(ApiRefusal::BodyTimeout),
     }
 }
 
 /// Sends a request to upstreams of its route's service until one answers it.
-pub async fn proxy(
+pub async fn forward_request(
     parts: &WorkerParts,
     context: &RequestContext,
     request: &HttpRequest,
     payload: web::Payload,
     rule: &RouteRule,
 ) -> Result<HttpResponse, ApiRefusal> {
-    let grant = if rule.allows_anonymous { None } else { context.grant(request)? };
+    let grant = if rule.allows_anonymous { None } else { context.key_grant(request)? };
     let body = read_body(parts, context, payload).await?;
     let draw = fingerprint(&[context.id.as_bytes()]);
     let service = rule.service_for_draw(draw).ok_or(ApiRefusal::NoUpstream)?.clone();
@@ -67,11 +55,11 @@
         headers: forwarded_request_headers(request.headers()),
         organisation: grant.map(|grant| grant.organisation),
         body,
-        deadline: context.deadline.min(context.arrived.plus_ms(rule.timeout_ms)),
-        last_event: text(request.headers(), header::LAST_EVENT).and_then(|text| text.parse().ok()),
+        deadline: context.deadline.min(context.arrived_at.plus_ms(rule.timeout_ms)),
+        last_event_id: header_text(request.headers(), header::LAST_EVENT).and_then(|text| text.parse().ok()),
     };
     let watch = request.conn_data::<ClientWatch>().cloned();
-    let work = attempts(parts, context, &call, &service, rule);
+    let work = try_upstreams(parts, context, &call, &service, rule);
     let answer = match watch {
         // A request that may run once is finished for its caller's sake, who may ask what became of it.
         Some(watch) if rule.kind == RouteKind::Idempotent => {
@@ -79,17 +67,17 @@
                 answer = work => answer?,
                 () = watch.closed() => {
                     LogLine::new("client_left").field("request_id", &context.id).info();
-                    EdgeMetrics::count(&EdgeMetrics::global().answers, "client_left");
-                    return Err(ApiRefusal::AnswerLate);
+                    EdgeMetrics::increment(&EdgeMetrics::global().answers, "client_left");
+                    return Err(ApiRefusal::ResponseTimeout);
                 }
             }
         }
         _ => work.await?,
     };
-    Ok(respond(answer))
+    Ok(caller_response(answer))
 }
 
-fn respond(answer: WholeAnswer) -> HttpResponse {
+fn caller_response(answer: CompleteResponse) -> HttpResponse {
     let mut response = HttpResponse::build(answer.status);
     for (name, value) in &forwarded_response_headers(&answer.headers) {
         response.append_header((name.clone(), value.clone()));
@@ -99,26 +87,26 @@
 
 /// What is known after the attempts so far.
 #[derive(Debug, Default)]
-struct AttemptLog {
+struct AttemptHistory {
     tried: Vec<SharedName>,
     runs: u32,
     refusals: u32,
     may_have_run: bool,
-    answer: Option<WholeAnswer>,
+    answer: Option<CompleteResponse>,
 }
 
-async fn attempts(
+async fn try_upstreams(
     parts: &WorkerParts,
     context: &RequestContext,
     call: &UpstreamCall,
     service: &SharedName,
     rule: &RouteRule,
-) -> Result<WholeAnswer, ApiRefusal> {
+) -> Result<CompleteResponse, ApiRefusal> {
     let state = &parts.state;
-    let room_until = context.arrived.plus_ms(rule.latency_objective_ms / ROOM_WAIT_DIVISOR);
-    let mut log = AttemptLog::default();
+    let room_until = context.arrived_at.plus_ms(rule.latency_objective_ms / ROOM_WAIT_DIVISOR);
+    let mut log = AttemptHistory::default();
     while log.runs < rule.attempts_max && log.refusals <= REFUSALS_MAX && state.now() < call.deadline {
-        let picked = pick(parts, service, &call.id, &log.tried);
+        let picked = pick_upstream(parts, service, &call.id, &log.tried);
         let Some(mut guard) = picked else {
             let now = state.now();
             if log.answer.is_some() || now >= room_until.min(call.deadline) {
@@ -129,7 +117,7 @@
             continue;
         };
         let sent = state.now();
-        let end = attempt_whole(&parts.upstreams, call, &guard, sent, ANSWER_BYTES_MAX).await;
+        let end = fetch_complete(&parts.upstream_client, call, &guard, sent, ANSWER_BYTES_MAX).await;
         let took_ms = state.now().since_ms(sent);
         let upstream = guard.record.id.clone();
         log.tried.push(upstream.clone());
@@ -148,7 +136,7 @@
             .info();
         match end {
             Ok(answer) => {
-                guard.end(SamplerOutcome::Answered(Some(took_ms)));
+                guard.set_outcome(SamplerOutcome::Answered(Some(took_ms)));
                 count_usage(parts, call, sent);
                 log.runs += 1;
                 log.may_have_run = true;
@@ -157,11 +145,11 @@
                 if !repeat {
                     break;
                 }
-                EdgeMetrics::count(&EdgeMetrics::global().retries, "upstream_failed");
+                EdgeMetrics::increment(&EdgeMetrics::global().retries, "upstream_failed");
             }
             Err(failure) => {
-                guard.end(failure.outcome());
-                EdgeMetrics::count(&EdgeMetrics::global().retries, failure.as_str());
+                guard.set_outcome(failure.upstream_outcome());
+                EdgeMetrics::increment(&EdgeMetrics::global().retries, failure.as_str());
                 if failure.may_have_run() {
                     count_usage(parts, call, sent);
                     log.runs += 1;
@@ -175,25 +163,29 @@
             }
         }
     }
-    conclude(parts, call, log)
+    final_response(parts, call, log)
 }
 
-fn conclude(parts: &WorkerParts, call: &UpstreamCall, log: AttemptLog) -> Result<WholeAnswer, ApiRefusal> {
+fn final_response(
+    parts: &WorkerParts,
+    call: &UpstreamCall,
+    log: AttemptHistory,
+) -> Result<CompleteResponse, ApiRefusal> {
     if let Some(answer) = log.answer {
         let outcome = if answer.status.is_success() { "served" } else { "upstream_failed" };
-        EdgeMetrics::count(&EdgeMetrics::global().answers, outcome);
+        EdgeMetrics::increment(&EdgeMetrics::global().answers, outcome);
         return Ok(answer);
     }
     let late = parts.state.now() >= call.deadline;
     Err(match (log.may_have_run, late) {
-        (true, true) => ApiRefusal::AnswerLate,
+        (true, true) => ApiRefusal::ResponseTimeout,
         (true, false) => ApiRefusal::UpstreamLost,
         (false, true) => ApiRefusal::DeadlinePassed,
         (false, false) => ApiRefusal::NoUpstream,
     })
 }
 
-fn pick(parts: &WorkerParts, service: &str, id: &str, tried: &[SharedName]) -> Option<SamplerGuard> {
+fn pick_upstream(parts: &WorkerParts, service: &str, id: &str, tried: &[SharedName]) -> Option<UpstreamGuard> {
     let query = SamplerQuery {
         service,
         model: None,
@@ -202,7 +194,7 @@
         capacity: CapacityNeed::Queue,
         affinity: id,
     };
-    SamplerGuard::pick(&parts.state, &query)
+    UpstreamGuard::pick(&parts.state, &query)
 }
 
 /// Counts a request that an upstream began to run.
--- a/crates/edge/src/job/claim_task.rs
+++ b/crates/edge/src/job/claim_task.rs
@@ -18,7 +18,7 @@
         let _ = actix_rt::time::timeout(CHECK_PERIOD, state.job_changed.notified()).await;
         let now = state.now();
         let claims = {
-            let reconnected_at = state.store_regained_at();
+            let reconnected_at = state.store_reconnected_at();
             let jobs = state.jobs();
             state.ownership().due_claims(now, reconnected_at, |job| jobs.has_state(job))
         };
@@ -34,7 +34,7 @@
 
 /// Writes this daemon as the owner of a job under its lease, unless another daemon was faster.
 async fn claim_job(state: &EdgeState, store: &StoreAccess, claim: &DueClaim, lease: u64) {
-    let entry = match encode(&state.signature()) {
+    let entry = match encode(&state.daemon_entry()) {
         Ok(entry) => entry,
         Err(error) => return LogLine::new("job_claim_failed").field("job", &claim.job).field("reason", error).warn(),
     };
--- a/crates/edge/src/job/item_run.rs
+++ b/crates/edge/src/job/item_run.rs
@@ -1,10 +1,7 @@
 //! Runs one item of a batch job at one upstream, and records its events in the ledger.
 
 use super::owned_job::OwnedJob;
-use crate::{
-    edge_metrics::EdgeMetrics,
-    relay::{AttemptFailure, SamplerGuard, UpstreamCall, begin, ends_with_connection, is_orderly_end},
-};
+use crate::{edge_metrics::EdgeMetrics, relay::{AttemptFailure, UpstreamCall, UpstreamGuard, is_clean_close, is_delimited_by_close, start_attempt}};
 use actix_web::http::{
     Method, StatusCode,
     header::{HeaderMap, HeaderName, HeaderValue},
@@ -37,7 +34,7 @@
         let upstream_outcome = match failure {
             // These failures concern only the item's model, so the upstream stays in use for other models.
             AttemptFailure::Refused | AttemptFailure::Misdirected => SamplerOutcome::Answered(None),
-            other_failure => other_failure.outcome(),
+            other_failure => other_failure.upstream_outcome(),
         };
         Self { end, reason: failure.as_str(), upstream_outcome }
     }
@@ -48,7 +45,7 @@
 pub async fn run_item(
     job: OwnedJob,
     work: RunAssignment,
-    mut guard: SamplerGuard,
+    mut guard: UpstreamGuard,
     priority: u32,
     give_up_at: TimePoint,
 ) {
@@ -59,11 +56,11 @@
     let events = job.ledger.borrow().event_count(work.index);
     let took_ms = state.now().since_ms(started_at);
     let new_events = events.saturating_sub(work.resume_after.map_or(0, |last| last + 1 - FIRST_EVENT_NUMBER));
-    guard.end(match run.upstream_outcome {
+    guard.set_outcome(match run.upstream_outcome {
         SamplerOutcome::Answered(_) => SamplerOutcome::Answered(pace.event_interval_ms()),
         outcome => outcome,
     });
-    EdgeMetrics::count(&EdgeMetrics::global().runs, run.reason);
+    EdgeMetrics::increment(&EdgeMetrics::global().item_runs, run.reason);
     LogLine::new("item_run")
         .field("job", &job.id)
         .field("item", &job.submission.items[work.index].id)
@@ -77,7 +74,7 @@
     if run.end == RunOutcome::NotRun
         && let Some(model) = item_model(&job, work.index)
     {
-        state.samplers().model_refused(&guard.record.id, &model, state.now());
+        state.upstreams().model_refused(&guard.record.id, &model, state.now());
     }
     drop(guard);
     job.ledger.borrow_mut().run_ended(work.index, run.end, state.now());
@@ -85,7 +82,7 @@
 }
 
 /// Version of the item's model at the upstream according to the platform's list of upstreams; 0 if it lists none.
-fn listed_version(job: &OwnedJob, index: usize, guard: &SamplerGuard) -> u64 {
+fn listed_version(job: &OwnedJob, index: usize, guard: &UpstreamGuard) -> u64 {
     let version = item_model(job, index).and_then(|model| guard.record.versions.get(&model).copied());
     version.unwrap_or(0)
 }
@@ -110,7 +107,7 @@
         organisation: job.organisation.clone(),
         body: item.body.clone(),
         deadline,
-        last_event: work.resume_after,
+        last_event_id: work.resume_after,
     }
 }
 
@@ -119,7 +116,7 @@
 async fn stream_item(
     job: &OwnedJob,
     work: RunAssignment,
-    guard: &SamplerGuard,
+    guard: &UpstreamGuard,
     priority: u32,
     give_up_at: TimePoint,
     pace: &mut RunMonitor,
@@ -127,7 +124,7 @@
     let state = &job.state;
     let now = state.now();
     let call = item_call(job, work, priority, give_up_at.min(now.plus_ms(RUN_MS_MAX)));
-    let response = actix_rt::time::timeout(RESPONSE_HEADER_TIMEOUT, begin(&job.upstreams, &call, guard, now)).await;
+    let response = actix_rt::time::timeout(RESPONSE_HEADER_TIMEOUT, start_attempt(&job.upstreams, &call, guard, now)).await;
     let mut response = match response {
         Ok(Ok(response)) => response,
         Ok(Err(error)) => return RunOutcome::from_failure(error.failure),
@@ -151,7 +148,7 @@
         }
         status => {
             LogLine::new("item_status").field("item", &call.id).field("status", status.as_u16()).warn();
-            return RunOutcome::from_failure(AttemptFailure::Spoilt);
+            return RunOutcome::from_failure(AttemptFailure::Malformed);
         }
     }
     let version = response.headers().get(header::VERSION).and_then(|value| value.to_str().ok()?.trim().parse().ok());
@@ -171,7 +168,7 @@
         let chunk = match actix_rt::time::timeout(event_timeout, response.next()).await {
             Ok(Some(Ok(chunk))) => chunk,
             Ok(None) => return ended_stream(&events),
-            Ok(Some(Err(error))) if ends_with_connection(&headers) && is_orderly_end(&error) => {
+            Ok(Some(Err(error))) if is_delimited_by_close(&headers) && is_clean_close(&error) => {
                 return ended_stream(&events);
             }
             Ok(Some(Err(_))) => return RunOutcome::from_failure(AttemptFailure::Lost),
@@ -182,7 +179,7 @@
         for event in new_events {
             version = event.version.or(version);
             // The ledger records the version of each event, so an event without one is malformed.
-            let Some(version) = version else { return RunOutcome::from_failure(AttemptFailure::Spoilt) };
+            let Some(version) = version else { return RunOutcome::from_failure(AttemptFailure::Malformed) };
             let verdict = job.ledger.borrow_mut().event_received(work.index, event.number, version, &event.data);
             match verdict {
                 EventOutcome::Accepted => {}
@@ -197,13 +194,13 @@
             }
         }
         if events.is_malformed() {
-            return RunOutcome::from_failure(AttemptFailure::Spoilt);
+            return RunOutcome::from_failure(AttemptFailure::Malformed);
         }
     }
 }
 
 /// Milliseconds per event at the fastest other upstream with a free slot for the item; `None` if no pace is recorded.
-fn best_other_pace_ms(job: &OwnedJob, index: usize, guard: &SamplerGuard) -> Option<u64> {
+fn best_other_pace_ms(job: &OwnedJob, index: usize, guard: &UpstreamGuard) -> Option<u64> {
     let model = item_model(job, index);
     let query = SamplerQuery {
         service: &guard.record.service,
@@ -213,13 +210,13 @@
         capacity: CapacityNeed::FreeSlot,
         affinity: "",
     };
-    job.state.samplers().fastest_other_latency_ms(&query, &guard.record.id, job.state.now())
+    job.state.upstreams().fastest_other_latency_ms(&query, &guard.record.id, job.state.now())
 }
 
 /// The outcome of a run whose response ended in order: complete, unless the response ended within an event.
 fn ended_stream(events: &EventReader) -> RunOutcome {
     if !events.is_between_events() {
-        return RunOutcome::from_failure(AttemptFailure::Spoilt);
+        return RunOutcome::from_failure(AttemptFailure::Malformed);
     }
     RunOutcome { end: RunOutcome::Completed, reason: "whole", upstream_outcome: SamplerOutcome::Answered(None) }
 }
--- a/crates/edge/src/job/job_runner.rs
+++ b/crates/edge/src/job/job_runner.rs
@@ -1,10 +1,7 @@
 //! Runs one owned job: dispatches its items to upstreams, and stores their results.
 
 use super::{PendingJob, item_run::{item_model, run_item}, job_reader::{read_all_results, read_checkpoints, read_submission}, job_writer::{SubmittedJob, hand_over_job}, ledger_writer::{LedgerWriter, WriteOutcome}, owned_job::OwnedJob, score_run::{PlacementError, prepare_score_call, score_item}};
-use crate::{
-    edge_metrics::EdgeMetrics, edge_state::EdgeState, relay::SamplerGuard, store::StoreAccess,
-    worker_parts::WorkerParts,
-};
+use crate::{edge_metrics::EdgeMetrics, edge_state::EdgeState, relay::UpstreamGuard, store::StoreAccess, worker_parts::WorkerParts};
 use awc::Client;
 use pimentoslip_kernel::{BatchLedger, BatchOptions, CapacityNeed, ItemSpec, RouteRule, RunAssignment, SamplerQuery, SharedName, TextCheckpoint, TimePoint};
 use pimentoslip_platform::{BatchItem, BatchSubmission, StoreError};
@@ -33,7 +30,7 @@
         }
         let ledger = job.ledger.borrow();
         let ms = state.now().since_ms(job.submitted_at);
-        EdgeMetrics::global().batch_time.observe(ms as f64 / 1_000.0);
+        EdgeMetrics::global().batch_duration.observe(ms as f64 / 1_000.0);
         LogLine::new("job_left")
             .field("job", &id)
             .field("listed", ledger.listed_count())
@@ -272,7 +269,7 @@
 }
 
 /// Selects an upstream with a free slot for an item, and counts the run on it. `None` if there is no such upstream.
-fn select_upstream(job: &OwnedJob, rule: &RouteRule, work: RunAssignment) -> Option<SamplerGuard> {
+fn select_upstream(job: &OwnedJob, rule: &RouteRule, work: RunAssignment) -> Option<UpstreamGuard> {
     let item = &job.submission.items[work.index];
     let model = item_model(job, work.index);
     let service = rule.service_for_draw(pimentoslip_kernel::fingerprint(&[item.id.as_bytes()]))?;
@@ -284,5 +281,5 @@
         capacity: CapacityNeed::FreeSlot,
         affinity: &item.group,
     };
-    SamplerGuard::pick(&job.state, &query)
+    UpstreamGuard::pick(&job.state, &query)
 }
--- a/crates/edge/src/job/job_writer.rs
+++ b/crates/edge/src/job/job_writer.rs
@@ -144,7 +144,7 @@
 fn assign_stored_job(parts: &WorkerParts, job: &SubmittedJob, owner: Option<ChosenOwner>, revision: u64) {
     let Some(owner) = owner else { return receive_job(&parts.state, job, None, None) };
     let owner_record = owner.signature.clone().into_owner(revision);
-    if owner.signature == parts.state.signature() {
+    if owner.signature == parts.state.daemon_entry() {
         return receive_job(&parts.state, job, Some(owner_record), None);
     }
     {
@@ -155,7 +155,7 @@
         ownership.owner_recorded(job.id.clone(), owner_record, now);
     }
     let push = job.push_message(&owner, revision, None);
-    actix_rt::spawn(push_job(parts.upstreams.clone(), owner.presence.control, push));
+    actix_rt::spawn(push_job(parts.upstream_client.clone(), owner.presence.control, push));
 }
 
 /// Sends a job to its owner. If that fails, the owner reads the job from the store.
@@ -184,7 +184,7 @@
     match parts.store.commit(&commit).await {
         Ok(CommitOutcome::Done(revision)) => {
             let push = job.push_message(&owner, revision, Some(ledger));
-            push_job(parts.upstreams.clone(), owner.presence.control, push).await;
+            push_job(parts.upstream_client.clone(), owner.presence.control, push).await;
         }
         Ok(CommitOutcome::Conflict(_)) => LogLine::new("job_not_handed_over")
             .field("job", &job.id)
--- a/crates/edge/src/job/owner_read.rs
+++ b/crates/edge/src/job/owner_read.rs
@@ -30,7 +30,7 @@
             return ResultsAnswer::Listed(results);
         }
         // Only the owner can tell that no further result is stored.
-        let is_owner = state.ownership().is_owned_here(job) && state.jobs().has_state(job) && state.is_lease_sure();
+        let is_owner = state.ownership().is_owned_here(job) && state.jobs().has_state(job) && state.is_lease_valid();
         if !is_owner {
             return ResultsAnswer::Unsure;
         }
--- a/crates/edge/src/job/score_run.rs
+++ b/crates/edge/src/job/score_run.rs
@@ -1,10 +1,7 @@
 //! Calls the scorer of an item whose text is complete, and records the signed score in the ledger.
 
 use super::owned_job::OwnedJob;
-use crate::{
-    edge_metrics::EdgeMetrics,
-    relay::{SamplerGuard, UpstreamCall, attempt_whole},
-};
+use crate::{edge_metrics::EdgeMetrics, relay::{UpstreamCall, UpstreamGuard, fetch_complete}};
 use actix_web::http::{Method, StatusCode, header::HeaderMap};
 use pimentoslip_kernel::{CapacityNeed, RouteRule, SamplerOutcome, SamplerQuery, ScoreOutcome, fingerprint};
 use pimentoslip_platform::{ScorerCall, header};
@@ -23,7 +20,7 @@
 pub struct ScoreCall {
     call: UpstreamCall,
     /// Counts the request on its upstream.
-    guard: SamplerGuard,
+    guard: UpstreamGuard,
 }
 
 /// Why a request to a scorer cannot be sent now.
@@ -49,7 +46,7 @@
         capacity: CapacityNeed::SpareSlot,
         affinity: &scorer.id,
     };
-    let guard = SamplerGuard::pick(state, &query).ok_or(PlacementError::NoRoom)?;
+    let guard = UpstreamGuard::pick(state, &query).ok_or(PlacementError::NoRoom)?;
     let call = UpstreamCall {
         id: scorer.id.clone(),
         method: Method::POST,
@@ -59,7 +56,7 @@
         organisation: None,
         body: scorer.body.clone(),
         deadline: state.now().plus_ms(rule.timeout_ms.min(SCORE_MS_MAX)),
-        last_event: None,
+        last_event_id: None,
     };
     Ok(ScoreCall { call, guard })
 }
@@ -72,7 +69,7 @@
 /// Sends a prepared request to the scorer, and records the outcome in the job's ledger.
 pub async fn score_item(job: OwnedJob, index: usize, score_call: ScoreCall) {
     let (end, reason) = send_score_call(&job, score_call).await;
-    EdgeMetrics::count(&EdgeMetrics::global().scores, reason);
+    EdgeMetrics::increment(&EdgeMetrics::global().score_calls, reason);
     // A signed score is visible in the stored result of the item and is not logged.
     if reason != SIGNED_RESULT {
         LogLine::new("item_not_scored")
@@ -98,14 +95,14 @@
 async fn send_score_call(job: &OwnedJob, score_call: ScoreCall) -> (ScoreOutcome, &'static str) {
     let ScoreCall { call, mut guard } = score_call;
     let now = job.state.now();
-    let response = match attempt_whole(&job.upstreams, &call, &guard, now, RESPONSE_BYTES_MAX).await {
+    let response = match fetch_complete(&job.upstreams, &call, &guard, now, RESPONSE_BYTES_MAX).await {
         Ok(response) => response,
         Err(failure) => {
-            guard.end(failure.outcome());
+            guard.set_outcome(failure.upstream_outcome());
             return (ScoreOutcome::Interrupted, failure.as_str());
         }
     };
-    guard.end(SamplerOutcome::Answered(Some(job.state.now().since_ms(now))));
+    guard.set_outcome(SamplerOutcome::Answered(Some(job.state.now().since_ms(now))));
     let signature = response.headers.get(header::SIGNATURE).and_then(|value| value.to_str().ok());
     match (response.status, signature) {
         (status, Some(signature)) if status.is_success() => (ScoreOutcome::Signed(signature.to_owned()), SIGNED_RESULT),
