--- a/crates/kernel/src/batch/batch_ledger.rs
+++ b/crates/kernel/src/batch/batch_ledger.rs
@@ -1,4 +1,4 @@
-//! A batch job at its owner: which items run next, what their runs brought, what may be listed.
+//! Scheduling, progress and results of one batch job, kept by the daemon that owns the job.
 
 use super::{
     BatchOptions, EventOutcome, ItemResult, ItemSpec, ItemState, LedgerState, ResultChunk, RunAssignment, RunOutcome,
@@ -7,60 +7,76 @@
 use crate::{SharedName, TimePoint};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Pause before an item is tried again after a failed run.
-const RETRY_PAUSE_MS: u64 = 50;
-/// Events of a text that are worth a place in a checkpoint: fewer are generated anew in less than the time that a
-/// takeover takes.
+/// Backoff before an item is run or scored again after a failed attempt.
+const RETRY_BACKOFF_MS: u64 = 50;
+/// Fewest events that are worth writing to a checkpoint. Generating fewer events again takes less time than moving the
+/// job to another owner.
 const CHECKPOINT_EVENTS_MIN: u64 = 8;
 
+/// Progress of an item.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum ItemPhase {
-    Waiting { until: TimePoint },
+    /// Queued; may be run from `not_before` on.
+    Waiting { not_before: TimePoint },
+    /// A run at an upstream is in progress.
     Running,
-    ScoreDue { until: TimePoint },
+    /// The text is complete; it may be scored from `not_before` on.
+    ScorePending { not_before: TimePoint },
+    /// A request to the scorer is in progress.
     Scoring,
+    /// The item has a result.
     Finished,
 }
 
+/// An item with its progress.
 #[derive(Clone, Debug)]
 struct ItemEntry {
     spec: ItemSpec,
     phase: ItemPhase,
+    /// Events received so far; cleared when the item is finished.
     text: SampleText,
+    /// Runs that failed at the upstream.
     run_failures: u32,
+    /// Requests that failed at the scorer.
     score_failures: u32,
 }
 
-/// The ledger of one batch job.
+/// Progress and results of the items of one batch job.
 #[derive(Debug)]
 pub struct BatchLedger {
-    terms: BatchOptions,
+    options: BatchOptions,
     items: Vec<ItemEntry>,
-    /// Waiting items; longest first.
-    queue: BTreeSet<(std::cmp::Reverse<u64>, usize)>,
-    /// Items whose text is whole and whose score is due.
-    score_due: BTreeSet<usize>,
+    /// Items to be run, by descending expected length.
+    run_queue: BTreeSet<(std::cmp::Reverse<u64>, usize)>,
+    /// Items to be scored.
+    score_queue: BTreeSet<usize>,
+    /// Results that are in no chunk yet.
     unlisted: Vec<ItemResult>,
-    chunk: Option<ResultChunk>,
-    listed: usize,
-    checkpoint: Option<TextCheckpoint>,
-    checkpoints: usize,
-    /// Unfinished items of each group.
-    open_items: BTreeMap<SharedName, usize>,
+    /// Results whose write to the store is not confirmed yet.
+    pending_chunk: Option<ResultChunk>,
+    /// Number of results that are stored, and so visible to the submitter.
+    listed_count: usize,
+    /// Texts whose write to the store is not confirmed yet.
+    pending_checkpoint: Option<TextCheckpoint>,
+    /// Number of checkpoints in the store, which is also the number of the next one.
+    checkpoint_count: usize,
+    /// Number of unfinished items in each group.
+    unfinished_by_group: BTreeMap<SharedName, usize>,
     /// Whether the submitter waits for a result that is not listed yet.
-    urgent: bool,
+    listing_urgent: bool,
+    /// Whether the submitter ended the job.
     ended: bool,
 }
 
 impl BatchLedger {
-    /// Opens the ledger; `listed` are the indexes of the items already listed, in order.
+    /// Creates the ledger of a job. `listed` holds the indexes of the items whose results are stored already.
     #[must_use]
-    pub fn new(terms: BatchOptions, specs: Vec<ItemSpec>, listed: &[usize]) -> Self {
+    pub fn new(options: BatchOptions, specs: Vec<ItemSpec>, listed: &[usize]) -> Self {
         let mut items: Vec<ItemEntry> = specs
             .into_iter()
             .map(|spec| ItemEntry {
                 spec,
-                phase: ItemPhase::Waiting { until: TimePoint(0) },
+                phase: ItemPhase::Waiting { not_before: TimePoint(0) },
                 text: SampleText::default(),
                 run_failures: 0,
                 score_failures: 0,
@@ -71,76 +87,77 @@
                 item.phase = ItemPhase::Finished;
             }
         }
-        let mut open_items: BTreeMap<SharedName, usize> = BTreeMap::new();
+        let mut unfinished_by_group: BTreeMap<SharedName, usize> = BTreeMap::new();
         for item in &items {
-            let open = open_items.entry(item.spec.group.clone()).or_default();
-            *open += usize::from(item.phase != ItemPhase::Finished);
+            let unfinished = unfinished_by_group.entry(item.spec.group.clone()).or_default();
+            *unfinished += usize::from(item.phase != ItemPhase::Finished);
         }
         let waiting = items.iter().enumerate().filter(|(_, item)| item.phase != ItemPhase::Finished);
-        let queue = waiting.map(|(index, item)| (std::cmp::Reverse(item.spec.expected_tokens), index)).collect();
+        let run_queue = waiting.map(|(index, item)| (std::cmp::Reverse(item.spec.expected_tokens), index)).collect();
         Self {
-            terms,
+            options,
             items,
-            queue,
-            score_due: BTreeSet::new(),
+            run_queue,
+            score_queue: BTreeSet::new(),
             unlisted: Vec::new(),
-            chunk: None,
-            listed: listed.len(),
-            checkpoint: None,
-            checkpoints: 0,
-            open_items,
-            urgent: false,
+            pending_chunk: None,
+            listed_count: listed.len(),
+            pending_checkpoint: None,
+            checkpoint_count: 0,
+            unfinished_by_group,
+            listing_urgent: false,
             ended: false,
         }
     }
 
-    /// What the next owner needs beyond the record.
+    /// State that the next owner needs in addition to the stored results and checkpoints.
     #[must_use]
     pub fn handover_state(&self) -> LedgerState {
-        let pending = self.chunk.iter().flat_map(|chunk| &chunk.results);
+        let pending = self.pending_chunk.iter().flat_map(|chunk| &chunk.results);
         let unfinished = self.items.iter().enumerate().filter(|(_, item)| item.phase != ItemPhase::Finished);
-        let partial = unfinished.map(|(index, item)| UnfinishedItem {
+        let items = unfinished.map(|(index, item)| UnfinishedItem {
             index,
             text: item.text.clone(),
-            is_complete: matches!(item.phase, ItemPhase::ScoreDue { .. } | ItemPhase::Scoring),
+            is_complete: matches!(item.phase, ItemPhase::ScorePending { .. } | ItemPhase::Scoring),
             run_failures: item.run_failures,
             score_failures: item.score_failures,
         });
         LedgerState {
             unlisted: pending.chain(&self.unlisted).cloned().collect(),
-            items: partial.collect(),
-            checkpoints: self.checkpoints + usize::from(self.checkpoint.is_some()),
+            items: items.collect(),
+            checkpoints: self.checkpoint_count + usize::from(self.pending_checkpoint.is_some()),
         }
     }
 
-    /// Takes over what a former owner knew. Items that are finished here stay as they are.
+    /// Restores the state that the previous owner handed over. Texts are restored only for waiting items that have
+    /// none, results only for unfinished items.
     pub fn restore(&mut self, state: LedgerState) {
-        self.checkpoints = self.checkpoints.max(state.checkpoints);
-        for part in state.items {
-            let Some(item) = self.items.get_mut(part.index) else { continue };
-            let untouched = matches!(item.phase, ItemPhase::Waiting { .. }) && item.text.last_event().is_none();
-            if !untouched {
+        self.checkpoint_count = self.checkpoint_count.max(state.checkpoints);
+        for restored in state.items {
+            let Some(item) = self.items.get_mut(restored.index) else { continue };
+            let is_restorable = matches!(item.phase, ItemPhase::Waiting { .. }) && item.text.last_event().is_none();
+            if !is_restorable {
                 continue;
             }
-            item.text = part.text;
-            item.run_failures = part.run_failures;
-            item.score_failures = part.score_failures;
-            if part.is_complete && item.text.last_event().is_some() {
-                item.phase = ItemPhase::ScoreDue { until: TimePoint(0) };
-                self.queue.remove(&(std::cmp::Reverse(item.spec.expected_tokens), part.index));
-                self.score_due.insert(part.index);
+            item.text = restored.text;
+            item.run_failures = restored.run_failures;
+            item.score_failures = restored.score_failures;
+            if restored.is_complete && item.text.last_event().is_some() {
+                item.phase = ItemPhase::ScorePending { not_before: TimePoint(0) };
+                self.run_queue.remove(&(std::cmp::Reverse(item.spec.expected_tokens), restored.index));
+                self.score_queue.insert(restored.index);
             }
         }
         for result in state.unlisted {
             if self.items.get(result.index).is_some_and(|item| item.phase != ItemPhase::Finished) {
-                self.put(result);
+                self.add_result(result);
             }
         }
     }
 
-    /// Takes over the texts on record, in the order of their checkpoints.
+    /// Restores the texts of waiting items from all stored checkpoints, which are passed in the order of their numbers.
     pub fn replay_checkpoints(&mut self, checkpoints: &[TextCheckpoint]) {
-        self.checkpoints = self.checkpoints.max(checkpoints.len());
+        self.checkpoint_count = self.checkpoint_count.max(checkpoints.len());
         for part in checkpoints.iter().flat_map(|checkpoint| &checkpoint.parts) {
             if let Some(item) = self.items.get_mut(part.index)
                 && matches!(item.phase, ItemPhase::Waiting { .. })
@@ -150,13 +167,14 @@
         }
     }
 
-    /// Texts to be put on record next, with the number of their checkpoint. The same ones are returned until they are
-    /// on record.
+    /// The checkpoint to be stored next and its number. It takes further texts until their data reaches `bytes_max`, so
+    /// the last text may exceed it. The same checkpoint is returned until its write succeeds or conflicts; `None` if
+    /// too few events are new or the job has ended.
     pub fn next_checkpoint(&mut self, bytes_max: usize) -> Option<(usize, &TextCheckpoint)> {
         if self.ended {
             return None;
         }
-        if self.checkpoint.is_none() {
+        if self.pending_checkpoint.is_none() {
             let mut bytes = 0;
             let mut parts = Vec::new();
             let unfinished = self.items.iter_mut().enumerate().filter(|(_, item)| item.phase != ItemPhase::Finished);
@@ -167,41 +185,43 @@
                     parts.extend(part);
                 }
             }
-            self.checkpoint = (!parts.is_empty()).then_some(TextCheckpoint { parts });
+            self.pending_checkpoint = (!parts.is_empty()).then_some(TextCheckpoint { parts });
         }
-        Some((self.checkpoints, self.checkpoint.as_ref()?))
+        Some((self.checkpoint_count, self.pending_checkpoint.as_ref()?))
     }
 
-    /// The checkpoint `number` is on record.
+    /// Handles the confirmation that the checkpoint `number` is stored.
     pub fn checkpoint_stored(&mut self, number: usize) {
-        if self.checkpoint.is_some() && self.checkpoints == number {
-            self.checkpoint = None;
-            self.checkpoints += 1;
+        if self.pending_checkpoint.is_some() && self.checkpoint_count == number {
+            self.pending_checkpoint = None;
+            self.checkpoint_count += 1;
         }
     }
 
-    /// Something else stands under `number`: what is on record is not known, and every text is put on record anew.
+    /// Handles a write of the checkpoint `number` that found another checkpoint stored under that number. Which texts
+    /// are stored is uncertain then, so the following checkpoints write every text again from its first event.
     pub fn checkpoint_conflicted(&mut self, number: usize) {
-        if self.checkpoints != number {
+        if self.checkpoint_count != number {
             return;
         }
-        self.checkpoint = None;
-        self.checkpoints += 1;
+        self.pending_checkpoint = None;
+        self.checkpoint_count += 1;
         for item in &mut self.items {
             item.text.clear_saved();
         }
     }
 
-    /// Whether the submitter waits for a result that is not listed yet, so that listing should not wait for more.
+    /// Whether the submitter waits for a result that is not listed yet. If so, results should be listed at once instead
+    /// of in larger chunks.
     #[must_use]
     pub fn is_listing_urgent(&self) -> bool {
-        self.urgent
+        self.listing_urgent
     }
 
-    /// Items that wait to be run.
+    /// Number of items that wait to be run.
     #[must_use]
     pub fn waiting_count(&self) -> usize {
-        self.queue.len()
+        self.run_queue.len()
     }
 
     /// Number of items.
@@ -210,136 +230,142 @@
         self.items.len()
     }
 
-    /// Number of results that are listed.
+    /// Number of results that are stored, and so visible to the submitter.
     #[must_use]
     pub fn listed_count(&self) -> usize {
-        self.listed
+        self.listed_count
     }
 
-    /// Whether nothing is left to do.
+    /// Whether no work is left: all results are listed, or the submitter ended the job.
     #[must_use]
     pub fn is_settled(&self) -> bool {
-        self.ended || self.listed == self.items.len()
+        self.ended || self.listed_count == self.items.len()
     }
 
-    /// Whether the job was ended by its submitter.
+    /// Whether the submitter ended the job.
     #[must_use]
     pub fn is_ended(&self) -> bool {
         self.ended
     }
 
-    /// Ends the job: nothing more runs and nothing more is listed.
+    /// Ends the job at the submitter's request: no item is run and no result is listed from now on.
     pub fn end(&mut self) {
         self.ended = true;
-        self.queue.clear();
-        self.score_due.clear();
+        self.run_queue.clear();
+        self.score_queue.clear();
     }
 
-    /// The next item to run, which counts as running from now on.
+    /// Marks the longest item that may be run at `now` as running and returns it.
     pub fn start_next_run(&mut self, now: TimePoint) -> Option<RunAssignment> {
         let ready = |entry: &&(std::cmp::Reverse<u64>, usize)| match self.items[entry.1].phase {
-            ItemPhase::Waiting { until } => until <= now,
+            ItemPhase::Waiting { not_before } => not_before <= now,
             _ => false,
         };
-        let entry = *self.queue.iter().find(ready)?;
-        self.queue.remove(&entry);
+        let entry = *self.run_queue.iter().find(ready)?;
+        self.run_queue.remove(&entry);
         let item = &mut self.items[entry.1];
         item.phase = ItemPhase::Running;
         Some(RunAssignment { index: entry.1, resume_after: item.text.last_event() })
     }
 
-    /// The next item to score, which counts as being scored from now on.
+    /// Marks the first item that may be scored at `now` as being scored and returns its index.
     pub fn start_next_scoring(&mut self, now: TimePoint) -> Option<usize> {
         let ready = |index: &&usize| match self.items[**index].phase {
-            ItemPhase::ScoreDue { until } => until <= now,
+            ItemPhase::ScorePending { not_before } => not_before <= now,
             _ => false,
         };
-        let index = *self.score_due.iter().find(ready)?;
-        self.score_due.remove(&index);
+        let index = *self.score_queue.iter().find(ready)?;
+        self.score_queue.remove(&index);
         self.items[index].phase = ItemPhase::Scoring;
         Some(index)
     }
 
-    /// A run brought an event.
+    /// Handles an event that arrived in the run of an item: event `number` of the text, generated by `version` of the
+    /// weights. An event of a version that the job doesn't accept discards the text.
     pub fn event_received(&mut self, index: usize, number: u64, version: u64, data: &str) -> EventOutcome {
-        let terms = self.terms;
+        let options = self.options;
         let Some(item) = self.items.get_mut(index) else { return EventOutcome::Mismatch };
         if self.ended || item.phase != ItemPhase::Running {
             return EventOutcome::Mismatch;
         }
-        let mixed = terms.single_version && item.text.versions().iter().any(|known| *known != version);
-        if version < terms.oldest_version || mixed {
+        let mixes_versions = options.single_version && item.text.versions().iter().any(|earlier| *earlier != version);
+        if version < options.oldest_version || mixes_versions {
             item.text = SampleText::default();
             return EventOutcome::Restart;
         }
         if item.text.push_event(number, version, data) { EventOutcome::Accepted } else { EventOutcome::Mismatch }
     }
 
-    /// A run ended.
-    pub fn run_ended(&mut self, index: usize, end: RunOutcome, now: TimePoint) {
-        let attempts_max = self.terms.attempts_max;
+    /// Handles the end of an item's run.
+    pub fn run_ended(&mut self, index: usize, outcome: RunOutcome, now: TimePoint) {
+        let attempts_max = self.options.attempts_max;
         let Some(item) = self.items.get_mut(index) else { return };
         if self.ended || item.phase != ItemPhase::Running {
             return;
         }
-        match end {
+        match outcome {
             RunOutcome::Completed if item.text.last_event().is_some() && item.spec.needs_score => {
-                item.phase = ItemPhase::ScoreDue { until: now };
-                self.score_due.insert(index);
+                item.phase = ItemPhase::ScorePending { not_before: now };
+                self.score_queue.insert(index);
             }
-            RunOutcome::Completed if item.text.last_event().is_some() => self.finish(index, None),
-            RunOutcome::Completed | RunOutcome::Interrupted | RunOutcome::NotRun => self.requeue(index, now),
+            RunOutcome::Completed if item.text.last_event().is_some() => self.complete_item(index, None),
+            RunOutcome::Completed | RunOutcome::Interrupted | RunOutcome::NotRun => self.retry_later(index, now),
             RunOutcome::Failed => {
                 item.run_failures += 1;
-                if item.run_failures >= attempts_max { self.give_up(index) } else { self.requeue(index, now) }
+                if item.run_failures >= attempts_max {
+                    self.terminate_item(index)
+                } else {
+                    self.retry_later(index, now)
+                }
             }
-            RunOutcome::Unrunnable => self.give_up(index),
+            RunOutcome::Unrunnable => self.terminate_item(index),
         }
     }
 
-    /// A scoring ended. The item is given up after `failures_max` failures of its scorer.
-    pub fn scoring_ended(&mut self, index: usize, end: ScoreOutcome, failures_max: u32, now: TimePoint) {
+    /// Handles the end of a request to the scorer. The item is terminated after `failures_max` failures of its scorer.
+    pub fn scoring_ended(&mut self, index: usize, outcome: ScoreOutcome, failures_max: u32, now: TimePoint) {
         let Some(item) = self.items.get_mut(index) else { return };
         if self.ended || item.phase != ItemPhase::Scoring {
             return;
         }
-        match end {
-            ScoreOutcome::Signed(signature) => return self.finish(index, Some(signature)),
+        match outcome {
+            ScoreOutcome::Signed(signature) => return self.complete_item(index, Some(signature)),
             ScoreOutcome::Failed => item.score_failures += 1,
             ScoreOutcome::Interrupted => {}
         }
         if item.score_failures >= failures_max.max(1) {
-            return self.give_up(index);
+            return self.terminate_item(index);
         }
-        item.phase = ItemPhase::ScoreDue { until: now.plus_ms(RETRY_PAUSE_MS) };
-        self.score_due.insert(index);
+        item.phase = ItemPhase::ScorePending { not_before: now.plus_ms(RETRY_BACKOFF_MS) };
+        self.score_queue.insert(index);
     }
 
-    /// Gives up what is past its retention. Running items are given up too; their runs must end.
+    /// Terminates all unfinished items once the retention time is over. The caller must cancel the runs of those that
+    /// were running.
     pub fn expire_items(&mut self, now: TimePoint) {
-        if self.ended || now < self.terms.retention_ends_at {
+        if self.ended || now < self.options.retention_ends_at {
             return;
         }
         for index in 0..self.items.len() {
             if self.items[index].phase != ItemPhase::Finished {
-                self.give_up(index);
+                self.terminate_item(index);
             }
         }
     }
 
-    /// Gives up all that is left, because the job's route is gone.
+    /// Terminates all unfinished items because the job's route no longer exists.
     pub fn terminate_unfinished(&mut self) {
-        self.terms.retention_ends_at = TimePoint(0);
+        self.options.retention_ends_at = TimePoint(0);
         self.expire_items(TimePoint(0));
     }
 
-    /// Results to be listed next, at most `bytes_max` of them unless the first alone is larger. The same
-    /// chunk is returned until it is listed.
+    /// The results to be stored next: at most `bytes_max` bytes, or a single larger result. The same chunk is returned
+    /// until it is stored; `None` if there are no new results or the job has ended.
     pub fn next_chunk(&mut self, bytes_max: usize) -> Option<&ResultChunk> {
         if self.ended {
             return None;
         }
-        if self.chunk.is_none() && !self.unlisted.is_empty() {
+        if self.pending_chunk.is_none() && !self.unlisted.is_empty() {
             let mut bytes = 0;
             let fits = self.unlisted.iter().take_while(|result| {
                 bytes += result.stored_bytes();
@@ -347,94 +373,99 @@
             });
             let count = fits.count().max(1);
             let results = self.unlisted.drain(..count).collect();
-            self.urgent &= !self.unlisted.is_empty();
-            self.chunk = Some(ResultChunk { first_position: self.listed, results });
+            self.listing_urgent &= !self.unlisted.is_empty();
+            self.pending_chunk = Some(ResultChunk { first_position: self.listed_count, results });
         }
-        self.chunk.as_ref()
+        self.pending_chunk.as_ref()
     }
 
-    /// The chunk at `first` is stored, so its results are listed.
-    pub fn chunk_stored(&mut self, first: usize) {
-        if self.chunk.as_ref().is_none_or(|chunk| chunk.first_position != first) {
+    /// Handles the confirmation that the chunk at `first_position` is stored, which makes its results listed.
+    pub fn chunk_stored(&mut self, first_position: usize) {
+        if self.pending_chunk.as_ref().is_none_or(|chunk| chunk.first_position != first_position) {
             return;
         }
-        if let Some(chunk) = self.chunk.take() {
-            self.listed += chunk.results.len();
+        if let Some(chunk) = self.pending_chunk.take() {
+            self.listed_count += chunk.results.len();
         }
     }
 
-    /// Whether every item is finished, so that no further result will join those that wait to be listed.
+    /// Whether every item has a result, so that no further result will be added to the next chunk.
     #[must_use]
     pub fn all_items_finished(&self) -> bool {
         self.items.iter().all(|item| item.phase == ItemPhase::Finished)
     }
 
-    /// Events of the item's text so far.
+    /// Number of events received for an item's text; 0 once the item is finished.
     #[must_use]
     pub fn event_count(&self, index: usize) -> u64 {
         self.items.get(index).map_or(0, |item| item.text.event_count())
     }
 
-    /// No upstream has room for an item that [`Self::start_next_run`] returned.
+    /// Queues an item that [`Self::start_next_run`] returned again, because no upstream has capacity for it.
     pub fn requeue_run(&mut self, index: usize) {
         let Some(item) = self.items.get_mut(index) else { return };
         if item.phase == ItemPhase::Running {
-            item.phase = ItemPhase::Waiting { until: TimePoint(0) };
-            self.queue.insert((std::cmp::Reverse(item.spec.expected_tokens), index));
+            item.phase = ItemPhase::Waiting { not_before: TimePoint(0) };
+            self.run_queue.insert((std::cmp::Reverse(item.spec.expected_tokens), index));
         }
     }
 
-    /// No upstream has room to score the item that [`Self::start_next_scoring`] returned.
+    /// Queues an item that [`Self::start_next_scoring`] returned again, because no upstream has capacity to score it.
     pub fn requeue_scoring(&mut self, index: usize) {
         let Some(item) = self.items.get_mut(index) else { return };
         if item.phase == ItemPhase::Scoring {
-            item.phase = ItemPhase::ScoreDue { until: TimePoint(0) };
-            self.score_due.insert(index);
+            item.phase = ItemPhase::ScorePending { not_before: TimePoint(0) };
+            self.score_queue.insert(index);
         }
     }
 
-    /// Whether the item still runs.
+    /// Whether the run of the item should continue: the item is marked as running and the job has not ended.
     #[must_use]
     pub fn is_running(&self, index: usize) -> bool {
         !self.ended && self.items.get(index).is_some_and(|item| item.phase == ItemPhase::Running)
     }
 
-    fn requeue(&mut self, index: usize, now: TimePoint) {
+    /// Queues an item to be run again after a backoff.
+    fn retry_later(&mut self, index: usize, now: TimePoint) {
         let item = &mut self.items[index];
-        item.phase = ItemPhase::Waiting { until: now.plus_ms(RETRY_PAUSE_MS) };
-        self.queue.insert((std::cmp::Reverse(item.spec.expected_tokens), index));
+        item.phase = ItemPhase::Waiting { not_before: now.plus_ms(RETRY_BACKOFF_MS) };
+        self.run_queue.insert((std::cmp::Reverse(item.spec.expected_tokens), index));
     }
 
-    fn finish(&mut self, index: usize, score: Option<String>) {
+    /// Finishes an item with its complete text.
+    fn complete_item(&mut self, index: usize, score: Option<String>) {
         let (text, versions) = std::mem::take(&mut self.items[index].text).into_parts();
-        self.put(ItemResult { index, state: ItemState::Completed, text, versions, score });
+        self.add_result(ItemResult { index, state: ItemState::Completed, text, versions, score });
     }
 
-    fn give_up(&mut self, index: usize) {
+    /// Finishes an item without a text.
+    fn terminate_item(&mut self, index: usize) {
         let (text, versions) = (String::new(), Vec::new());
-        self.put(ItemResult { index, state: ItemState::Terminated, text, versions, score: None });
+        self.add_result(ItemResult { index, state: ItemState::Terminated, text, versions, score: None });
     }
 
-    fn put(&mut self, result: ItemResult) {
+    /// Marks the item of `result` as finished and queues the result for the next chunk.
+    fn add_result(&mut self, result: ItemResult) {
         let index = result.index;
         let item = &mut self.items[index];
         item.phase = ItemPhase::Finished;
         item.text = SampleText::default();
-        self.queue.remove(&(std::cmp::Reverse(item.spec.expected_tokens), index));
-        self.score_due.remove(&index);
+        self.run_queue.remove(&(std::cmp::Reverse(item.spec.expected_tokens), index));
+        self.score_queue.remove(&index);
         let group = item.spec.group.clone();
         self.unlisted.push(result);
-        self.group_finished(&group);
+        self.count_finished_item(&group);
     }
 
-    /// An item of `group` is finished. The submitter goes on once it has read enough whole groups.
-    fn group_finished(&mut self, group: &str) {
-        let Some(open) = self.open_items.get_mut(group) else { return };
-        *open = open.saturating_sub(1);
-        if *open > 0 {
+    /// Counts a finished item of `group`. Listing becomes urgent when the number of complete groups reaches the number
+    /// that the submitter waits for.
+    fn count_finished_item(&mut self, group: &str) {
+        let Some(unfinished) = self.unfinished_by_group.get_mut(group) else { return };
+        *unfinished = unfinished.saturating_sub(1);
+        if *unfinished > 0 {
             return;
         }
-        let whole = self.open_items.values().filter(|open| **open == 0).count() as u64;
-        self.urgent |= whole >= self.terms.groups_awaited;
+        let complete_groups = self.unfinished_by_group.values().filter(|unfinished| **unfinished == 0).count() as u64;
+        self.listing_urgent |= complete_groups >= self.options.groups_awaited;
     }
 }
--- a/crates/kernel/src/batch/batch_options.rs
+++ b/crates/kernel/src/batch/batch_options.rs
@@ -1,75 +1,77 @@
-//! What a batch job asks for, and how its runs may go.
+//! Options of batch jobs and outcomes of their runs and scorings.
 
 use crate::{SharedName, TimePoint};
 
-/// What the ledger needs to know of an item.
+/// Properties of an item that determine how it is scheduled.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ItemSpec {
-    /// Items of one group share their prompt.
+    /// Group of the item; items of one group share their prompt.
     pub group: SharedName,
     /// Expected length, in tokens; longer items run first.
     pub expected_tokens: u64,
-    /// Whether a score is wanted.
+    /// Whether the text is sent to a scorer before the item is finished.
     pub needs_score: bool,
 }
 
-/// Terms of a batch job.
+/// Limits and requirements that apply to all items of a batch job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BatchOptions {
-    /// Failed runs after which an item is given up.
+    /// Number of failed runs after which an item is terminated.
     pub attempts_max: u32,
-    /// Oldest version whose events count.
+    /// Oldest version of the weights whose events are accepted.
     pub oldest_version: u64,
-    /// Whether a text must come from one version.
+    /// Whether all events of a text must come from the same version of the weights.
     pub single_version: bool,
-    /// When items may be given up.
+    /// Time from which on unfinished items are terminated.
     pub retention_ends_at: TimePoint,
-    /// Whole groups that the submitter waits for.
+    /// Number of groups whose items must all be finished before the submitter proceeds.
     pub groups_awaited: u64,
 }
 
-/// An item to be run.
+/// An item to be run at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunAssignment {
-    /// Index of the item.
+    /// Index of the item in its batch job.
     pub index: usize,
-    /// Number of the last event that is already known.
+    /// Number of the last event received in earlier runs; the upstream continues the text after it.
     pub resume_after: Option<u64>,
 }
 
-/// Whether a run may go on after an event.
+/// Result of adding an event to the text of its item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventOutcome {
-    /// It was taken in.
+    /// The event was appended; the run continues.
     Accepted,
-    /// The text is void and starts anew; the run must end.
+    /// The text was discarded because the version of the weights is not acceptable. The run must be cancelled; the
+    /// next one starts with the first event.
     Restart,
-    /// The run doesn't continue the text; the run must end.
+    /// The event was ignored because it doesn't follow the last one, or because the item is not running. The run must
+    /// be cancelled.
     Mismatch,
 }
 
-/// How a run ended.
+/// Outcome of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// With the last event.
+    /// The text is complete.
     Completed,
-    /// In the middle, or without an answer.
+    /// The run ended before the text was complete, or the upstream did not respond.
     Interrupted,
-    /// The upstream refused to run it.
+    /// The upstream did not start the run, for example because it refused the request.
     NotRun,
-    /// The upstream ran it and failed.
+    /// The upstream reported a failure of the run.
     Failed,
-    /// The item can never be run.
+    /// The upstream reported that the item cannot be run at all; it is terminated without a retry.
     Unrunnable,
 }
 
-/// How a scoring ended.
+/// Outcome of a request to the scorer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ScoreOutcome {
-    /// With the scorer's signature.
+    /// The score was computed; holds the scorer's signature.
     Signed(String),
-    /// The scorer failed.
+    /// The scorer reported a failure.
     Failed,
-    /// Without an answer, or refused.
+    /// The scorer refused the request or did not respond; not counted as a failure.
     Interrupted,
 }
--- a/crates/kernel/src/batch/item_result.rs
+++ b/crates/kernel/src/batch/item_result.rs
@@ -1,36 +1,37 @@
-//! What became of an item.
+//! Results of finished items.
 
 use serde::{Deserialize, Serialize};
 
-/// Whether an item's text is whole.
+/// Outcome of a finished item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ItemState {
-    /// The text is whole and scored.
+    /// The text is complete, and scored if a score was requested.
     Completed,
-    /// The item was given up.
+    /// The item was terminated without a complete text.
     Terminated,
 }
 
-/// A finished item, as listed and stored.
+/// Result of a finished item, as stored and as listed to the submitter.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ItemResult {
     /// Index of the item in its batch job.
     pub index: usize,
-    /// Whether its text is whole.
+    /// Outcome of the item.
     pub state: ItemState,
     /// Data of all events in order, separated by line feeds; empty if terminated.
     pub text: String,
     /// Versions of the weights that generated the text, ascending.
     pub versions: Vec<u64>,
-    /// The scorer's signature.
+    /// Signature of the scorer, if the item was scored.
     pub score: Option<String>,
 }
 
 impl ItemResult {
-    /// Bytes that the result takes in storage, roughly.
+    /// Approximate size in bytes of the stored result.
     #[must_use]
     pub fn stored_bytes(&self) -> usize {
-        const FIELDS_BYTES: usize = 200;
-        self.text.len() + FIELDS_BYTES
+        // Estimate for everything but the text.
+        const METADATA_BYTES: usize = 200;
+        self.text.len() + METADATA_BYTES
     }
 }
--- a/crates/kernel/src/batch/ledger_state.rs
+++ b/crates/kernel/src/batch/ledger_state.rs
@@ -1,41 +1,41 @@
-//! What leaves a ledger: results for the record, and everything else for the next owner.
+//! State that a ledger exports: results to be stored, and unfinished work for the next owner.
 
 use super::{ItemResult, SampleText};
 use serde::{Deserialize, Serialize};
 
-/// Results that take positions together.
+/// Results that are stored together at consecutive positions of the job's result list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResultChunk {
-    /// Position of the first result.
+    /// Position of the first result in the list.
     pub first_position: usize,
-    /// Results in order.
+    /// Results in the order of their positions.
     pub results: Vec<ItemResult>,
 }
 
-/// What an owner knows beyond the record, for the next owner.
+/// State of a job that is not in the store, handed over to the next owner.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LedgerState {
-    /// Finished items that may not be listed yet, in order.
+    /// Results in list order whose write to the store is not confirmed.
     pub unlisted: Vec<ItemResult>,
-    /// Texts of unfinished items.
+    /// Unfinished items with their partial texts.
     pub items: Vec<UnfinishedItem>,
-    /// Checkpoints that are on record or may be.
+    /// Number of checkpoints that are stored, including one whose write is not confirmed.
     #[serde(default)]
     pub checkpoints: usize,
 }
 
-/// An unfinished item.
+/// Progress of an unfinished item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnfinishedItem {
-    /// Index of the item.
+    /// Index of the item in its batch job.
     pub index: usize,
-    /// Events so far.
+    /// Events received so far.
     pub text: SampleText,
-    /// Whether the text is whole and only the score is missing.
+    /// Whether the text is complete and only the score is missing.
     #[serde(rename = "whole")]
     pub is_complete: bool,
-    /// Failed runs.
+    /// Number of failed runs.
     pub run_failures: u32,
-    /// Failures of the scorer.
+    /// Number of failures of the scorer.
     pub score_failures: u32,
 }
--- a/crates/kernel/src/batch/mod.rs
+++ b/crates/kernel/src/batch/mod.rs
@@ -1,4 +1,4 @@
-//! Batch jobs: which items run, which are finished, which are listed.
+//! Batch jobs: scheduling of items, partial texts and results.
 
 mod batch_ledger;
 mod batch_options;
--- a/crates/kernel/src/batch/run_monitor.rs
+++ b/crates/kernel/src/batch/run_monitor.rs
@@ -1,67 +1,72 @@
-//! How fast a run brings events, and when it is worth moving elsewhere.
+//! Detection of slow and unresponsive runs, which are then moved to another upstream.
 
 use crate::TimePoint;
 
-/// A gap's share in the moving average is one in this many.
-const GAP_WEIGHT: u64 = 8;
-/// Events before a run's pace says anything.
+/// Reciprocal of the weight of a new interval in the moving average.
+const AVERAGE_DIVISOR: u64 = 8;
+/// Number of events from which on the average interval is meaningful.
 const EVENTS_MIN: u64 = 6;
-/// A run that is slower than elsewhere by this factor is moved. Starting again costs about one event.
+/// A run is moved if its interval exceeds that of another upstream by more than this factor. Resuming the text there
+/// takes about as long as one event.
 const SLOW_FACTOR: u64 = 2;
-/// A silence of this many events elsewhere is no pause any more.
-const SILENT_EVENTS: u64 = 12;
-/// Shortest silence that counts, in milliseconds; a preempted run is read in again within it.
-const SILENCE_MS_MIN: u64 = 600;
-/// Longest silence that is waited for, in milliseconds.
-const SILENCE_MS_MAX: u64 = 2_500;
+/// A run is unresponsive after this many event intervals of another upstream without an event.
+const TIMEOUT_INTERVALS: u64 = 12;
+/// Lower limit of the timeout. An upstream needs less to read the text of a preempted run again.
+const TIMEOUT_MIN_MS: u64 = 600;
+/// Upper limit of the timeout, also used while the interval of other upstreams is unknown.
+const TIMEOUT_MAX_MS: u64 = 2_500;
 
-/// The pace of one run.
+/// Measures the interval between the events of one run.
 #[derive(Clone, Copy, Debug)]
 pub struct RunMonitor {
-    last: TimePoint,
-    events: u64,
-    gap_us: u64,
+    /// Arrival of the last event, or the start of the run.
+    last_event_at: TimePoint,
+    event_count: u64,
+    /// Moving average of the interval between two events.
+    interval_us: u64,
 }
 
 impl RunMonitor {
-    /// Starts at the moment at which the run was sent.
+    /// Creates the monitor of a run whose request is sent at `now`.
     #[must_use]
     pub fn new(now: TimePoint) -> Self {
-        Self { last: now, events: 0, gap_us: 0 }
+        Self { last_event_at: now, event_count: 0, interval_us: 0 }
     }
 
-    /// `count` events arrived together.
+    /// Handles the arrival of `count` events at once.
     pub fn events_received(&mut self, count: u64, now: TimePoint) {
         if count == 0 {
             return;
         }
-        let gap_us = now.since_ms(self.last) * 1_000 / count;
-        // The first gap holds the time of reading the prompt.
-        self.gap_us = match self.events {
+        let interval_us = now.since_ms(self.last_event_at) * 1_000 / count;
+        // The first interval is ignored, since it includes the processing of the prompt.
+        self.interval_us = match self.event_count {
             0 => 0,
-            1 => gap_us,
-            _ => (self.gap_us * (GAP_WEIGHT - 1) + gap_us) / GAP_WEIGHT,
+            1 => interval_us,
+            _ => (self.interval_us * (AVERAGE_DIVISOR - 1) + interval_us) / AVERAGE_DIVISOR,
         };
-        self.last = now;
-        self.events += count;
+        self.last_event_at = now;
+        self.event_count += count;
     }
 
-    /// Moving average of the time between two events in milliseconds, once it says something.
+    /// Moving average of the interval between two events in milliseconds; `None` for the first events.
     #[must_use]
     pub fn event_interval_ms(&self) -> Option<u64> {
-        (self.events >= EVENTS_MIN).then_some(self.gap_us / 1_000)
+        (self.event_count >= EVENTS_MIN).then_some(self.interval_us / 1_000)
     }
 
-    /// Whether a run elsewhere, at `best_ms` an event, would be faster by far.
+    /// Whether the run is so slow that it should move to an upstream with an event interval of `other_ms`.
     #[must_use]
-    pub fn is_slower_than(&self, best_ms: u64) -> bool {
-        self.event_interval_ms().is_some_and(|pace_ms| pace_ms > best_ms.max(1) * SLOW_FACTOR)
+    pub fn is_slower_than(&self, other_ms: u64) -> bool {
+        self.event_interval_ms().is_some_and(|interval_ms| interval_ms > other_ms.max(1) * SLOW_FACTOR)
     }
 
-    /// When the run counts as silent unless an event arrives. `best_ms` is the time of an event elsewhere, if known.
+    /// Time at which the run counts as unresponsive unless an event arrives before. `other_ms` is the event interval of
+    /// the fastest other upstream, if known.
     #[must_use]
-    pub fn unresponsive_at(&self, best_ms: Option<u64>) -> TimePoint {
-        let limit_ms = best_ms.map_or(SILENCE_MS_MAX, |ms| (ms * SILENT_EVENTS).clamp(SILENCE_MS_MIN, SILENCE_MS_MAX));
-        self.last.plus_ms(limit_ms)
+    pub fn unresponsive_at(&self, other_ms: Option<u64>) -> TimePoint {
+        let timeout_ms =
+            other_ms.map_or(TIMEOUT_MAX_MS, |ms| (ms * TIMEOUT_INTERVALS).clamp(TIMEOUT_MIN_MS, TIMEOUT_MAX_MS));
+        self.last_event_at.plus_ms(timeout_ms)
     }
 }
--- a/crates/kernel/src/batch/sample_text.rs
+++ b/crates/kernel/src/batch/sample_text.rs
@@ -1,107 +1,115 @@
-//! A text while its events arrive.
+//! Texts that are assembled from the events of their runs.
 
 use super::TextPart;
 use serde::{Deserialize, Serialize};
 
-/// Number of a text's first event.
+/// Number of the first event of a text.
 pub const FIRST_EVENT_NUMBER: u64 = 1;
 
-/// Events received so far, from one or several runs that follow each other without a gap.
+/// Partial text of an item: the events received so far, numbered without gaps, from one or more consecutive runs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SampleText {
+    /// Data of the events, separated by line feeds.
     text: String,
-    last: Option<u64>,
+    /// Number of the last event.
+    #[serde(rename = "last")]
+    last_event: Option<u64>,
+    /// Versions of the weights that generated the events, ascending.
     versions: Vec<u64>,
-    /// How much of it is on record, or on its way there.
+    /// Portion that is in a checkpoint, whether its write is confirmed or not.
     #[serde(skip)]
-    saved: SavedMark,
+    saved: SavedLength,
 }
 
-/// The part of a text that is on record.
+/// Length of the portion of a text that is in checkpoints.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct SavedMark {
+struct SavedLength {
     events: u64,
     bytes: usize,
 }
 
 impl SampleText {
-    /// Number of the last event, if there is one.
+    /// Number of the last event; `None` if there are no events.
     #[must_use]
     pub fn last_event(&self) -> Option<u64> {
-        self.last
+        self.last_event
     }
 
-    /// Number of events.
+    /// Number of events received.
     #[must_use]
     pub fn event_count(&self) -> u64 {
-        self.last.map_or(0, |last| last + 1 - FIRST_EVENT_NUMBER)
+        self.last_event.map_or(0, |last| last + 1 - FIRST_EVENT_NUMBER)
     }
 
-    /// Events that no checkpoint holds.
+    /// Number of events that are in no checkpoint.
     #[must_use]
     pub fn unsaved_count(&self) -> u64 {
         self.event_count() - self.saved.events
     }
 
-    /// Versions that generated the text, ascending.
+    /// Versions of the weights that generated the text, ascending.
     #[must_use]
     pub fn versions(&self) -> &[u64] {
         &self.versions
     }
 
-    /// Appends an event. False if its number doesn't follow the last one's, or isn't the first one's.
+    /// Appends an event. Returns false without a change if its number doesn't follow that of the last event, or isn't
+    /// [`FIRST_EVENT_NUMBER`] in an empty text.
     pub fn push_event(&mut self, number: u64, version: u64, data: &str) -> bool {
-        if number != self.last.map_or(FIRST_EVENT_NUMBER, |last| last + 1) {
+        if number != self.last_event.map_or(FIRST_EVENT_NUMBER, |last| last + 1) {
             return false;
         }
         self.append(number, data, &[version]);
         true
     }
 
-    /// The events that no checkpoint holds, which count as saved from now on.
+    /// Returns the events that are in no checkpoint and marks them as saved; `None` if there are none. `index` is that
+    /// of the item.
     pub fn take_unsaved_part(&mut self, index: usize) -> Option<TextPart> {
-        let last = self.last?;
+        let last_event = self.last_event?;
         if self.unsaved_count() == 0 {
             return None;
         }
-        let first = FIRST_EVENT_NUMBER + self.saved.events;
+        let first_event = FIRST_EVENT_NUMBER + self.saved.events;
         let separator = usize::from(self.saved.events > 0);
         let text = self.text[self.saved.bytes + separator..].to_owned();
-        self.saved = SavedMark { events: self.event_count(), bytes: self.text.len() };
-        Some(TextPart { index, first_event: first, last_event: last, text, versions: self.versions.clone() })
+        self.saved = SavedLength { events: self.event_count(), bytes: self.text.len() };
+        Some(TextPart { index, first_event, last_event, text, versions: self.versions.clone() })
     }
 
-    /// Forgets that anything is on record.
+    /// Marks all events as unsaved, so that they are written to the following checkpoints again.
     pub fn clear_saved(&mut self) {
-        self.saved = SavedMark::default();
+        self.saved = SavedLength::default();
     }
 
-    /// Takes over a part from the record. A part that leaves a gap is passed over.
+    /// Appends a part that was read from a checkpoint. A part that starts with the first event replaces the text; a
+    /// part that would leave a gap is ignored.
     pub fn replay_part(&mut self, part: &TextPart) {
         if part.first_event == FIRST_EVENT_NUMBER {
             *self = Self::default();
-        } else if self.last.is_none_or(|last| part.first_event != last + 1) {
+        } else if self.last_event.is_none_or(|last| part.first_event != last + 1) {
             return;
         }
         self.append(part.last_event, &part.text, &part.versions);
-        self.saved = SavedMark { events: self.event_count(), bytes: self.text.len() };
+        self.saved = SavedLength { events: self.event_count(), bytes: self.text.len() };
     }
 
-    /// The text and its versions.
+    /// Returns the text and the versions of the weights that generated it.
     #[must_use]
     pub fn into_parts(self) -> (String, Vec<u64>) {
         (self.text, self.versions)
     }
 
-    fn append(&mut self, last: u64, text: &str, versions: &[u64]) {
-        if self.last.is_some() {
+    /// Appends the data of events of which the last has the number `last_event`.
+    fn append(&mut self, last_event: u64, text: &str, versions: &[u64]) {
+        if self.last_event.is_some() {
             self.text.push('\n');
         }
         self.text.push_str(text);
-        self.last = Some(last);
+        self.last_event = Some(last_event);
         for version in versions {
-            if let Err(at) = self.versions.binary_search(version) {
-                self.versions.insert(at, *version);
+            if let Err(position) = self.versions.binary_search(version) {
+                self.versions.insert(position, *version);
             }
         }
     }
--- a/crates/kernel/src/batch/text_checkpoint.rs
+++ b/crates/kernel/src/batch/text_checkpoint.rs
@@ -1,23 +1,24 @@
-//! Texts in the middle, as put on record for the next owner.
+//! Checkpoints of partial texts, from which the next owner of a batch job resumes.
 
-/// Events of one text that follow those of earlier checkpoints.
+/// Consecutive events of one text that follow those of earlier checkpoints.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TextPart {
-    /// Index of the item.
+    /// Index of the item in its batch job.
     pub index: usize,
-    /// Number of the part's first event. A part that begins with the text's first event replaces what was before.
+    /// Number of the part's first event. A part that starts with the first event of the text replaces all earlier
+    /// parts.
     pub first_event: u64,
-    /// Number of its last event.
+    /// Number of the part's last event.
     pub last_event: u64,
-    /// Data of its events, separated by line feeds.
+    /// Data of the events, separated by line feeds.
     pub text: String,
-    /// Versions that generated the text up to here.
+    /// Versions of the weights that generated the text from its first event to the part's last event, ascending.
     pub versions: Vec<u64>,
 }
 
-/// What is put on record together.
+/// Parts of partial texts that are stored in one write.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TextCheckpoint {
-    /// Parts of different items.
+    /// At most one part per item.
     pub parts: Vec<TextPart>,
 }
--- a/crates/kernel/src/duty/duty_history.rs
+++ b/crates/kernel/src/duty/duty_history.rs
@@ -1,52 +1,54 @@
-//! Who held the duty, newest last, and how long the next holder waits.
+//! Recent holders of a duty, and the time that a new holder waits before it acts.
 
 use crate::SharedName;
 
-/// Holders that are remembered.
+/// Number of acquisitions that the history keeps.
 const HOLDERS_MAX: usize = 8;
-/// Clocks of two VMs may differ by this much, in milliseconds: they jump by seconds.
+/// Largest difference that is tolerated between the wall clocks of two VMs, which can jump by seconds.
 const CLOCK_ERROR_MS: u64 = 10_000;
 
-/// When a daemon took the duty.
+/// Acquisition of the duty by a daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DutyAcquisition {
-    /// Daemon.
+    /// Daemon that acquired the duty.
     pub daemon: SharedName,
-    /// When it took it, in milliseconds since the Unix epoch.
+    /// Time of the acquisition by the daemon's wall clock, in milliseconds since the Unix epoch.
     pub acquired_unix_ms: u64,
 }
 
-/// Former holders.
+/// The latest acquisitions of the duty, as stored for the next holder.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DutyHistory {
-    /// Holders, newest last.
+    /// Acquisitions, newest last.
     pub acquisitions: Vec<DutyAcquisition>,
 }
 
 impl DutyHistory {
-    /// The last holder.
+    /// Daemon that acquired the duty last; `None` if the history is empty.
     #[must_use]
     pub fn last_holder(&self) -> Option<&SharedName> {
-        self.acquisitions.last().map(|taker| &taker.daemon)
+        self.acquisitions.last().map(|acquisition| &acquisition.daemon)
     }
 
-    /// How long `daemon` waits after it took the duty, if it takes it now. A holder acts only under its lease, and the
-    /// next one takes the duty after that lease; so only one whose own last term is still within `handover_ms` could
-    /// act in turn with another.
+    /// Time in milliseconds that `daemon` must wait before it acts if it acquires the duty now: `handover_ms` or 0.
+    ///
+    /// A holder acts only under its lease, and the next daemon acquires the duty only after that lease has ended. So
+    /// two daemons can alternate within `handover_ms` only if `daemon` itself lost the duty less than `handover_ms`
+    /// ago.
     #[must_use]
     pub fn handover_wait_ms(&self, daemon: &str, unix_ms: u64, handover_ms: u64) -> u64 {
-        let own = self.acquisitions.iter().rposition(|taker| *taker.daemon == *daemon);
-        let Some(successor) = own.and_then(|own| self.acquisitions.get(own + 1)) else { return 0 };
+        let own_position = self.acquisitions.iter().rposition(|acquisition| *acquisition.daemon == *daemon);
+        let Some(successor) = own_position.and_then(|position| self.acquisitions.get(position + 1)) else { return 0 };
         let since_ms = unix_ms.checked_sub(successor.acquired_unix_ms);
         if since_ms.is_some_and(|ms| ms > handover_ms + CLOCK_ERROR_MS) { 0 } else { handover_ms }
     }
 
-    /// Adds the holder that takes the duty now.
+    /// The history with an acquisition added at its end; the oldest one is dropped if there are too many.
     #[must_use]
     pub fn with_acquisition(mut self, daemon: SharedName, unix_ms: u64) -> Self {
         self.acquisitions.push(DutyAcquisition { daemon, acquired_unix_ms: unix_ms });
-        let over = self.acquisitions.len().saturating_sub(HOLDERS_MAX);
-        self.acquisitions.drain(..over);
+        let excess = self.acquisitions.len().saturating_sub(HOLDERS_MAX);
+        self.acquisitions.drain(..excess);
         self
     }
 }
--- a/crates/kernel/src/duty/duty_term.rs
+++ b/crates/kernel/src/duty/duty_term.rs
@@ -1,46 +1,47 @@
-//! One term of a duty's holder.
+//! Period in which a daemon holds a duty and may act on it.
 
 use crate::TimePoint;
 
-/// The lease under which this process holds things, as known now.
+/// Last observed state of this process's lease and of the duty's entry in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseStatus {
-    /// The lease, while it is not known to have ended.
+    /// Id of the lease; `None` once the lease is known to have ended.
     pub lease: Option<u64>,
-    /// The end of the lease unless it is renewed.
+    /// Time at which the lease ends unless it is renewed.
     pub expires_at: TimePoint,
-    /// Revision of the duty's record, if there is one.
+    /// Revision of the duty's entry in the store, if an entry was observed.
     pub duty_revision: Option<u64>,
 }
 
-/// What a holder may do: act from one point in time to another, under one fencing token.
+/// Term of a duty's holder, which may act within a time range under one fencing token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DutyTerm {
-    /// Grows with each change of holder.
+    /// Revision at which the duty's entry was stored; increases with each change of holder.
     pub fencing_token: u64,
-    /// The lease on which the duty's record hangs. A later lease of the same process is no part of the term.
+    /// Lease that the duty's entry depends on. The term doesn't continue under a later lease of the same process.
     lease: u64,
-    /// Before this the holder would act in turn with the one before.
+    /// Start of the range: acting earlier could alternate with actions of the previous holder.
     acts_from: TimePoint,
-    /// From here on another may hold the duty.
+    /// End of the range: from then on another daemon may hold the duty.
     ends_at: TimePoint,
 }
 
 impl DutyTerm {
-    /// Begins a term under `lease`, which ends at `ends_at`. The holder waits for `wait_ms` before it acts.
+    /// Starts a term under `lease`, which was granted at `granted_at` and ends at `ends_at`. The holder waits for
+    /// `wait_ms` before it acts.
     #[must_use]
-    pub fn start(fencing_token: u64, lease: u64, granted: TimePoint, ends_at: TimePoint, wait_ms: u64) -> Self {
-        Self { fencing_token, lease, acts_from: granted.plus_ms(wait_ms), ends_at }
+    pub fn start(fencing_token: u64, lease: u64, granted_at: TimePoint, ends_at: TimePoint, wait_ms: u64) -> Self {
+        Self { fencing_token, lease, acts_from: granted_at.plus_ms(wait_ms), ends_at }
     }
 
-    /// Brings the term up to date. False if it is over for good. A lease that could not be renewed in time is no
-    /// end: if a later renewal succeeds, the lease and the record on it never ended.
-    pub fn refresh(&mut self, standing: LeaseStatus) -> bool {
-        let replaced = standing.duty_revision.is_some_and(|revision| revision != self.fencing_token);
-        if standing.lease != Some(self.lease) || replaced {
+    /// Updates the term and returns whether it continues; false means that it is over for good. A late renewal of the
+    /// lease doesn't end the term: if the renewal succeeds, the lease and the duty's entry have existed all along.
+    pub fn refresh(&mut self, status: LeaseStatus) -> bool {
+        let replaced = status.duty_revision.is_some_and(|revision| revision != self.fencing_token);
+        if status.lease != Some(self.lease) || replaced {
             return false;
         }
-        self.ends_at = self.ends_at.max(standing.expires_at);
+        self.ends_at = self.ends_at.max(status.expires_at);
         true
     }
 
--- a/crates/kernel/src/duty/mod.rs
+++ b/crates/kernel/src/duty/mod.rs
@@ -1,4 +1,4 @@
-//! Duties that one daemon holds at a time.
+//! Duties that one daemon holds at a time: terms of the holder, and planning of weights, upstreams and usage reports.
 
 mod duty_history;
 mod duty_term;
--- a/crates/kernel/src/duty/run_reports.rs
+++ b/crates/kernel/src/duty/run_reports.rs
@@ -1,26 +1,27 @@
-//! What other daemons run at the upstreams.
+//! Numbers of requests that each daemon runs at the upstreams.
 
 use crate::{SharedName, TimePoint};
 use std::collections::BTreeMap;
 
-/// A daemon's report counts this long, in milliseconds; it reports several times a second while it runs anything.
-const REPORT_LIFE_MS: u64 = 1_000;
+/// Time for which a report is valid. Daemons with running requests report several times a second.
+const REPORT_TTL_MS: u64 = 1_000;
 
-/// Runs by daemon and upstream.
+/// Latest report of each daemon.
 #[derive(Debug, Default)]
 pub struct RunReports {
+    /// Expiry of each report and the number of runs by upstream.
     reports: BTreeMap<SharedName, (TimePoint, BTreeMap<SharedName, u64>)>,
 }
 
 impl RunReports {
-    /// `daemon` runs this much at each upstream.
+    /// Handles a report of `daemon`, which replaces its previous one. `runs` holds its number of runs by upstream.
     pub fn runs_reported(&mut self, daemon: SharedName, runs: BTreeMap<SharedName, u64>, now: TimePoint) {
-        self.reports.insert(daemon, (now.plus_ms(REPORT_LIFE_MS), runs));
+        self.reports.insert(daemon, (now.plus_ms(REPORT_TTL_MS), runs));
     }
 
-    /// Runs of all daemons at each upstream.
+    /// Total number of runs by upstream over all valid reports.
     pub fn runs_by_upstream(&mut self, now: TimePoint) -> BTreeMap<SharedName, u64> {
-        self.reports.retain(|_, (until, _)| *until > now);
+        self.reports.retain(|_, (expires_at, _)| *expires_at > now);
         let mut total: BTreeMap<SharedName, u64> = BTreeMap::new();
         for (upstream, runs) in self.reports.values().flat_map(|(_, runs)| runs) {
             *total.entry(upstream.clone()).or_default() += runs;
--- a/crates/kernel/src/duty/scaling_planner.rs
+++ b/crates/kernel/src/duty/scaling_planner.rs
@@ -1,76 +1,83 @@
-//! How many upstreams of a service are to run in each failure domain, and of which kind.
+//! Planning of the number of standing and reclaimable upstreams of a service in each failure domain.
 //!
-//! Answers the load of batch jobs: a step is as late as its longest text, so that each of its items should find a slot
-//! at once. What ran at first is the committed floor and stays. Beyond it the reclaimable kind is ordered; where there is
-//! none, the standing kind.
+//! A training step waits for the longest text of its batch job, so each item should get a free slot at once. The
+//! standing upstreams that ran at first are the floor, which is always kept. Demand beyond the floor is met by
+//! reclaimable upstreams, or by standing ones where no reclaimable ones are available. The platform may stop
+//! reclaimable upstreams at any time, but not standing ones.
 
 use crate::{SamplerRecord, SamplerState, ScalingRule, SharedName, TimePoint};
 use std::collections::BTreeMap;
 
-/// The largest demand of this long counts, in milliseconds: several steps of training. Upstreams are given back only
-/// after it, since starts cost time and money.
+/// Window over which the largest demand is used. It spans several training steps, and upstreams are released only after
+/// it, since starting them costs time and money.
 const DEMAND_WINDOW_MS: u64 = 60_000;
-/// Added to the time from an order until its upstreams serve before they count as missing, in milliseconds.
+/// Added to the startup time of ordered upstreams before they count as missing.
 const STARTUP_SLACK_MS: u64 = 4_000;
-/// An order that was refused because there are none is not repeated for this long, in milliseconds.
-const UNAVAILABLE_MS: u64 = 10_000;
-/// An order that got no answer, or was refused for another reason, is repeated after this, in milliseconds.
-const RETRY_MS: u64 = 2_000;
+/// Backoff after an order that was refused because no such upstreams are available.
+const UNAVAILABLE_BACKOFF_MS: u64 = 10_000;
+/// Shortest time between two orders for the same failure domain and type of upstream; a failed order is repeated after
+/// it.
+const ORDER_INTERVAL_MS: u64 = 2_000;
 
-/// What became of an order.
+/// Outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ScalingOutcome {
-    /// It was accepted.
+    /// The platform accepted the order.
     Accepted,
-    /// There are none of that kind at the moment.
+    /// The platform refused the order because it has no such upstreams at the moment.
     Unavailable,
-    /// Refused or not answered.
+    /// The order was refused for another reason, or not answered.
     Failed,
 }
 
-/// An order for upstreams of one kind in one failure domain.
+/// Order to change the number of standing or reclaimable upstreams in a failure domain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScalingOrder {
-    /// Failure domain.
+    /// Failure domain of the upstreams.
     pub failure_domain: SharedName,
-    /// Whether reclaimable ones are meant.
+    /// Whether the order is for reclaimable upstreams; otherwise for standing ones.
     pub reclaimable: bool,
-    /// How many are to run.
+    /// Number of upstreams that are to run.
     pub desired: u64,
 }
 
+/// State of the orders for one type of upstream, standing or reclaimable, in a failure domain.
 #[derive(Clone, Copy, Debug, Default)]
-struct KindPlan {
-    /// Accepted order, and when its upstreams should serve.
-    ordered: Option<(u64, TimePoint)>,
-    /// No order before.
-    next_at: TimePoint,
+struct OrderState {
+    /// Number of upstreams in the last accepted order, and the time at which they should be ready.
+    accepted: Option<(u64, TimePoint)>,
+    /// Earliest time of the next order.
+    next_order_at: TimePoint,
+    /// End of the backoff after an order for which no upstreams were available.
     unavailable_until: TimePoint,
 }
 
+/// State of the orders for a failure domain.
 #[derive(Clone, Debug, Default)]
 struct DomainPlan {
-    standing: KindPlan,
-    reclaimable: KindPlan,
+    standing: OrderState,
+    reclaimable: OrderState,
 }
 
 impl DomainPlan {
-    fn kind(&mut self, reclaimable: bool) -> &mut KindPlan {
+    fn order_state(&mut self, reclaimable: bool) -> &mut OrderState {
         if reclaimable { &mut self.reclaimable } else { &mut self.standing }
     }
 }
 
-/// Plans the size of one service.
+/// Plans the number of upstreams of one service.
 #[derive(Debug, Default)]
 pub struct ScalingPlanner {
     domains: BTreeMap<SharedName, DomainPlan>,
-    peak: u64,
+    /// Largest demand within [`DEMAND_WINDOW_MS`].
+    peak_demand: u64,
+    /// Time at which the peak was reached last.
     peak_at: TimePoint,
 }
 
 impl ScalingPlanner {
-    /// Orders to be given now. `floor` is the number of standing upstreams that stay in each failure domain, `demand`
-    /// the number of requests that could run at once.
+    /// Orders to be sent now. `floor` is the number of standing upstreams by failure domain that are always kept,
+    /// `demand` the number of requests that could run at the same time.
     pub fn plan(
         &mut self,
         rule: &ScalingRule,
@@ -79,106 +86,107 @@
         demand: u64,
         now: TimePoint,
     ) -> Vec<ScalingOrder> {
-        if demand >= self.peak || now >= self.peak_at.plus_ms(DEMAND_WINDOW_MS) {
-            self.peak = demand;
+        if demand >= self.peak_demand || now >= self.peak_at.plus_ms(DEMAND_WINDOW_MS) {
+            self.peak_demand = demand;
             self.peak_at = now;
         }
         let slots = upstreams.iter().map(|record| record.slots).max().unwrap_or(0);
         if slots == 0 {
             return Vec::new();
         }
-        let targets = domain_targets(rule, self.peak.div_ceil(slots));
+        let targets = domain_targets(rule, self.peak_demand.div_ceil(slots));
         let mut orders = Vec::new();
         for (failure_domain, target) in targets {
-            let here = |reclaimable: bool| {
-                let of_kind = |record: &&SamplerRecord| {
+            let ready_count = |reclaimable: bool| {
+                let is_counted = |record: &&SamplerRecord| {
                     record.failure_domain == failure_domain
                         && record.reclaimable == reclaimable
                         && record.state == SamplerState::Ready
                 };
-                upstreams.iter().filter(of_kind).count() as u64
+                upstreams.iter().filter(is_counted).count() as u64
             };
-            let (standing, reclaimable) = (here(false), here(true));
+            let (standing, reclaimable) = (ready_count(false), ready_count(true));
             let floor = floor.get(&failure_domain).copied().unwrap_or(0).clamp(rule.upstreams_min, rule.upstreams_max);
             let plan = self.domains.entry(failure_domain.clone()).or_default();
             let extra = target.saturating_sub(floor);
-            let wants_reclaimable = rule.reclaimable_price.is_some() && plan.reclaimable.unavailable_until <= now;
-            // Standing ones that took the place of reclaimable ones stay until those serve.
+            let orders_reclaimable = rule.reclaimable_price.is_some() && plan.reclaimable.unavailable_until <= now;
+            // Standing upstreams that replaced unavailable reclaimable ones are kept until reclaimable ones are ready.
             let missing = extra.saturating_sub(reclaimable);
-            let replaced = standing.saturating_sub(floor).min(missing);
-            let (more_standing, more_reclaimable) =
-                if wants_reclaimable { (replaced, extra) } else { (missing, extra) };
-            for (kind, desired, present) in
-                [(false, floor + more_standing, standing), (true, more_reclaimable, reclaimable)]
+            let kept_replacements = standing.saturating_sub(floor).min(missing);
+            let (extra_standing, desired_reclaimable) =
+                if orders_reclaimable { (kept_replacements, extra) } else { (missing, extra) };
+            for (is_reclaimable, desired, present) in
+                [(false, floor + extra_standing, standing), (true, desired_reclaimable, reclaimable)]
             {
-                if plan.kind(kind).is_due(desired, present, now) {
+                if plan.order_state(is_reclaimable).is_due(desired, present, now) {
                     let failure_domain = failure_domain.clone();
-                    orders.push(ScalingOrder { failure_domain, reclaimable: kind, desired });
+                    orders.push(ScalingOrder { failure_domain, reclaimable: is_reclaimable, desired });
                 }
             }
         }
         orders
     }
 
-    /// An order was answered, or not.
+    /// Handles the outcome of an order. `startup_ms` is the time that ordered upstreams need until they are ready.
     pub fn order_answered(&mut self, order: &ScalingOrder, outcome: ScalingOutcome, startup_ms: u64, now: TimePoint) {
         let Some(plan) = self.domains.get_mut(&order.failure_domain) else { return };
-        let kind = plan.kind(order.reclaimable);
-        kind.next_at = now.plus_ms(RETRY_MS);
+        let state = plan.order_state(order.reclaimable);
+        state.next_order_at = now.plus_ms(ORDER_INTERVAL_MS);
         match outcome {
             ScalingOutcome::Accepted => {
-                kind.ordered = Some((order.desired, now.plus_ms(startup_ms + STARTUP_SLACK_MS)))
+                state.accepted = Some((order.desired, now.plus_ms(startup_ms + STARTUP_SLACK_MS)))
             }
-            ScalingOutcome::Unavailable => kind.unavailable_until = now.plus_ms(UNAVAILABLE_MS),
-            ScalingOutcome::Failed => kind.ordered = None,
+            ScalingOutcome::Unavailable => state.unavailable_until = now.plus_ms(UNAVAILABLE_BACKOFF_MS),
+            ScalingOutcome::Failed => state.accepted = None,
         }
     }
 }
 
-impl KindPlan {
-    /// Whether `desired` is to be ordered while `present` run.
+impl OrderState {
+    /// Whether an order for `desired` upstreams should be sent while `present` are ready.
     fn is_due(&self, desired: u64, present: u64, now: TimePoint) -> bool {
-        if now < self.next_at || now < self.unavailable_until {
+        if now < self.next_order_at || now < self.unavailable_until {
             return false;
         }
-        match self.ordered {
-            // Upstreams that were ordered and are missing have gone for good.
-            Some((ordered, serve_at)) => ordered != desired || (present < desired && now >= serve_at),
+        match self.accepted {
+            // Upstreams that are missing after their startup time will not return and must be ordered again.
+            Some((accepted, ready_at)) => accepted != desired || (present < desired && now >= ready_at),
             None => present != desired,
         }
     }
 }
 
-/// Standing upstreams of a service in each failure domain.
+/// Number of ready standing upstreams of a service by failure domain.
 #[must_use]
 pub fn standing_counts(upstreams: &[SamplerRecord]) -> BTreeMap<SharedName, u64> {
-    let mut floor: BTreeMap<SharedName, u64> = BTreeMap::new();
+    let mut counts: BTreeMap<SharedName, u64> = BTreeMap::new();
     let standing = upstreams.iter().filter(|record| !record.reclaimable && record.state == SamplerState::Ready);
     for record in standing {
-        *floor.entry(record.failure_domain.clone()).or_default() += 1;
+        *counts.entry(record.failure_domain.clone()).or_default() += 1;
     }
-    floor
+    counts
 }
 
-/// Upstreams of a service in each failure domain: as even as it gets, the cheapest ones first for what is left.
+/// Target number of upstreams by failure domain for `wanted` in total. They are spread as evenly as possible; the
+/// cheapest failure domains get the remainder.
 fn domain_targets(rule: &ScalingRule, wanted: u64) -> BTreeMap<SharedName, u64> {
     let mut targets: BTreeMap<SharedName, u64> =
         rule.domain_prices.keys().map(|domain| (domain.clone(), rule.upstreams_min)).collect();
     let mut by_price: Vec<(&u64, &SharedName)> =
         rule.domain_prices.iter().map(|(domain, price)| (price, domain)).collect();
     by_price.sort();
-    let mut left = wanted.saturating_sub(targets.values().sum());
-    while left > 0 {
-        let before = left;
-        let fewest = targets.values().copied().min().unwrap_or(rule.upstreams_max);
+    let mut remaining = wanted.saturating_sub(targets.values().sum());
+    while remaining > 0 {
+        let before_pass = remaining;
+        let lowest = targets.values().copied().min().unwrap_or(rule.upstreams_max);
         for (_, domain) in &by_price {
             let target = targets.entry((*domain).clone()).or_default();
-            if left > 0 && *target == fewest && *target < rule.upstreams_max {
+            if remaining > 0 && *target == lowest && *target < rule.upstreams_max {
                 *target += 1;
-                left -= 1;
+                remaining -= 1;
             }
         }
-        if left == before {
+        if remaining == before_pass {
             break;
         }
     }
--- a/crates/kernel/src/duty/version_planner.rs
+++ b/crates/kernel/src/duty/version_planner.rs
@@ -1,158 +1,170 @@
-//! Moves upstreams to the newest versions of the models they serve, a few at a time.
+//! Planning of weight loads: assigns a model to each upstream and moves upstreams to the newest version of their model,
+//! a few at a time.
 //!
-//! Answers the load of trainers that name a version every few seconds and want the texts of a step from that version or
-//! the one before. An upstream starts nothing while it loads, and its runs stand still. So upstreams that can no longer
-//! serve the newest step load at once, idle ones next, and busy ones only until half of the model's have the version:
-//! the one half serves a step while the other half loads for the next.
+//! Trainers announce a version every few seconds and require the texts of a step from that version or the previous one.
+//! While an upstream loads weights it starts no runs, and its current runs stall. So upstreams that cannot serve the
+//! newest step load immediately, then idle ones, and busy ones only until half of the model's upstreams have the newest
+//! version: one half serves a step while the other half loads the weights for the next.
 
 use crate::{SamplerRecord, SamplerState, SharedName, TimePoint};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One standing upstream in this many loads at a time; loads slow each other down beyond a few.
+/// At most one in this many standing upstreams loads at a time; more than a few concurrent loads slow each other down.
 const LOADING_DIVISOR: usize = 5;
-/// A load that was accepted but does not show in the list is taken for lost after this.
-const LOAD_LOST_MS: u64 = 6_000;
-/// A step of training is asked for when its version is named. Upstreams that may serve it load after this, when its
-/// items have found their places.
+/// Time after which an accepted load is considered lost if the list of upstreams doesn't show the new version.
+const LOAD_TIMEOUT_MS: u64 = 6_000;
+/// Delay after a new version before upstreams load it that can serve the newest step with their current version. A
+/// trainer submits a step when it announces the version, and the delay lets the items of that step start first.
 const LOAD_DELAY_MS: u64 = 700;
-/// Pause after an order that was not accepted.
-const RETRY_PAUSE_MS: u64 = 400;
-/// Longest wait for the answer of an order, in the planner's books.
-const ANSWER_MS: u64 = 1_500;
-/// Scale of a model's share of the upstreams.
+/// Backoff after an order that was not accepted.
+const RETRY_BACKOFF_MS: u64 = 400;
+/// Time for which an upstream counts as loading while its order has not been answered.
+const ORDER_TIMEOUT_MS: u64 = 1_500;
+/// Fixed-point scale of a model's share: this value stands for one upstream.
 const SHARE_SCALE: u64 = 1_000;
 
-/// An order to load weights.
+/// Order to an upstream to load a version of a model's weights.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LoadOrder {
-    /// Upstream.
+    /// Id of the upstream.
     pub upstream: SharedName,
-    /// Its address.
+    /// Address of the upstream, `ip:port`.
     pub address: SharedName,
-    /// Model.
+    /// Model whose weights are loaded.
     pub model: SharedName,
     /// Version to load.
     pub version: u64,
-    /// Orders that the upstream accepted before, which guards against late ones; none if it must be asked.
+    /// Number of orders that the upstream has accepted before. The upstream compares it with its own count and so
+    /// rejects delayed orders. `None` if the count is unknown and must be requested from the upstream.
     pub accepted_before: Option<u64>,
 }
 
-/// What became of an order.
+/// Outcome of a load order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadOutcome {
-    /// The upstream carries it out.
+    /// The upstream loads the version.
     Accepted,
     /// The upstream had that version already.
     AlreadyLoaded,
-    /// Another order is in progress, or the number of orders accepted differs.
+    /// Another load is in progress, or the upstream has accepted a different number of orders.
     Conflict,
-    /// The upstream refused it, or is another one.
+    /// The upstream refused the order, or another upstream now has its address.
     Refused,
-    /// No answer: it may be carried out, also later.
+    /// The upstream did not answer; it may still carry out the order, now or later.
     Unanswered,
 }
 
-/// What is asked of one model.
+/// Demand for one model.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ModelDemand {
-    /// Newest version that its trainer named.
+    /// Newest version that the trainer announced; 0 if it announced none.
     pub newest_version: u64,
-    /// Oldest version that the newest step allows; 0 if there is none.
+    /// Oldest version that the newest step accepts; 0 if there is no step.
     pub oldest_usable_version: u64,
-    /// Work of its recent steps, in any unit that all models share.
+    /// Amount of work in its recent steps, in a unit that all models share, such as tokens.
     pub work: u64,
 }
 
-/// What the planner sees of one service.
+/// State of one service as input to the planner.
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceSnapshot<'a> {
-    /// Its upstreams.
+    /// Listed upstreams of the service.
     pub upstreams: &'a [SamplerRecord],
-    /// Models that its upstreams serve.
+    /// Demand for each model of the service.
     pub models: &'a BTreeMap<SharedName, ModelDemand>,
-    /// Runs at each upstream, as far as known.
+    /// Number of runs by upstream, from the latest reports of all daemons.
     pub runs: &'a BTreeMap<SharedName, u64>,
 }
 
+/// Assignment and load state of one upstream.
 #[derive(Clone, Debug, Default)]
 struct UpstreamPlan {
+    /// Model that the upstream is assigned to.
     model: Option<SharedName>,
-    accepted: Option<u64>,
+    /// Number of orders that the upstream has accepted, if known.
+    accepted_count: Option<u64>,
+    /// Start of the upstream's process, which identifies its incarnation.
     started_unix_ms: u64,
+    /// Time until which the upstream counts as loading.
     loading_until: TimePoint,
+    /// Version in the last order.
     loading_version: u64,
-    next_at: TimePoint,
+    /// End of the backoff after an order that was not accepted.
+    next_order_at: TimePoint,
 }
 
-/// How much a load now would disturb; the least comes first.
+/// Category of an upstream by how much a load would disrupt the newest step. The first categories load first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum LoadClass {
-    /// Cannot serve the newest step.
+enum LoadPriority {
+    /// Its version is too old to serve the newest step.
     Unusable,
-    /// Runs nothing.
+    /// Can serve the newest step but has no runs.
     Idle,
-    /// Serves the newest step.
+    /// Can serve the newest step and has runs.
     Busy,
 }
 
-/// Deals upstreams to models and plans their loads.
+/// Assigns the upstreams of a service to models and plans their loads.
 #[derive(Debug, Default)]
 pub struct VersionPlanner {
+    /// State of the listed upstreams by id.
     plans: BTreeMap<SharedName, UpstreamPlan>,
-    /// When each model's newest version was first seen.
-    seen: BTreeMap<SharedName, (u64, TimePoint)>,
-    /// How many upstreams each model is to have.
+    /// Newest version of each model and the time at which it was first seen.
+    newest_seen: BTreeMap<SharedName, (u64, TimePoint)>,
+    /// Number of upstreams that each model should have.
     quotas: BTreeMap<SharedName, u64>,
 }
 
 impl VersionPlanner {
-    /// Orders to be given now.
-    pub fn plan(&mut self, view: &ServiceSnapshot<'_>, now: TimePoint) -> Vec<LoadOrder> {
-        self.sync(view.upstreams);
-        self.note(view.models, now);
+    /// Orders to be sent now.
+    pub fn plan(&mut self, service: &ServiceSnapshot<'_>, now: TimePoint) -> Vec<LoadOrder> {
+        self.sync_upstreams(service.upstreams);
+        self.record_versions(service.models, now);
         let ready: Vec<&SamplerRecord> =
-            view.upstreams.iter().filter(|record| record.state == SamplerState::Ready).collect();
-        self.deal(&ready, view.models);
+            service.upstreams.iter().filter(|record| record.state == SamplerState::Ready).collect();
+        self.assign_models(&ready, service.models);
         let standing = ready.iter().filter(|record| !record.reclaimable).count();
         let loading = self.plans.values().filter(|plan| plan.loading_until > now).count();
-        let mut room = standing.div_ceil(LOADING_DIVISOR).max(1).saturating_sub(loading);
+        let mut remaining = standing.div_ceil(LOADING_DIVISOR).max(1).saturating_sub(loading);
         let mut orders = Vec::new();
-        for model in self.by_need(&ready, view.models, now) {
-            for record in self.candidates(&ready, &model, view, now) {
-                if room == 0 {
+        for model in self.models_by_need(&ready, service.models, now) {
+            for record in self.load_candidates(&ready, &model, service, now) {
+                if remaining == 0 {
                     return orders;
                 }
-                orders.push(self.order(record, &model, view.models[&model].newest_version, now));
-                room -= 1;
+                orders.push(self.create_order(record, &model, service.models[&model].newest_version, now));
+                remaining -= 1;
             }
         }
         orders
     }
 
-    /// An order was answered, or not.
+    /// Handles the outcome of an order.
     pub fn order_answered(&mut self, order: &LoadOrder, outcome: LoadOutcome, now: TimePoint) {
         let Some(plan) = self.plans.get_mut(&order.upstream) else { return };
         match outcome {
             LoadOutcome::Accepted => {
-                plan.accepted = order.accepted_before.map(|count| count + 1);
-                plan.loading_until = now.plus_ms(LOAD_LOST_MS);
+                plan.accepted_count = order.accepted_before.map(|count| count + 1);
+                plan.loading_until = now.plus_ms(LOAD_TIMEOUT_MS);
             }
             LoadOutcome::AlreadyLoaded => plan.loading_until = now,
             LoadOutcome::Conflict | LoadOutcome::Refused | LoadOutcome::Unanswered => {
-                plan.accepted = None;
+                plan.accepted_count = None;
                 plan.loading_until = now;
-                plan.next_at = now.plus_ms(RETRY_PAUSE_MS);
+                plan.next_order_at = now.plus_ms(RETRY_BACKOFF_MS);
             }
         }
     }
 
-    /// Model that `upstream` is dealt to.
+    /// Model that `upstream` is assigned to; `None` if it has none or is not listed.
     #[must_use]
     pub fn assigned_model(&self, upstream: &str) -> Option<&SharedName> {
         self.plans.get(upstream)?.model.as_ref()
     }
 
-    fn sync(&mut self, upstreams: &[SamplerRecord]) {
+    /// Drops the plans of upstreams that are no longer listed, resets those of restarted ones, and clears the loading
+    /// state of upstreams that list the ordered version.
+    fn sync_upstreams(&mut self, upstreams: &[SamplerRecord]) {
         let listed: BTreeSet<&SharedName> = upstreams.iter().map(|record| &record.id).collect();
         self.plans.retain(|id, _| listed.contains(id));
         for record in upstreams {
@@ -171,20 +183,22 @@
         }
     }
 
-    fn note(&mut self, models: &BTreeMap<SharedName, ModelDemand>, now: TimePoint) {
+    /// Records the time at which a new version of a model is first seen.
+    fn record_versions(&mut self, models: &BTreeMap<SharedName, ModelDemand>, now: TimePoint) {
         for (model, demand) in models {
-            let seen = self.seen.entry(model.clone()).or_insert((demand.newest_version, now));
+            let seen = self.newest_seen.entry(model.clone()).or_insert((demand.newest_version, now));
             if seen.0 < demand.newest_version {
                 *seen = (demand.newest_version, now);
             }
         }
     }
 
-    /// Gives each upstream one model, as the models' work asks, and moves as few as possible.
-    fn deal(&mut self, ready: &[&SamplerRecord], models: &BTreeMap<SharedName, ModelDemand>) {
-        self.set_quotas(ready.len() as u64, models);
+    /// Assigns one model to each upstream in proportion to the models' work, and reassigns as few upstreams as
+    /// possible.
+    fn assign_models(&mut self, ready: &[&SamplerRecord], models: &BTreeMap<SharedName, ModelDemand>) {
+        self.update_quotas(ready.len() as u64, models);
         let mut counts: BTreeMap<SharedName, u64> = self.quotas.keys().map(|model| (model.clone(), 0)).collect();
-        let mut free = Vec::new();
+        let mut unassigned = Vec::new();
         for record in ready {
             let Some(plan) = self.plans.get_mut(&record.id) else { continue };
             let quotas = &self.quotas;
@@ -193,17 +207,19 @@
                 Some((count, quota)) if *count < quota => *count += 1,
                 _ => {
                     plan.model = None;
-                    free.push(record);
+                    unassigned.push(record);
                 }
             }
         }
-        for record in free {
-            // Of the models that lack upstreams, the one whose newest version is nearest to what it has.
+        for record in unassigned {
+            // Among the models below their quota, choose the one whose weights at this upstream lag the least.
             let lacking = self.quotas.iter().filter(|(model, quota)| counts[*model] < **quota);
             let lag = |model: &SharedName| {
                 models[model].newest_version.saturating_sub(record.versions.get(model).copied().unwrap_or(0))
             };
-            let Some(model) = lacking.map(|(model, _)| model).min_by_key(|model| lag(model)).cloned() else { continue };
+            let Some(model) = lacking.map(|(model, _)| model).min_by_key(|model| lag(model)).cloned() else {
+                continue;
+            };
             *counts.entry(model.clone()).or_default() += 1;
             if let Some(plan) = self.plans.get_mut(&record.id) {
                 plan.model = Some(model);
@@ -211,107 +227,111 @@
         }
     }
 
-    /// Keeps the quotas unless the number of upstreams or models has changed, or a model's share is off by a whole one.
-    fn set_quotas(&mut self, upstreams: u64, models: &BTreeMap<SharedName, ModelDemand>) {
+    /// Recomputes the quotas if the number of upstreams or the set of models has changed, or if a model's quota differs
+    /// from its share by at least one upstream. Models without an announced version get no quota while others have one.
+    fn update_quotas(&mut self, upstreams: u64, models: &BTreeMap<SharedName, ModelDemand>) {
         let trained = models.iter().filter(|(_, demand)| demand.newest_version > 0);
         let trained: Vec<(&SharedName, &ModelDemand)> = trained.collect();
-        let dealt = if trained.is_empty() { models.iter().collect() } else { trained };
-        let shares = shares(upstreams, &dealt);
+        let eligible = if trained.is_empty() { models.iter().collect() } else { trained };
+        let shares = model_shares(upstreams, &eligible);
         let same_models =
             self.quotas.len() == shares.len() && shares.keys().all(|model| self.quotas.contains_key(model));
-        let fits = same_models
+        let is_current = same_models
             && self.quotas.values().sum::<u64>() == upstreams
             && shares.iter().all(|(model, share)| (self.quotas[model] * SHARE_SCALE).abs_diff(*share) < SHARE_SCALE);
-        if !fits {
-            self.quotas = whole_shares(upstreams, &shares);
+        if !is_current {
+            self.quotas = rounded_quotas(upstreams, &shares);
         }
     }
 
-    /// Models with the fewest upstreams at the newest version first.
-    fn by_need(
+    /// Models in ascending order of the number of upstreams that have or load their newest version.
+    fn models_by_need(
         &self,
         ready: &[&SamplerRecord],
         models: &BTreeMap<SharedName, ModelDemand>,
         now: TimePoint,
     ) -> Vec<SharedName> {
         let mut names: Vec<SharedName> = self.quotas.keys().cloned().collect();
-        names.sort_by_key(|model| self.at_newest(ready, model, models[model].newest_version, now));
+        names.sort_by_key(|model| self.count_at_version(ready, model, models[model].newest_version, now));
         names
     }
 
-    /// Upstreams of `model` that have `version` or load it.
-    fn at_newest(&self, ready: &[&SamplerRecord], model: &SharedName, version: u64, now: TimePoint) -> usize {
-        let dealt = ready.iter().filter(|record| self.assigned_model(&record.id) == Some(model));
-        dealt
+    /// Number of upstreams assigned to `model` that have or load `version` or a newer one.
+    fn count_at_version(&self, ready: &[&SamplerRecord], model: &SharedName, version: u64, now: TimePoint) -> usize {
+        let assigned = ready.iter().filter(|record| self.assigned_model(&record.id) == Some(model));
+        assigned
             .filter(|record| {
-                let loads = |plan: &UpstreamPlan| plan.loading_until > now && plan.loading_version >= version;
-                record.versions.get(model).is_some_and(|held| *held >= version)
-                    || self.plans.get(&record.id).is_some_and(loads)
+                let loads_version = |plan: &UpstreamPlan| plan.loading_until > now && plan.loading_version >= version;
+                record.versions.get(model).is_some_and(|loaded| *loaded >= version)
+                    || self.plans.get(&record.id).is_some_and(loads_version)
             })
             .count()
     }
 
-    /// Upstreams of `model` that may load now, those first whose loads disturb least.
-    fn candidates<'a>(
+    /// Upstreams of `model` that may load its newest version now, by ascending priority and number of runs.
+    fn load_candidates<'a>(
         &self,
         ready: &[&'a SamplerRecord],
         model: &SharedName,
-        view: &ServiceSnapshot<'_>,
+        service: &ServiceSnapshot<'_>,
         now: TimePoint,
     ) -> Vec<&'a SamplerRecord> {
-        let demand = view.models[model];
-        let settled = self.seen.get(model).is_some_and(|(_, since)| now >= since.plus_ms(LOAD_DELAY_MS));
-        let dealt: Vec<&&SamplerRecord> =
+        let demand = service.models[model];
+        let delay_over = self.newest_seen.get(model).is_some_and(|(_, since)| now >= since.plus_ms(LOAD_DELAY_MS));
+        let assigned: Vec<&&SamplerRecord> =
             ready.iter().filter(|record| self.assigned_model(&record.id) == Some(model)).collect();
-        let mut wanted =
-            dealt.len().div_ceil(2).saturating_sub(self.at_newest(ready, model, demand.newest_version, now));
-        let mut candidates: Vec<(LoadClass, u64, &'a SamplerRecord)> = Vec::new();
-        for record in dealt {
-            let Some(held) = record.versions.get(model).copied() else { continue };
-            let free = self.plans.get(&record.id).is_some_and(|plan| plan.loading_until <= now && plan.next_at <= now);
-            if held >= demand.newest_version || !free {
+        let mut missing =
+            assigned.len().div_ceil(2).saturating_sub(self.count_at_version(ready, model, demand.newest_version, now));
+        let mut candidates: Vec<(LoadPriority, u64, &'a SamplerRecord)> = Vec::new();
+        for record in assigned {
+            let Some(loaded) = record.versions.get(model).copied() else { continue };
+            let may_load =
+                self.plans.get(&record.id).is_some_and(|plan| plan.loading_until <= now && plan.next_order_at <= now);
+            if loaded >= demand.newest_version || !may_load {
                 continue;
             }
-            let runs = view.runs.get(&record.id).copied().unwrap_or(0);
-            let class = match (held < demand.oldest_usable_version, runs) {
-                (true, _) => LoadClass::Unusable,
-                (false, 0) => LoadClass::Idle,
-                (false, _) => LoadClass::Busy,
+            let runs = service.runs.get(&record.id).copied().unwrap_or(0);
+            let priority = match (loaded < demand.oldest_usable_version, runs) {
+                (true, _) => LoadPriority::Unusable,
+                (false, 0) => LoadPriority::Idle,
+                (false, _) => LoadPriority::Busy,
             };
-            if class == LoadClass::Unusable || settled {
-                candidates.push((class, runs, record));
+            if priority == LoadPriority::Unusable || delay_over {
+                candidates.push((priority, runs, record));
             }
         }
-        candidates.sort_by_key(|(class, runs, _)| (*class, *runs));
-        let chosen = candidates.into_iter().filter(|(class, ..)| {
-            let may = *class != LoadClass::Busy || wanted > 0;
-            wanted = wanted.saturating_sub(1);
-            may
+        candidates.sort_by_key(|(priority, runs, _)| (*priority, *runs));
+        let chosen = candidates.into_iter().filter(|(priority, ..)| {
+            let is_allowed = *priority != LoadPriority::Busy || missing > 0;
+            missing = missing.saturating_sub(1);
+            is_allowed
         });
         chosen.map(|(_, _, record)| record).collect()
     }
 
-    fn order(&mut self, record: &SamplerRecord, model: &SharedName, version: u64, now: TimePoint) -> LoadOrder {
+    /// Creates an order for an upstream and marks the upstream as loading.
+    fn create_order(&mut self, record: &SamplerRecord, model: &SharedName, version: u64, now: TimePoint) -> LoadOrder {
         let plan = self.plans.entry(record.id.clone()).or_default();
-        plan.loading_until = now.plus_ms(ANSWER_MS);
+        plan.loading_until = now.plus_ms(ORDER_TIMEOUT_MS);
         plan.loading_version = version;
         LoadOrder {
             upstream: record.id.clone(),
             address: record.address.clone(),
             model: model.clone(),
             version,
-            accepted_before: plan.accepted,
+            accepted_before: plan.accepted_count,
         }
     }
 }
 
-/// Each model's share of the upstreams in thousandths, by work; at least one each where there are enough.
-fn shares(upstreams: u64, models: &[(&SharedName, &ModelDemand)]) -> BTreeMap<SharedName, u64> {
+/// Share of the upstreams by model, in units of 1/[`SHARE_SCALE`] upstream. Shares are proportional to the work beyond
+/// one upstream per model; they are equal if a model has no work or if there are fewer upstreams than models.
+fn model_shares(upstreams: u64, models: &[(&SharedName, &ModelDemand)]) -> BTreeMap<SharedName, u64> {
     let count = models.len() as u64;
-    let even = models.iter().any(|(_, demand)| demand.work == 0) || upstreams < count;
+    let is_even = models.iter().any(|(_, demand)| demand.work == 0) || upstreams < count;
     let total: u64 = models.iter().map(|(_, demand)| demand.work).sum();
     let share = |demand: &ModelDemand| {
-        if even {
+        if is_even {
             return upstreams * SHARE_SCALE / count;
         }
         SHARE_SCALE + (upstreams - count) * SHARE_SCALE * demand.work / total
@@ -319,14 +339,14 @@
     models.iter().map(|(model, demand)| ((*model).clone(), share(demand))).collect()
 }
 
-/// Whole numbers of upstreams nearest to the shares, `upstreams` together.
-fn whole_shares(upstreams: u64, shares: &BTreeMap<SharedName, u64>) -> BTreeMap<SharedName, u64> {
+/// Rounds the shares to numbers of upstreams that add up to `upstreams`, by the largest remainder method.
+fn rounded_quotas(upstreams: u64, shares: &BTreeMap<SharedName, u64>) -> BTreeMap<SharedName, u64> {
     let mut quotas: BTreeMap<SharedName, u64> =
         shares.iter().map(|(model, share)| (model.clone(), share / SHARE_SCALE)).collect();
-    let mut by_rest: Vec<&SharedName> = shares.keys().collect();
-    by_rest.sort_by_key(|model| std::cmp::Reverse(shares[*model] % SHARE_SCALE));
-    let left = upstreams.saturating_sub(quotas.values().sum());
-    for model in by_rest.into_iter().cycle().take(usize::try_from(left).unwrap_or(0)) {
+    let mut by_remainder: Vec<&SharedName> = shares.keys().collect();
+    by_remainder.sort_by_key(|model| std::cmp::Reverse(shares[*model] % SHARE_SCALE));
+    let unassigned = upstreams.saturating_sub(quotas.values().sum());
+    for model in by_remainder.into_iter().cycle().take(usize::try_from(unassigned).unwrap_or(0)) {
         *quotas.entry(model.clone()).or_default() += 1;
     }
     quotas
--- a/crates/kernel/src/sampler/mod.rs
+++ b/crates/kernel/src/sampler/mod.rs
@@ -1,4 +1,5 @@
-//! Upstreams that register themselves, and the choice among them.
+//! Samplers: upstreams that register with the platform and generate texts, score them or serve other requests. Keeps
+//! their list and load, and selects one for each request.
 
 mod sampler_record;
 mod sampler_table;
--- a/crates/kernel/src/sampler/sampler_record.rs
+++ b/crates/kernel/src/sampler/sampler_record.rs
@@ -1,36 +1,37 @@
-//! What an upstream says of itself in the platform's list.
+//! Entries of the platform's list of upstreams.
 
 use crate::SharedName;
 use std::collections::BTreeMap;
 
-/// Whether an upstream takes new work.
+/// Whether an upstream accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SamplerState {
-    /// Takes new work.
+    /// Accepts new requests.
     Ready,
-    /// Finishes its work and takes none.
+    /// Completes its current requests and accepts no new ones.
     Leaving,
 }
 
-/// One upstream as listed.
+/// Properties of an upstream as it reported them to the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SamplerRecord {
-    /// Id of its incarnation.
+    /// Id of the upstream's incarnation.
     pub id: SharedName,
-    /// Service that it runs.
+    /// Service that the upstream belongs to.
     pub service: SharedName,
-    /// `ip:port`.
+    /// Address, `ip:port`.
     pub address: SharedName,
-    /// Failure domain.
+    /// Failure domain in which the upstream runs.
     pub failure_domain: SharedName,
-    /// Requests that it runs at a time.
+    /// Number of requests that the upstream runs at the same time.
     pub slots: u64,
-    /// Whether it takes new work.
+    /// Whether the upstream accepts new requests.
     pub state: SamplerState,
-    /// Weight version by model.
+    /// Loaded version of the weights by model.
     pub versions: BTreeMap<SharedName, u64>,
-    /// Start of its process in milliseconds since the Unix epoch; tells incarnations with one id apart.
+    /// Start of the upstream's process, in milliseconds since the Unix epoch. Distinguishes incarnations with the same
+    /// id.
     pub started_unix_ms: u64,
-    /// Whether the platform may reclaim it.
+    /// Whether the platform may stop the upstream at any time to reclaim its machine.
     pub reclaimable: bool,
 }
--- a/crates/kernel/src/sampler/sampler_table.rs
+++ b/crates/kernel/src/sampler/sampler_table.rs
@@ -1,91 +1,100 @@
-//! The upstreams that a daemon knows, their load, and the choice among them.
+//! Table of the listed upstreams with their load, from which an upstream is selected for each request.
 
 use super::{SamplerRecord, SamplerState};
 use crate::{SharedName, TimePoint, rendezvous};
 use std::collections::BTreeMap;
 
-/// First pause after a failed attempt; doubles with each further failure in a row.
+/// Backoff after a failed request; doubles with each further consecutive failure.
 const BACKOFF_BASE_MS: u64 = 250;
-/// Longest pause; an upstream that restarts is back after some seconds.
+/// Longest backoff after failed requests; a restarting upstream is ready again within a few seconds.
 const BACKOFF_MAX_MS: u64 = 4_000;
-/// Pause after a refusal: about the time in which a slot becomes free.
-const REFUSAL_PAUSE_MS: u64 = 200;
-/// Pause after a refusal for one model: a fraction of the time in which weights are loaded.
-const MODEL_REFUSAL_PAUSE_MS: u64 = 300;
-/// What an upstream said about its load counts this long.
-const LOAD_REPORT_LIFE_MS: u64 = 1_000;
-/// A request's share in the moving average of the pace is one in this many.
-const PACE_WEIGHT: u64 = 8;
-/// One slot in this many is left to requests with a caller who waits.
-const SPARED_SLOTS_DIVISOR: u64 = 3;
-/// Cost of another failure domain, in thousandths of a slot.
-const AWAY_COST: u64 = 150;
-/// Scale of costs.
+/// Backoff after a refused request: about the time until a slot becomes free.
+const REFUSAL_BACKOFF_MS: u64 = 200;
+/// Backoff for one model after a refusal due to loading of weights: a fraction of the time that a load takes.
+const MODEL_REFUSAL_BACKOFF_MS: u64 = 300;
+/// Time for which the load that an upstream reported is valid.
+const LOAD_REPORT_TTL_MS: u64 = 1_000;
+/// Reciprocal of the weight of a new request in the moving average of the latency.
+const AVERAGE_DIVISOR: u64 = 8;
+/// One slot in this many is reserved for interactive requests, whose callers wait for the response.
+const RESERVED_SLOTS_DIVISOR: u64 = 3;
+/// Cost added for an upstream in another failure domain, in units of 1/[`COST_SCALE`].
+const OTHER_DOMAIN_COST: u64 = 150;
+/// Fixed-point scale of costs: this value is the cost of an upstream whose slots would all be in use.
 const COST_SCALE: u64 = 1_000;
 
-/// How an attempt ended, as far as the upstream's standing goes.
+/// Outcome of a request, as far as it matters for the selection of the upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SamplerOutcome {
-    /// It answered; took this many milliseconds for a unit of work, where that is known.
+    /// The upstream responded. Holds the latency in milliseconds per unit of work, if measured; the unit is an event
+    /// for streamed texts and a request otherwise.
     Answered(Option<u64>),
-    /// It refused to run the request.
+    /// The upstream refused the request.
     Refused,
-    /// It was unreachable, or broke off.
+    /// The upstream was unreachable, or the connection was lost.
     Failed,
-    /// The caller left; nothing is learned.
+    /// The request was cancelled, which says nothing about the upstream.
     Abandoned,
 }
 
-/// How much room a request needs at an upstream.
+/// Capacity that an upstream must have for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CapacityNeed {
-    /// None: it may wait there.
+    /// None: the request may be queued at the upstream.
     Queue,
-    /// A free slot.
+    /// At least one free slot.
     FreeSlot,
-    /// A free slot beyond those that are left to requests with a caller who waits. Answers the load of scorers, which
-    /// come by the hundred as a step ends, at upstreams that quote prices too.
+    /// A free slot beyond those reserved for interactive requests. Used for scoring: at the end of a step hundreds of
+    /// scoring requests are sent at once, to upstreams that also serve interactive requests such as price quotes.
     SpareSlot,
 }
 
 impl CapacityNeed {
+    /// Whether an upstream with `load` requests on `slots` slots has the capacity.
     fn is_met(self, load: u64, slots: u64) -> bool {
         match self {
             Self::Queue => true,
             Self::FreeSlot => load < slots,
-            Self::SpareSlot => load < slots - slots / SPARED_SLOTS_DIVISOR,
+            Self::SpareSlot => load < slots - slots / RESERVED_SLOTS_DIVISOR,
         }
     }
 }
 
-/// What a request needs.
+/// Requirements of a request on its upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct SamplerQuery<'a> {
-    /// Service to run on.
+    /// Service that the request is for.
     pub service: &'a str,
-    /// Model and the oldest version of it that will do.
+    /// Model that the request needs, and the oldest acceptable version of its weights.
     pub model: Option<(&'a str, u64)>,
-    /// Failure domain of the daemon.
+    /// Failure domain of the daemon, whose upstreams are preferred.
     pub failure_domain: &'a str,
-    /// Ids of upstreams already tried.
+    /// Ids of upstreams that must not be selected, such as those already tried.
     pub excluded: &'a [SharedName],
-    /// How much room an upstream must have.
+    /// Capacity that the upstream must have.
     pub capacity: CapacityNeed,
-    /// Spreads equal choices; requests with one key prefer one upstream.
+    /// Key that selects among upstreams of equal cost; requests with the same key prefer the same upstream.
     pub affinity: &'a str,
 }
 
+/// A listed upstream with its load and recent failures.
 #[derive(Clone, Debug)]
 struct SamplerEntry {
     record: SamplerRecord,
+    /// Number of requests of this daemon in progress.
     inflight: u64,
-    others: u64,
-    others_until: TimePoint,
+    /// Number of requests of other daemons, as last reported.
+    others_load: u64,
+    /// Expiry of `others_load`.
+    others_load_until: TimePoint,
+    /// Number of consecutive failed requests.
     failures: u32,
-    paused_until: TimePoint,
-    /// Until then it refuses requests for these models, because it loads weights.
-    refuses_until: BTreeMap<SharedName, TimePoint>,
-    pace_ms: Option<u64>,
+    /// End of the backoff after failed or refused requests.
+    backoff_until: TimePoint,
+    /// End of the backoff by model, after refusals because the upstream loads weights.
+    model_backoff_until: BTreeMap<SharedName, TimePoint>,
+    /// Moving average of the latency per unit of work.
+    latency_ms: Option<u64>,
 }
 
 impl SamplerEntry {
@@ -93,43 +102,47 @@
         Self {
             record,
             inflight: 0,
-            others: 0,
-            others_until: TimePoint(0),
+            others_load: 0,
+            others_load_until: TimePoint(0),
             failures: 0,
-            paused_until: TimePoint(0),
-            refuses_until: BTreeMap::new(),
-            pace_ms: None,
+            backoff_until: TimePoint(0),
+            model_backoff_until: BTreeMap::new(),
+            latency_ms: None,
         }
     }
 
-    /// Requests on it as far as known: its own are exact, others' are as last reported.
+    /// Number of requests at the upstream: the exact number of this daemon's, and that of other daemons as last
+    /// reported.
     fn load(&self, now: TimePoint) -> u64 {
-        let others = if now < self.others_until { self.others } else { 0 };
-        self.inflight + others
+        let others_load = if now < self.others_load_until { self.others_load } else { 0 };
+        self.inflight + others_load
     }
 
-    fn is_open(&self, query: &SamplerQuery<'_>, now: TimePoint) -> bool {
-        let refuses_until = query.model.and_then(|(model, _)| self.refuses_until.get(model));
-        self.paused_until <= now && refuses_until.is_none_or(|until| *until <= now)
+    /// Whether the upstream is not backing off for the query.
+    fn is_available(&self, query: &SamplerQuery<'_>, now: TimePoint) -> bool {
+        let model_backoff_until = query.model.and_then(|(model, _)| self.model_backoff_until.get(model));
+        self.backoff_until <= now && model_backoff_until.is_none_or(|until| *until <= now)
     }
 
+    /// Whether the upstream accepts new requests for the service and has an acceptable version of the model.
     fn serves(&self, query: &SamplerQuery<'_>) -> bool {
         let record = &self.record;
-        let model_fits = query
+        let has_model = query
             .model
             .is_none_or(|(model, oldest)| record.versions.get(model).is_some_and(|version| *version >= oldest));
-        record.state == SamplerState::Ready && *record.service == *query.service && model_fits
+        record.state == SamplerState::Ready && *record.service == *query.service && has_model
     }
 }
 
-/// All upstreams by id.
+/// Listed upstreams of all services, by id.
 #[derive(Debug, Default)]
 pub struct SamplerTable {
     entries: BTreeMap<SharedName, SamplerEntry>,
 }
 
 impl SamplerTable {
-    /// Takes in an upstream's latest record.
+    /// Adds an upstream or updates its record. Load and failures are kept unless the upstream was restarted or has
+    /// another address.
     pub fn upsert(&mut self, record: SamplerRecord) {
         match self.entries.get_mut(&record.id) {
             Some(entry)
@@ -143,12 +156,12 @@
         }
     }
 
-    /// An upstream is off the list.
+    /// Removes an upstream that is no longer listed.
     pub fn remove(&mut self, id: &str) {
         self.entries.remove(id);
     }
 
-    /// Replaces the whole list.
+    /// Replaces the complete list; see [`Self::upsert`] for upstreams that were listed before.
     pub fn replace_all(&mut self, records: Vec<SamplerRecord>) {
         self.entries.retain(|id, _| records.iter().any(|record| record.id == *id));
         for record in records {
@@ -156,91 +169,101 @@
         }
     }
 
-    /// The record of `id`.
+    /// Record of the upstream `id`; `None` if it is not listed.
     #[must_use]
     pub fn get(&self, id: &str) -> Option<&SamplerRecord> {
         self.entries.get(id).map(|entry| &entry.record)
     }
 
-    /// All records, by id.
+    /// Records of all upstreams, ordered by id.
     pub fn records(&self) -> impl Iterator<Item = &SamplerRecord> {
         self.entries.values().map(|entry| &entry.record)
     }
 
-    /// Requests of this daemon at each upstream that serves models; idle ones are left out.
+    /// Number of this daemon's requests in progress at each upstream that serves models. Upstreams without requests are
+    /// omitted.
     #[must_use]
     pub fn model_requests(&self) -> BTreeMap<SharedName, u64> {
         let running = self.entries.values().filter(|entry| entry.inflight > 0 && !entry.record.versions.is_empty());
         running.map(|entry| (entry.record.id.clone(), entry.inflight)).collect()
     }
 
-    /// Chooses the upstream with the shortest expected wait and counts the request on it.
+    /// Selects the upstream with the shortest expected wait and counts the request as in progress there. The caller
+    /// must report its end with [`Self::request_ended`]. `None` if no upstream meets the query.
     pub fn pick(&mut self, query: &SamplerQuery<'_>, now: TimePoint) -> Option<SamplerRecord> {
-        let id = self.choose(query, now)?;
+        let id = self.select(query, now)?;
         let entry = self.entries.get_mut(&id)?;
         entry.inflight += 1;
         Some(entry.record.clone())
     }
 
-    fn choose(&self, query: &SamplerQuery<'_>, now: TimePoint) -> Option<SharedName> {
+    fn select(&self, query: &SamplerQuery<'_>, now: TimePoint) -> Option<SharedName> {
         let serving = || self.entries.values().filter(|entry| entry.serves(query));
-        let fastest_ms = serving().filter_map(|entry| entry.pace_ms).min().unwrap_or(1).max(1);
+        let fastest_ms = serving().filter_map(|entry| entry.latency_ms).min().unwrap_or(1).max(1);
         let candidates = serving()
             .filter(|entry| !query.excluded.contains(&entry.record.id))
-            .filter(|entry| entry.is_open(query, now))
+            .filter(|entry| entry.is_available(query, now))
             .filter(|entry| query.capacity.is_met(entry.load(now), entry.record.slots));
         candidates
             .min_by_key(|entry| {
-                let away = *entry.record.failure_domain != *query.failure_domain;
+                let is_other_domain = *entry.record.failure_domain != *query.failure_domain;
                 let slots = entry.record.slots.max(1);
-                let wait = (entry.load(now) + 1) * COST_SCALE / slots + if away { AWAY_COST } else { 0 };
-                let pace_ms = entry.pace_ms.unwrap_or(fastest_ms);
-                (wait * pace_ms / fastest_ms, std::cmp::Reverse(rendezvous::weight(query.affinity, &entry.record.id)))
+                let wait =
+                    (entry.load(now) + 1) * COST_SCALE / slots + if is_other_domain { OTHER_DOMAIN_COST } else { 0 };
+                let latency_ms = entry.latency_ms.unwrap_or(fastest_ms);
+                (
+                    wait * latency_ms / fastest_ms,
+                    std::cmp::Reverse(rendezvous::weight(query.affinity, &entry.record.id)),
+                )
             })
             .map(|entry| entry.record.id.clone())
     }
 
-    /// Pace in milliseconds of the fastest upstream other than `id` that has room for the query.
+    /// Latency in milliseconds per unit of work of the fastest upstream other than `id` that has a free slot for the
+    /// query. `None` if there is no such upstream or its latency is unknown.
     #[must_use]
     pub fn fastest_other_latency_ms(&self, query: &SamplerQuery<'_>, id: &str, now: TimePoint) -> Option<u64> {
         let others = self.entries.values().filter(|entry| entry.serves(query) && *entry.record.id != *id);
-        let free = others.filter(|entry| entry.is_open(query, now) && entry.load(now) < entry.record.slots);
-        free.filter_map(|entry| entry.pace_ms).min()
+        let free = others.filter(|entry| entry.is_available(query, now) && entry.load(now) < entry.record.slots);
+        free.filter_map(|entry| entry.latency_ms).min()
     }
 
-    /// A request on `id` ended.
+    /// Handles the end of a request at the upstream `id`.
     pub fn request_ended(&mut self, id: &str, outcome: SamplerOutcome, now: TimePoint) {
         let Some(entry) = self.entries.get_mut(id) else { return };
         entry.inflight = entry.inflight.saturating_sub(1);
         match outcome {
-            SamplerOutcome::Answered(pace_ms) => {
+            SamplerOutcome::Answered(latency_ms) => {
                 entry.failures = 0;
-                if let Some(ms) = pace_ms {
-                    let pace_ms = entry.pace_ms.map_or(ms, |pace| (pace * (PACE_WEIGHT - 1) + ms) / PACE_WEIGHT);
-                    entry.pace_ms = Some(pace_ms.max(1));
+                if let Some(ms) = latency_ms {
+                    let latency_ms =
+                        entry.latency_ms.map_or(ms, |average| (average * (AVERAGE_DIVISOR - 1) + ms) / AVERAGE_DIVISOR);
+                    entry.latency_ms = Some(latency_ms.max(1));
                 }
             }
-            SamplerOutcome::Refused => entry.paused_until = entry.paused_until.max(now.plus_ms(REFUSAL_PAUSE_MS)),
+            SamplerOutcome::Refused => entry.backoff_until = entry.backoff_until.max(now.plus_ms(REFUSAL_BACKOFF_MS)),
             SamplerOutcome::Failed => {
-                let pause_ms = (BACKOFF_BASE_MS << entry.failures.min(8)).min(BACKOFF_MAX_MS);
-                entry.paused_until = entry.paused_until.max(now.plus_ms(pause_ms));
+                let backoff_ms = (BACKOFF_BASE_MS << entry.failures.min(8)).min(BACKOFF_MAX_MS);
+                entry.backoff_until = entry.backoff_until.max(now.plus_ms(backoff_ms));
                 entry.failures += 1;
             }
             SamplerOutcome::Abandoned => {}
         }
     }
 
-    /// An upstream refused a request for `model` although it seemed to have room: it loads weights.
+    /// Handles a refusal of a request for `model` at an upstream that had a free slot. The upstream is loading weights,
+    /// so it backs off for this model only.
     pub fn model_refused(&mut self, id: &str, model: &SharedName, now: TimePoint) {
         if let Some(entry) = self.entries.get_mut(id) {
-            entry.refuses_until.insert(model.clone(), now.plus_ms(MODEL_REFUSAL_PAUSE_MS));
+            entry.model_backoff_until.insert(model.clone(), now.plus_ms(MODEL_REFUSAL_BACKOFF_MS));
         }
     }
 
-    /// What an upstream said about its load: requests running and waiting.
+    /// Handles a load report of the upstream `id`. `requests` is its number of running and queued requests, including
+    /// those of this daemon.
     pub fn load_reported(&mut self, id: &str, requests: u64, now: TimePoint) {
         let Some(entry) = self.entries.get_mut(id) else { return };
-        entry.others = requests.saturating_sub(entry.inflight);
-        entry.others_until = now.plus_ms(LOAD_REPORT_LIFE_MS);
+        entry.others_load = requests.saturating_sub(entry.inflight);
+        entry.others_load_until = now.plus_ms(LOAD_REPORT_TTL_MS);
     }
 }
--- a/crates/kernel/src/traffic/client_limits.rs
+++ b/crates/kernel/src/traffic/client_limits.rs
@@ -1,6 +1,6 @@
-//! Bounds on what clients may send.
+//! Size limits for client requests.
 
-/// Limits of one client connection.
+/// Limits that apply to the requests of clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientLimits {
     /// Largest request header in bytes.
@@ -10,7 +10,7 @@
 }
 
 impl Default for ClientLimits {
-    /// Bounds until the first configuration is known.
+    /// Limits that apply until the first configuration is received.
     fn default() -> Self {
         Self { header_bytes_max: 16 * 1024, body_bytes_max: 32 * 1024 * 1024 }
     }
--- a/crates/kernel/src/traffic/mod.rs
+++ b/crates/kernel/src/traffic/mod.rs
@@ -1,4 +1,4 @@
-//! What operators configure for traffic: routes, services, organisations and limits.
+//! Traffic configuration of the operators: routes, services, organisations and limits.
 
 mod client_limits;
 mod route_rule;
--- a/crates/kernel/src/traffic/route_rule.rs
+++ b/crates/kernel/src/traffic/route_rule.rs
@@ -1,80 +1,81 @@
-//! Routes: which requests go to which service, and under which terms.
+//! Routes: match requests to services and define timeouts, priorities and repetition.
 
 use crate::SharedName;
 
-/// How often requests of a route may be sent.
+/// Type of a route, which determines whether a request may be sent to an upstream again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
-    /// Any number of times.
+    /// Requests may be sent any number of times.
     Idempotent,
-    /// Once at most.
+    /// Requests are sent at most once.
     Once,
-    /// Carries batch jobs, whose items may be repeated.
+    /// The route accepts batch jobs, whose items may be run any number of times.
     Batch(BatchRule),
 }
 
-/// Terms of the batch jobs of a route.
+/// Rules for the batch jobs of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BatchRule {
-    /// All results are due this many milliseconds after the first submission.
+    /// Time in milliseconds from the first submission of a job until all results are due.
     pub due_ms: u64,
-    /// An item may be given up this many milliseconds after the first submission.
+    /// Time in milliseconds from the first submission of a job until its unfinished items are terminated.
     pub retention_ms: u64,
-    /// Whether all events of a text must come from one version of the weights.
+    /// Whether all events of a text must come from the same version of the weights.
     pub single_version: bool,
 }
 
-/// A service and its share of a route's traffic.
+/// A service that receives a share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteTarget {
-    /// Service.
+    /// Name of the service.
     pub service: SharedName,
-    /// Share relative to the route's other targets.
+    /// Share of the requests, relative to the weights of the route's other targets.
     pub weight: u32,
 }
 
-/// One route.
+/// Rules for the requests that match a host and a path prefix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteRule {
-    /// Name.
+    /// Name of the route.
     pub name: SharedName,
-    /// Value of the `Host` header.
+    /// Value of the `Host` header that requests must have.
     pub host: SharedName,
-    /// Beginning of the path, with a slash at both ends.
+    /// Prefix that the path must have; starts and ends with a slash.
     pub path_prefix: SharedName,
-    /// How often requests may be sent.
+    /// Whether requests may be sent to an upstream again.
     pub kind: RouteKind,
-    /// Longest time in milliseconds that a caller is kept waiting.
+    /// Longest time in milliseconds that a caller waits for the response.
     pub timeout_ms: u64,
-    /// Latency objective in milliseconds.
+    /// Target for the latency of requests, in milliseconds.
     pub latency_objective_ms: u64,
-    /// Rank, 0 first.
+    /// Priority of the requests; 0 is the highest.
     pub priority: u32,
-    /// Services, at least one.
+    /// Services that receive the requests, at least one.
     pub targets: Vec<RouteTarget>,
-    /// Upstreams that one request may be sent to.
+    /// Highest number of upstreams that one request may be sent to, the first included.
     pub attempts_max: u32,
-    /// Whether callers need no key.
+    /// Whether requests without a key are accepted.
     pub allows_anonymous: bool,
 }
 
 impl RouteRule {
-    /// The service for a request, by weight; `draw` is any evenly spread number.
+    /// Service for a request, selected in proportion to the weights by `draw`, a uniformly distributed random number or
+    /// hash. `None` if the route has no targets.
     #[must_use]
     pub fn service_for_draw(&self, draw: u64) -> Option<&SharedName> {
         let total: u64 = self.targets.iter().map(|target| u64::from(target.weight)).sum();
-        let mut left = draw.checked_rem(total).unwrap_or(0);
+        let mut offset = draw.checked_rem(total).unwrap_or(0);
         for target in &self.targets {
             let weight = u64::from(target.weight);
-            if left < weight {
+            if offset < weight {
                 return Some(&target.service);
             }
-            left -= weight;
+            offset -= weight;
         }
         self.targets.first().map(|target| &target.service)
     }
 
-    /// Terms of batch jobs, if the route carries them.
+    /// Rules for batch jobs; `None` if the route doesn't accept them.
     #[must_use]
     pub fn batch_rule(&self) -> Option<BatchRule> {
         match self.kind {
--- a/crates/kernel/src/traffic/service_rule.rs
+++ b/crates/kernel/src/traffic/service_rule.rs
@@ -1,30 +1,31 @@
-//! Services behind routes.
+//! Services that routes send requests to, with their scaling limits.
 
 use crate::SharedName;
 use std::collections::BTreeMap;
 
-/// How many upstreams of a service may run.
+/// Limits and prices for the upstreams that may be ordered for a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScalingRule {
-    /// Fewest in a failure domain, of both kinds together.
+    /// Lowest number of upstreams per failure domain, standing and reclaimable ones together.
     pub upstreams_min: u64,
-    /// Most in a failure domain, of both kinds together.
+    /// Highest number of upstreams per failure domain, standing and reclaimable ones together.
     pub upstreams_max: u64,
-    /// Time in milliseconds from an order until its upstreams serve.
+    /// Time in milliseconds from an order until its upstreams are ready.
     pub startup_ms: u64,
-    /// Price of a reclaimable upstream, in thousandths of that of a standing one; none if there are none.
+    /// Price of a reclaimable upstream, in thousandths of the price of a standing one; `None` if the service has no
+    /// reclaimable upstreams.
     pub reclaimable_price: Option<u64>,
-    /// Price of an upstream in each failure domain in which the service runs, in thousandths.
+    /// Relative price of an upstream in each failure domain in which the service runs, in thousandths.
     pub domain_prices: BTreeMap<SharedName, u64>,
 }
 
-/// One service.
+/// Configuration of a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceRule {
-    /// Name.
+    /// Name of the service.
     pub name: SharedName,
-    /// Models whose weights its upstreams hold; empty for plain services.
+    /// Models whose weights the upstreams load; empty for services without models.
     pub models: Vec<SharedName>,
-    /// Bounds of its size, if upstreams may be ordered.
+    /// Limits for the number of upstreams; `None` if no upstreams may be ordered.
     pub scaling: Option<ScalingRule>,
 }
--- a/crates/kernel/src/traffic/traffic_config.rs
+++ b/crates/kernel/src/traffic/traffic_config.rs
@@ -1,4 +1,4 @@
-//! One version of the operators' configuration.
+//! One version of the operators' traffic configuration.
 
 use super::{ClientLimits, RouteRule, ServiceRule};
 use crate::SharedName;
@@ -7,34 +7,34 @@
     sync::Arc,
 };
 
-/// What a key grants.
+/// Permissions that an API key grants.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyGrant {
-    /// Organisation that holds the key.
+    /// Organisation that the key belongs to.
     pub organisation: SharedName,
-    /// The organisation's rank, which goes before the route's.
+    /// Priority of the organisation's requests, which overrides that of the route; 0 is the highest.
     pub priority: Option<u32>,
 }
 
-/// The whole configuration at one version.
+/// Complete traffic configuration at one version.
 #[derive(Clone, Debug, Default)]
 pub struct TrafficConfig {
-    /// Version; a higher one replaces a lower one.
+    /// Version of the configuration; a higher one replaces a lower one.
     pub version: u64,
-    /// Routes by host; within a host the longest prefix first.
+    /// Routes by host; those of one host by descending length of their prefix.
     routes: HashMap<SharedName, Vec<Arc<RouteRule>>>,
     /// Services by name.
     pub services: BTreeMap<SharedName, ServiceRule>,
-    /// Grants by key.
+    /// Permissions by API key.
     keys: HashMap<SharedName, KeyGrant>,
-    /// Bounds on clients.
+    /// Limits for the requests of clients.
     pub limits: ClientLimits,
-    /// Whether requests on routes that are not open need a key.
+    /// Whether requests need a key, except on routes that accept requests without one.
     pub requires_key: bool,
 }
 
 impl TrafficConfig {
-    /// Builds a configuration. `keys` is none where the operators use no organisations.
+    /// Creates a configuration. `keys` is `None` if the operators have configured no organisations.
     #[must_use]
     pub fn new(
         version: u64,
@@ -55,19 +55,20 @@
         Self { version, routes, services, keys: keys.unwrap_or_default(), limits, requires_key: keyed }
     }
 
-    /// The route of a request: the longest prefix of `path` among the routes of `host`.
+    /// Route for a request: that with the longest prefix of `path` among the routes of `host`; `None` if no route
+    /// matches.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<RouteRule>> {
         self.routes.get(host)?.iter().find(|rule| path.starts_with(&*rule.path_prefix))
     }
 
-    /// What `key` grants, if it is valid.
+    /// Permissions that `key` grants; `None` if the key is not valid.
     #[must_use]
     pub fn grant(&self, key: &str) -> Option<&KeyGrant> {
         self.keys.get(key)
     }
 
-    /// All routes.
+    /// All routes, in no particular order.
     pub fn routes(&self) -> impl Iterator<Item = &Arc<RouteRule>> {
         self.routes.values().flatten()
     }
