--- a/crates/edge/src/http/peer_api.rs
+++ b/crates/edge/src/http/peer_api.rs
@@ -1,7 +1,7 @@
 //! What daemons send each other.
 
 use crate::{
-    job::{ResultsQuery, SubmittedJob, local_item, local_results, receive_job},
+    job::{ResultsQuery, SubmittedJob, accept_pushed_job, local_item, local_results},
     store::RELAY_PATH,
     worker_parts::WorkerParts,
 };
@@ -119,6 +119,6 @@
     };
     let job =
         SubmittedJob { id: push.job, entry: push.entry, placement_key: "".into(), body: push.body.into(), submission };
-    receive_job(state, &job, Some(owner), push.state);
+    accept_pushed_job(state, &job, Some(owner), push.state);
     HttpResponse::Ok().finish()
 }
--- a/crates/edge/src/job/item_run.rs
+++ b/crates/edge/src/job/item_run.rs
@@ -23,7 +23,7 @@
 const RUN_MS_MAX: u64 = 30_000;
 
 /// How a run ended.
-struct RunOutcome {
+struct FinishedRun {
     /// End of the run, for the ledger.
     end: RunEnd,
     /// Result as spelled in metrics and logs.
@@ -32,7 +32,7 @@
     upstream_outcome: SamplerOutcome,
 }
 
-impl RunOutcome {
+impl FinishedRun {
     /// Classifies a failed attempt.
     fn from_failure(failure: AttemptFailure) -> Self {
         let end = if failure.may_have_run() { RunEnd::Broken } else { RunEnd::NotRun };
@@ -119,27 +119,27 @@
     priority: u32,
     give_up_at: TimePoint,
     pace: &mut RunPace,
-) -> RunOutcome {
+) -> FinishedRun {
     let state = &job.state;
     let now = state.now();
     let call = item_call(job, work, priority, give_up_at.min(now.plus_ms(RUN_MS_MAX)));
     let response = actix_rt::time::timeout(RESPONSE_HEADER_TIMEOUT, begin(&job.upstreams, &call, guard, now)).await;
     let mut response = match response {
         Ok(Ok(response)) => response,
-        Ok(Err(error)) => return RunOutcome::from_failure(error.failure),
-        Err(_) => return RunOutcome::from_failure(AttemptFailure::TimedOut),
+        Ok(Err(error)) => return FinishedRun::from_failure(error.failure),
+        Err(_) => return FinishedRun::from_failure(AttemptFailure::TimedOut),
     };
     match response.status() {
         status if status.is_success() => {}
         StatusCode::UNPROCESSABLE_ENTITY => {
-            return RunOutcome {
+            return FinishedRun {
                 end: RunEnd::Impossible,
                 reason: "impossible",
                 upstream_outcome: SamplerOutcome::Answered(None),
             };
         }
         StatusCode::INTERNAL_SERVER_ERROR => {
-            return RunOutcome {
+            return FinishedRun {
                 end: RunEnd::Failed,
                 reason: "upstream_failed",
                 upstream_outcome: SamplerOutcome::Answered(None),
@@ -147,7 +147,7 @@
         }
         status => {
             LogLine::new("item_status").field("item", &call.id).field("status", status.as_u16()).warn();
-            return RunOutcome::from_failure(AttemptFailure::Spoilt);
+            return FinishedRun::from_failure(AttemptFailure::Spoilt);
         }
     }
     let version = response.headers().get(header::VERSION).and_then(|value| value.to_str().ok()?.trim().parse().ok());
@@ -157,7 +157,7 @@
     loop {
         let other_pace_ms = best_other_pace_ms(job, work.index, guard);
         if other_pace_ms.is_some_and(|ms| pace.is_slow(ms)) {
-            return RunOutcome {
+            return FinishedRun {
                 end: RunEnd::Broken,
                 reason: "moved_slow",
                 upstream_outcome: SamplerOutcome::Answered(None),
@@ -170,30 +170,30 @@
             Ok(Some(Err(error))) if ends_with_connection(&headers) && is_orderly_end(&error) => {
                 return ended_stream(&events);
             }
-            Ok(Some(Err(_))) => return RunOutcome::from_failure(AttemptFailure::Lost),
-            Err(_) => return RunOutcome::from_failure(AttemptFailure::TimedOut),
+            Ok(Some(Err(_))) => return FinishedRun::from_failure(AttemptFailure::Lost),
+            Err(_) => return FinishedRun::from_failure(AttemptFailure::TimedOut),
         };
         let new_events = events.feed(&chunk);
         pace.events(new_events.len() as u64, state.now());
         for event in new_events {
             version = event.version.or(version);
             // The ledger records the version of each event, so an event without one is malformed.
-            let Some(version) = version else { return RunOutcome::from_failure(AttemptFailure::Spoilt) };
+            let Some(version) = version else { return FinishedRun::from_failure(AttemptFailure::Spoilt) };
             let verdict = job.ledger.borrow_mut().event(work.index, event.number, version, &event.data);
             match verdict {
                 EventVerdict::Taken => {}
                 EventVerdict::Restart => {
-                    return RunOutcome {
+                    return FinishedRun {
                         end: RunEnd::Broken,
                         reason: "stale_version",
                         upstream_outcome: SamplerOutcome::Abandoned,
                     };
                 }
-                EventVerdict::Mismatch => return RunOutcome::from_failure(AttemptFailure::Mismatch),
+                EventVerdict::Mismatch => return FinishedRun::from_failure(AttemptFailure::Mismatch),
             }
         }
         if events.is_malformed() {
-            return RunOutcome::from_failure(AttemptFailure::Spoilt);
+            return FinishedRun::from_failure(AttemptFailure::Spoilt);
         }
     }
 }
@@ -213,11 +213,11 @@
 }
 
 /// The outcome of a run whose response ended in order: complete, unless the response ended within an event.
-fn ended_stream(events: &EventReader) -> RunOutcome {
+fn ended_stream(events: &EventReader) -> FinishedRun {
     if !events.is_between_events() {
-        return RunOutcome::from_failure(AttemptFailure::Spoilt);
+        return FinishedRun::from_failure(AttemptFailure::Spoilt);
     }
-    RunOutcome { end: RunEnd::Whole, reason: "whole", upstream_outcome: SamplerOutcome::Answered(None) }
+    FinishedRun { end: RunEnd::Whole, reason: "whole", upstream_outcome: SamplerOutcome::Answered(None) }
 }
 
 /// The model that an item requests in its own header, or else the model of its batch job.
