--- a/crates/edge/src/http/peer_api.rs
+++ b/crates/edge/src/http/peer_api.rs
@@ -1,6 +1,6 @@
 //! What daemons send each other.
 
-use crate::{job::{ResultsQuery, SubmittedJob, local_item, local_results, receive_job}, store::RELAY_PATH, worker_parts::WorkerParts};
+use crate::{job::{ResultsQuery, SubmittedJob, accept_pushed_job, local_item, local_results}, store::RELAY_PATH, worker_parts::WorkerParts};
 use actix_web::{HttpRequest, HttpResponse, http::StatusCode, web};
 use pimentoslip_kernel::OwnerRecord;
 use pimentoslip_platform::{StoreError, decode_submission};
@@ -115,6 +115,6 @@
     };
     let job =
         SubmittedJob { id: push.job, entry: push.entry, placement_key: "".into(), body: push.body.into(), submission };
-    receive_job(state, &job, Some(owner), push.state);
+    accept_pushed_job(state, &job, Some(owner), push.state);
     HttpResponse::Ok().finish()
 }
--- a/crates/edge/src/job/item_run.rs
+++ b/crates/edge/src/job/item_run.rs
@@ -18,7 +18,7 @@
 const RUN_MS_MAX: u64 = 30_000;
 
 /// How a run ended.
-struct RunOutcome {
+struct FinishedRun {
     /// End of the run, for the ledger.
     end: RunOutcome,
     /// Result as spelled in metrics and logs.
@@ -27,7 +27,7 @@
     upstream_outcome: SamplerOutcome,
 }
 
-impl RunOutcome {
+impl FinishedRun {
     /// Classifies a failed attempt.
     fn from_failure(failure: AttemptFailure) -> Self {
         let end = if failure.may_have_run() { RunOutcome::Interrupted } else { RunOutcome::NotRun };
@@ -120,27 +120,27 @@
     priority: u32,
     give_up_at: TimePoint,
     pace: &mut RunMonitor,
-) -> RunOutcome {
+) -> FinishedRun {
     let state = &job.state;
     let now = state.now();
     let call = item_call(job, work, priority, give_up_at.min(now.plus_ms(RUN_MS_MAX)));
     let response = actix_rt::time::timeout(RESPONSE_HEADER_TIMEOUT, start_attempt(&job.upstreams, &call, guard, now)).await;
     let mut response = match response {
         Ok(Ok(response)) => response,
-        Ok(Err(error)) => return RunOutcome::from_failure(error.failure),
-        Err(_) => return RunOutcome::from_failure(AttemptFailure::TimedOut),
+        Ok(Err(error)) => return FinishedRun::from_failure(error.failure),
+        Err(_) => return FinishedRun::from_failure(AttemptFailure::TimedOut),
     };
     match response.status() {
         status if status.is_success() => {}
         StatusCode::UNPROCESSABLE_ENTITY => {
-            return RunOutcome {
+            return FinishedRun {
                 end: RunOutcome::Unrunnable,
                 reason: "impossible",
                 upstream_outcome: SamplerOutcome::Answered(None),
             };
         }
         StatusCode::INTERNAL_SERVER_ERROR => {
-            return RunOutcome {
+            return FinishedRun {
                 end: RunOutcome::Failed,
                 reason: "upstream_failed",
                 upstream_outcome: SamplerOutcome::Answered(None),
@@ -148,7 +148,7 @@
         }
         status => {
             LogLine::new("item_status").field("item", &call.id).field("status", status.as_u16()).warn();
-            return RunOutcome::from_failure(AttemptFailure::Malformed);
+            return FinishedRun::from_failure(AttemptFailure::Malformed);
         }
     }
     let version = response.headers().get(header::VERSION).and_then(|value| value.to_str().ok()?.trim().parse().ok());
@@ -158,7 +158,7 @@
     loop {
         let other_pace_ms = best_other_pace_ms(job, work.index, guard);
         if other_pace_ms.is_some_and(|ms| pace.is_slower_than(ms)) {
-            return RunOutcome {
+            return FinishedRun {
                 end: RunOutcome::Interrupted,
                 reason: "moved_slow",
                 upstream_outcome: SamplerOutcome::Answered(None),
@@ -171,30 +171,30 @@
             Ok(Some(Err(error))) if is_delimited_by_close(&headers) && is_clean_close(&error) => {
                 return ended_stream(&events);
             }
-            Ok(Some(Err(_))) => return RunOutcome::from_failure(AttemptFailure::Lost),
-            Err(_) => return RunOutcome::from_failure(AttemptFailure::TimedOut),
+            Ok(Some(Err(_))) => return FinishedRun::from_failure(AttemptFailure::Lost),
+            Err(_) => return FinishedRun::from_failure(AttemptFailure::TimedOut),
         };
         let new_events = events.feed(&chunk);
         pace.events_received(new_events.len() as u64, state.now());
         for event in new_events {
             version = event.version.or(version);
             // The ledger records the version of each event, so an event without one is malformed.
-            let Some(version) = version else { return RunOutcome::from_failure(AttemptFailure::Malformed) };
+            let Some(version) = version else { return FinishedRun::from_failure(AttemptFailure::Malformed) };
             let verdict = job.ledger.borrow_mut().event_received(work.index, event.number, version, &event.data);
             match verdict {
                 EventOutcome::Accepted => {}
                 EventOutcome::Restart => {
-                    return RunOutcome {
+                    return FinishedRun {
                         end: RunOutcome::Interrupted,
                         reason: "stale_version",
                         upstream_outcome: SamplerOutcome::Abandoned,
                     };
                 }
-                EventOutcome::Mismatch => return RunOutcome::from_failure(AttemptFailure::Mismatch),
+                EventOutcome::Mismatch => return FinishedRun::from_failure(AttemptFailure::Mismatch),
             }
         }
         if events.is_malformed() {
-            return RunOutcome::from_failure(AttemptFailure::Malformed);
+            return FinishedRun::from_failure(AttemptFailure::Malformed);
         }
     }
 }
@@ -214,11 +214,11 @@
 }
 
 /// The outcome of a run whose response ended in order: complete, unless the response ended within an event.
-fn ended_stream(events: &EventReader) -> RunOutcome {
+fn ended_stream(events: &EventReader) -> FinishedRun {
     if !events.is_between_events() {
-        return RunOutcome::from_failure(AttemptFailure::Malformed);
+        return FinishedRun::from_failure(AttemptFailure::Malformed);
     }
-    RunOutcome { end: RunOutcome::Completed, reason: "whole", upstream_outcome: SamplerOutcome::Answered(None) }
+    FinishedRun { end: RunOutcome::Completed, reason: "whole", upstream_outcome: SamplerOutcome::Answered(None) }
 }
 
 /// The model that an item requests in its own header, or else the model of its batch job.
