--- a/crates/edge/src/duty/load_duty.rs
+++ b/crates/edge/src/duty/load_duty.rs
@@ -5,7 +5,9 @@
 use awc::Client;
 use bytes::Bytes;
 use pimentoslip_client::DeadlineBody;
-use pimentoslip_kernel::{LoadOrder, LoadOutcome, ModelDemand, SamplerRecord, ServiceSnapshot, SharedName, VersionPlanner};
+use pimentoslip_kernel::{
+    LoadOrder, LoadOutcome, ModelDemand, SamplerRecord, ServiceSnapshot, SharedName, VersionPlanner,
+};
 use pimentoslip_platform::{ORDER_PATH, OrderMessage, REPORT_PATH, decode_report, encode_order, header};
 use pimentoslip_telemetry::LogLine;
 use pimentoslip_wire::stored::JobEntry;
--- a/crates/edge/src/http/batch_api.rs
+++ b/crates/edge/src/http/batch_api.rs
@@ -1,7 +1,14 @@
 //! Batch jobs: submissions, reads and ends.
 
-use super::{api_refusal::ApiRefusal, proxy::read_body, request_context::{RequestContext, header_text}};
-use crate::{job::{self, JobView, ResultsQuery, SubmitOutcome, SubmittedJob}, worker_parts::WorkerParts};
+use super::{
+    api_refusal::ApiRefusal,
+    proxy::read_body,
+    request_context::{RequestContext, header_text},
+};
+use crate::{
+    job::{self, JobView, ResultsQuery, SubmitOutcome, SubmittedJob},
+    worker_parts::WorkerParts,
+};
 use actix_web::{HttpRequest, HttpResponse, http::Method, web};
 use form_urlencoded::parse;
 use pimentoslip_kernel::RouteRule;
@@ -136,11 +143,12 @@
 ) -> Result<HttpResponse, ApiRefusal> {
     find_job(parts, context, request, id).await?;
     let item = query_parameter(request, ITEM_PARAMETER).ok_or(ApiRefusal::Malformed)?;
-    let body =
-        job::read_item_body(&parts.state, &parts.store, &parts.peer_client, &id.into(), &item).await.map_err(|error| {
+    let body = job::read_item_body(&parts.state, &parts.store, &parts.peer_client, &id.into(), &item).await.map_err(
+        |error| {
             LogLine::new("item_unread").field("job", id).field("item", &item).field("reason", error).warn();
             ApiRefusal::StoreUnreachable
-        })?;
+        },
+    )?;
     let body = body.ok_or(ApiRefusal::JobNotFound)?;
     Ok(HttpResponse::Ok().content_type("application/octet-stream").body(body))
 }
--- a/crates/edge/src/http/proxy.rs
+++ b/crates/edge/src/http/proxy.rs
@@ -1,10 +1,23 @@
 //! Requests that are answered by one upstream.
 
-use super::{api_refusal::ApiRefusal, request_context::{RequestContext, header_text}};
-use crate::{client_watch::ClientWatch, edge_metrics::EdgeMetrics, relay::{CompleteResponse, UpstreamCall, UpstreamGuard, fetch_complete, forwarded_request_headers, forwarded_response_headers}, worker_parts::WorkerParts};
+use super::{
+    api_refusal::ApiRefusal,
+    request_context::{RequestContext, header_text},
+};
+use crate::{
+    client_watch::ClientWatch,
+    edge_metrics::EdgeMetrics,
+    relay::{
+        CompleteResponse, UpstreamCall, UpstreamGuard, fetch_complete, forwarded_request_headers,
+        forwarded_response_headers,
+    },
+    worker_parts::WorkerParts,
+};
 use actix_web::{HttpRequest, HttpResponse, web};
 use bytes::Bytes;
-use pimentoslip_kernel::{CapacityNeed, RouteKind, RouteRule, SamplerOutcome, SamplerQuery, SharedName, TimePoint, fingerprint};
+use pimentoslip_kernel::{
+    CapacityNeed, RouteKind, RouteRule, SamplerOutcome, SamplerQuery, SharedName, TimePoint, fingerprint,
+};
 use pimentoslip_platform::header;
 use pimentoslip_telemetry::LogLine;
 use std::time::Duration;
--- a/crates/edge/src/job/item_run.rs
+++ b/crates/edge/src/job/item_run.rs
@@ -1,13 +1,19 @@
 //! Runs one item of a batch job at one upstream, and records its events in the ledger.
 
 use super::owned_job::OwnedJob;
-use crate::{edge_metrics::EdgeMetrics, relay::{AttemptFailure, UpstreamCall, UpstreamGuard, is_clean_close, is_delimited_by_close, start_attempt}};
+use crate::{
+    edge_metrics::EdgeMetrics,
+    relay::{AttemptFailure, UpstreamCall, UpstreamGuard, is_clean_close, is_delimited_by_close, start_attempt},
+};
 use actix_web::http::{
     Method, StatusCode,
     header::{HeaderMap, HeaderName, HeaderValue},
 };
 use futures_util::StreamExt;
-use pimentoslip_kernel::{CapacityNeed, EventOutcome, FIRST_EVENT_NUMBER, RunAssignment, RunMonitor, RunOutcome, SamplerOutcome, SamplerQuery, SharedName, TimePoint};
+use pimentoslip_kernel::{
+    CapacityNeed, EventOutcome, FIRST_EVENT_NUMBER, RunAssignment, RunMonitor, RunOutcome, SamplerOutcome,
+    SamplerQuery, SharedName, TimePoint,
+};
 use pimentoslip_platform::{EventReader, header};
 use pimentoslip_telemetry::LogLine;
 use std::time::Duration;
@@ -124,7 +130,8 @@
     let state = &job.state;
     let now = state.now();
     let call = item_call(job, work, priority, give_up_at.min(now.plus_ms(RUN_MS_MAX)));
-    let response = actix_rt::time::timeout(RESPONSE_HEADER_TIMEOUT, start_attempt(&job.upstreams, &call, guard, now)).await;
+    let response =
+        actix_rt::time::timeout(RESPONSE_HEADER_TIMEOUT, start_attempt(&job.upstreams, &call, guard, now)).await;
     let mut response = match response {
         Ok(Ok(response)) => response,
         Ok(Err(error)) => return FinishedRun::from_failure(error.failure),
--- a/crates/edge/src/job/job_runner.rs
+++ b/crates/edge/src/job/job_runner.rs
@@ -1,9 +1,23 @@
 //! Runs one owned job: dispatches its items to upstreams, and stores their results.
 
-use super::{PendingJob, item_run::{item_model, run_item}, job_reader::{read_all_results, read_checkpoints, read_submission}, job_writer::{SubmittedJob, hand_over_job}, ledger_writer::{LedgerWriter, WriteOutcome}, owned_job::OwnedJob, score_run::{PlacementError, prepare_score_call, score_item}};
-use crate::{edge_metrics::EdgeMetrics, edge_state::EdgeState, relay::UpstreamGuard, store::StoreAccess, worker_parts::WorkerParts};
+use super::{
+    PendingJob,
+    item_run::{item_model, run_item},
+    job_reader::{read_all_results, read_checkpoints, read_submission},
+    job_writer::{SubmittedJob, hand_over_job},
+    ledger_writer::{LedgerWriter, WriteOutcome},
+    owned_job::OwnedJob,
+    score_run::{PlacementError, prepare_score_call, score_item},
+};
+use crate::{
+    edge_metrics::EdgeMetrics, edge_state::EdgeState, relay::UpstreamGuard, store::StoreAccess,
+    worker_parts::WorkerParts,
+};
 use awc::Client;
-use pimentoslip_kernel::{BatchLedger, BatchOptions, CapacityNeed, ItemSpec, RouteRule, RunAssignment, SamplerQuery, SharedName, TextCheckpoint, TimePoint};
+use pimentoslip_kernel::{
+    BatchLedger, BatchOptions, CapacityNeed, ItemSpec, RouteRule, RunAssignment, SamplerQuery, SharedName,
+    TextCheckpoint, TimePoint,
+};
 use pimentoslip_platform::{BatchItem, BatchSubmission, StoreError};
 use pimentoslip_telemetry::LogLine;
 use pimentoslip_wire::stored::ResultEntry;
--- a/crates/edge/src/job/score_run.rs
+++ b/crates/edge/src/job/score_run.rs
@@ -1,7 +1,10 @@
 //! Calls the scorer of an item whose text is complete, and records the signed score in the ledger.
 
 use super::owned_job::OwnedJob;
-use crate::{edge_metrics::EdgeMetrics, relay::{UpstreamCall, UpstreamGuard, fetch_complete}};
+use crate::{
+    edge_metrics::EdgeMetrics,
+    relay::{UpstreamCall, UpstreamGuard, fetch_complete},
+};
 use actix_web::http::{Method, StatusCode, header::HeaderMap};
 use pimentoslip_kernel::{CapacityNeed, RouteRule, SamplerOutcome, SamplerQuery, ScoreOutcome, fingerprint};
 use pimentoslip_platform::{ScorerCall, header};
--- a/crates/edge/src/run_edge.rs
+++ b/crates/edge/src/run_edge.rs
@@ -1,6 +1,16 @@
 //! Starts the daemon and stops it gracefully.
 
-use crate::{client_watch::ClientWatch, duty::{hold_duty, record_usage, report_runs}, edge_metrics::EdgeMetrics, edge_state::EdgeState, http::{configure_control, configure_front, configure_ready}, job::claim_jobs, lease_task::{maintain_lease, revoke_lease}, store::{CoordinationKeys, OperatorKeys, UpstreamKeys, follow_prefix}, worker_parts::WorkerParts};
+use crate::{
+    client_watch::ClientWatch,
+    duty::{hold_duty, record_usage, report_runs},
+    edge_metrics::EdgeMetrics,
+    edge_state::EdgeState,
+    http::{configure_control, configure_front, configure_ready},
+    job::claim_jobs,
+    lease_task::{maintain_lease, revoke_lease},
+    store::{CoordinationKeys, OperatorKeys, UpstreamKeys, follow_prefix},
+    worker_parts::WorkerParts,
+};
 use actix_rt::signal::unix::{SignalKind, signal};
 use actix_web::{App, HttpServer, dev::ServerHandle, web};
 use anyhow::Context;
--- a/crates/kernel/tests/machines/fleet_laws.rs
+++ b/crates/kernel/tests/machines/fleet_laws.rs
@@ -1,6 +1,9 @@
 //! Small laws of placing, pacing, ways to the store, usage windows and clocks, in tables.
 
-use pimentoslip_kernel::{CapacityNeed, PathSelector, RunMonitor, SamplerOutcome, SamplerQuery, SamplerRecord, SamplerState, SamplerTable, ServicePath, SharedName, TimePoint, UsageTally, WallClockOffset};
+use pimentoslip_kernel::{
+    CapacityNeed, PathSelector, RunMonitor, SamplerOutcome, SamplerQuery, SamplerRecord, SamplerState, SamplerTable,
+    ServicePath, SharedName, TimePoint, UsageTally, WallClockOffset,
+};
 use std::collections::BTreeMap;
 
 fn record(id: &str, domain: &str, version: u64) -> SamplerRecord {
