--- a/crates/kernel/src/refusal_reason.rs
+++ b/crates/kernel/src/refusal_reason.rs
@@ -25,8 +25,8 @@
 
 macro_rules! refusal_reasons {
     ($($variant:ident, $code:literal, $status:literal, $remedy:literal;)*) => {
-        /// Reason for refusing a request. Its code is stable and is a label of the refusal counter. The documentation of
-        /// each variant is the remedy that the caller receives.
+        /// Reason for refusing a request. Its code is stable and is a label of the refusal counter. Each variant is
+        /// documented by the remedy that the caller receives.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
         pub enum RefusalReason { $(#[doc = $remedy] $variant,)* }
 
--- a/crates/kernel/src/route_table.rs
+++ b/crates/kernel/src/route_table.rs
@@ -48,7 +48,7 @@
     pub reclaimable: bool,
     /// State in the last VM list.
     pub state: UpstreamState,
-    /// Newest weight version that the upstream reported or confirmed; `None` before the first one.
+    /// Weight version that the upstream last reported or confirmed; `None` if it has not named one yet.
     pub version: Option<u64>,
     /// Requests of this daemon running on the upstream.
     inflight: u64,
--- a/crates/kernel/src/spend_planner.rs
+++ b/crates/kernel/src/spend_planner.rs
@@ -84,8 +84,8 @@
         SpendAction::Keep
     }
 
-    /// Action for a surplus: stops reclaimable upstreams first, and standing ones only while the spend stays at or above
-    /// the minimum.
+    /// Action for a surplus: stops reclaimable upstreams first, and standing ones only while the spend stays at or
+    /// above the minimum.
     fn surplus_action(input: &SpendInput, spend: u64) -> SpendAction {
         if input.reclaimable > 0 {
             return SpendAction::StopReclaimable;
--- a/crates/kernel/src/usage_window.rs
+++ b/crates/kernel/src/usage_window.rs
@@ -1,5 +1,4 @@
-//! Computes the billed usage of one window. A window is sealed before it is first reported, so that every report of it is
-//! the same.
+//! Computes the billed usage of a window, which is sealed before its first report so that all its reports are equal.
 
 use crate::{SharedName, UsageCount, UsageKey};
 use serde::{Deserialize, Serialize};
--- a/crates/kernel/tests/machines/fairness.rs
+++ b/crates/kernel/tests/machines/fairness.rs
@@ -1,4 +1,4 @@
-//! Fair admission: no ticket is lost or doubled, and a backlog delays only its own organisation.
+//! Tests of the fair queue: no request is lost or admitted twice, and a backlog delays only its own organisation.
 
 use crate::sequence;
 use pimentoslip_kernel::{FairQueue, QueueTicket, SharedName};
@@ -10,37 +10,38 @@
 
 #[derive(Clone, Debug)]
 enum Command {
-    Enter { organisation: u8, tokens: u8 },
+    Enqueue { organisation: u8, tokens: u8 },
     Admit,
     Cancel { ticket: u8 },
-    Done,
+    Release,
 }
 
 impl Arbitrary for Command {
     fn arbitrary(rng: &mut Gen) -> Self {
-        let a = u8::arbitrary(rng);
+        let value = u8::arbitrary(rng);
         match u8::arbitrary(rng) % 8 {
-            0..=3 => Self::Enter { organisation: a % 3, tokens: u8::arbitrary(rng) },
+            0..=3 => Self::Enqueue { organisation: value % 3, tokens: u8::arbitrary(rng) },
             4 | 5 => Self::Admit,
-            6 => Self::Cancel { ticket: a },
-            _ => Self::Done,
+            6 => Self::Cancel { ticket: value },
+            _ => Self::Release,
         }
     }
 }
 
-fn nothing_lost(commands: Vec<Command>) -> Result<(), String> {
+/// Applies `commands` to a queue and compares it with a simple model after each one.
+fn check_against_model(commands: Vec<Command>) -> Result<(), String> {
     let mut queue = FairQueue::default();
     let mut waiting: BTreeMap<QueueTicket, u8> = BTreeMap::new();
     let mut admitted = BTreeSet::new();
     let mut running = 0;
     for command in commands {
         match command {
-            Command::Enter { organisation, tokens } => {
+            Command::Enqueue { organisation, tokens } => {
                 let name: SharedName = format!("o{organisation}").into();
                 let depth = waiting.values().filter(|owner| **owner == organisation).count();
                 let ticket = queue.enqueue(&name, 1, tokens.into(), DEPTH_MAX);
                 if ticket.is_some() != (depth < DEPTH_MAX) {
-                    return Err(format!("depth {depth} gave {ticket:?}"));
+                    return Err(format!("enqueue at depth {depth} returned {ticket:?}"));
                 }
                 if let Some(ticket) = ticket {
                     waiting.insert(ticket, organisation);
@@ -49,7 +50,10 @@
             Command::Admit => {
                 let ticket = queue.admit(RUNNING_MAX);
                 if ticket.is_some() != (running < RUNNING_MAX && !waiting.is_empty()) {
-                    return Err(format!("{running} running, {} waiting gave {ticket:?}", waiting.len()));
+                    return Err(format!(
+                        "admit with {running} running and {} waiting returned {ticket:?}",
+                        waiting.len()
+                    ));
                 }
                 if let Some(ticket) = ticket {
                     running += 1;
@@ -64,56 +68,56 @@
                     waiting.remove(&ticket);
                 }
             }
-            Command::Done if running > 0 => {
+            Command::Release if running > 0 => {
                 queue.release();
                 running -= 1;
             }
-            Command::Done => {}
+            Command::Release => {}
         }
         if queue.len() != waiting.len() {
-            return Err(format!("{} tickets wait, not {}", queue.len(), waiting.len()));
+            return Err(format!("{} requests are waiting, expected {}", queue.len(), waiting.len()));
         }
     }
     Ok(())
 }
 
 #[test]
-fn no_ticket_is_lost_or_doubled() {
-    sequence::check(0xfa12, 80, nothing_lost);
+fn no_request_is_lost_or_admitted_twice() {
+    sequence::check(0xfa12, 80, check_against_model);
 }
 
-/// How many of `small`'s requests come before the flood's `count`-th, when both have weight one.
+/// A request of an organisation without a backlog must not wait behind the backlog of another one of equal weight.
 #[test]
-fn a_small_organisation_is_not_behind_a_flood() {
+fn a_backlog_does_not_delay_another_organisation() {
     let mut queue = FairQueue::default();
-    let (flood, small): (SharedName, SharedName) = ("flood".into(), "small".into());
+    let (busy, idle): (SharedName, SharedName) = ("flood".into(), "small".into());
     for _ in 0..100 {
-        queue.enqueue(&flood, 1, 100, usize::MAX).expect("room");
+        queue.enqueue(&busy, 1, 100, usize::MAX).expect("room");
     }
     for _ in 0..5 {
         queue.admit(usize::MAX).expect("a ticket");
     }
-    let late = queue.enqueue(&small, 1, 100, usize::MAX).expect("room");
-    let place = (1..=100).find(|_| queue.admit(usize::MAX) == Some(late)).expect("it is admitted");
-    assert!(place <= 2, "admitted after {place} others");
+    let ticket = queue.enqueue(&idle, 1, 100, usize::MAX).expect("room");
+    let position = (1..=100).find(|_| queue.admit(usize::MAX) == Some(ticket)).expect("it is admitted");
+    assert!(position <= 2, "admitted at position {position}");
 }
 
 #[test]
-fn weights_share_capacity() {
+fn capacity_is_shared_in_proportion_to_weights() {
     let mut queue = FairQueue::default();
     let (heavy, light): (SharedName, SharedName) = ("heavy".into(), "light".into());
-    let mut owners = BTreeMap::new();
+    let mut is_heavy = BTreeMap::new();
     for _ in 0..400 {
-        owners.insert(queue.enqueue(&heavy, 3, 10, usize::MAX).expect("room"), true);
-        owners.insert(queue.enqueue(&light, 1, 10, usize::MAX).expect("room"), false);
+        is_heavy.insert(queue.enqueue(&heavy, 3, 10, usize::MAX).expect("room"), true);
+        is_heavy.insert(queue.enqueue(&light, 1, 10, usize::MAX).expect("room"), false);
     }
-    let heavy = (0..400).filter(|_| queue.admit(usize::MAX).is_some_and(|ticket| owners[&ticket])).count();
-    assert!((298..=302).contains(&heavy), "{heavy} of 400 went to weight 3 against 1");
+    let heavy = (0..400).filter(|_| queue.admit(usize::MAX).is_some_and(|ticket| is_heavy[&ticket])).count();
+    assert!((298..=302).contains(&heavy), "{heavy} of 400 admissions were of weight 3, the others of weight 1");
 }
 
-/// An organisation that used less than expected is not charged for the rest.
+/// An organisation whose requests cost less than expected must not be charged for the difference.
 #[test]
-fn accounts_are_settled_by_true_cost() {
+fn organisations_are_charged_the_actual_cost() {
     let mut queue = FairQueue::default();
     let (short, long): (SharedName, SharedName) = ("short".into(), "long".into());
     queue.enqueue(&short, 1, 1_000, usize::MAX).expect("room");
--- a/crates/kernel/tests/machines/main.rs
+++ b/crates/kernel/tests/machines/main.rs
@@ -11,7 +11,7 @@
 mod fleet_laws;
 mod ownership;
 mod routes;
-mod small_laws;
+mod small_machines;
 mod steps;
 mod terms;
 mod usage;
--- a/crates/kernel/tests/machines/small_laws.rs
+++ b/crates/kernel/tests/machines/small_machines.rs
@@ -1,4 +1,4 @@
-//! Tables of cases for the small decisions.
+//! Table-driven tests of the small state machines and decision functions.
 
 use pimentoslip_kernel::{
     FailedAttempt, FetchCursor, KeySecret, MemberEntry, MemberState, MemberTable, RefusalReason, RequestClass,
@@ -9,20 +9,20 @@
 use rand_chacha::ChaCha8Rng;
 
 #[test]
-fn not_run_is_said_only_when_nothing_ran() {
-    // Connected, answered, refused by the upstream, and what may be said.
+fn not_run_is_reported_only_if_the_request_cannot_have_run() {
+    // Connected, response received, refused by the upstream, and the expected run state.
     let cases = [
         (false, false, false, RunState::NotRun),
         (true, false, false, RunState::MayHaveRun),
         (true, true, false, RunState::Ran),
         (true, false, true, RunState::NotRun),
     ];
-    for (connected, answered, refused, expected) in cases {
+    for (connected, responded, refused, expected) in cases {
         let mut progress = RequestProgress::default();
         if connected {
             progress.connection_opened();
         }
-        if answered {
+        if responded {
             progress.response_received();
         }
         if refused {
@@ -33,11 +33,11 @@
 }
 
 #[test]
-fn only_what_may_repeat_is_retried() {
+fn only_requests_that_may_repeat_are_retried() {
     let mut may_have_run = RequestProgress::default();
     may_have_run.connection_opened();
     let not_run = RequestProgress::default();
-    // Class, progress, attempt, and whether it is sent again.
+    // Class, progress, attempt, and whether a retry is expected.
     let cases = [
         (RequestClass::Idempotent, may_have_run, 1, true),
         (RequestClass::Idempotent, may_have_run, 3, false),
@@ -47,10 +47,10 @@
         (RequestClass::Claimed("k".into()), not_run, 1, true),
     ];
     let mut rng = ChaCha8Rng::seed_from_u64(5);
-    for (class, progress, attempt, again) in cases {
+    for (class, progress, attempt, retried) in cases {
         let failed = FailedAttempt { class: &class, progress, attempt, deadline: TimePoint(10_000) };
         let decision = RetryPolicy.decide(failed, TimePoint(0), &mut RetryBudget::default(), &mut rng);
-        assert_eq!(matches!(decision, RetryDecision::RetryAt(_)), again, "{class:?} {progress:?} {attempt}");
+        assert_eq!(matches!(decision, RetryDecision::RetryAt(_)), retried, "{class:?} {progress:?} {attempt}");
     }
     let late =
         FailedAttempt { class: &RequestClass::Idempotent, progress: not_run, attempt: 1, deadline: TimePoint(0) };
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn retries_stay_a_tenth_of_requests() {
+fn retries_are_limited_to_a_tenth_of_first_attempts() {
     let mut budget = RetryBudget::default();
     let retries = (0..10_000).filter(|_| {
         budget.record_attempt();
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn requests_are_classified() {
+fn requests_are_classified_by_method_setting_and_idempotency_key() {
     let cases = [
         ("GET", false, None, RequestClass::Idempotent),
         ("POST", false, None, RequestClass::AtMostOnce),
@@ -84,41 +84,41 @@
 }
 
 #[test]
-fn a_crasher_is_quarantined_and_its_neighbours_are_not() {
+fn a_request_that_crashes_upstreams_is_quarantined_and_requests_beside_it_are_not() {
     let now = TimePoint(0);
     let mut suspects = SuspectTable::default();
     suspects.upstream_crashed(&[1, 2, 3], now);
     assert!(suspects.is_suspect(1, now) && !suspects.is_quarantined(1, now));
     suspects.clear(2);
-    assert!(!suspects.is_suspect(2, now), "a suspect that ran alone to its end is cleared");
+    assert!(!suspects.is_suspect(2, now), "a suspect that completed must be cleared");
     suspects.upstream_crashed(&[1], now);
     suspects.upstream_crashed(&[1], now);
     assert!(suspects.is_quarantined(1, now));
-    assert!(!suspects.is_quarantined(1, now.plus_ms(3_600_000)), "quarantine expires");
+    assert!(!suspects.is_quarantined(1, now.plus_ms(3_600_000)), "quarantine must expire");
     suspects.upstream_crashed(&[4, 5, 6, 7, 8], now);
-    assert!(!suspects.is_suspect(4, now), "a crowd says nothing");
+    assert!(!suspects.is_suspect(4, now), "a crash with many requests in flight must not raise suspicion");
     let mut peer = SuspectTable::default();
     suspects.active_marks(now).into_iter().for_each(|mark| peer.merge(mark));
     assert!(peer.is_quarantined(1, now));
 }
 
 #[test]
-fn streams_are_whole_only_with_their_marker() {
-    let whole = b"data: {\"a\":1}\r\n\r\ndata: {\"b\":2}\n\ndata: [DONE]\n\n";
-    for cut in 0..=whole.len() {
+fn a_stream_is_finished_only_with_its_terminal_marker() {
+    let stream = b"data: {\"a\":1}\r\n\r\ndata: {\"b\":2}\n\ndata: [DONE]\n\n";
+    for cut in 0..=stream.len() {
         let mut scanner = StreamScanner::default();
         let mut data = Vec::new();
-        scanner.feed(&whole[..cut], |line| data.push(line.to_vec()));
-        let marker_end = whole.len() - 1;
+        scanner.feed(&stream[..cut], |line| data.push(line.to_vec()));
+        let marker_end = stream.len() - 1;
         assert_eq!(scanner.is_finished(), cut >= marker_end, "cut at {cut}");
-        scanner.feed(&whole[cut..], |line| data.push(line.to_vec()));
+        scanner.feed(&stream[cut..], |line| data.push(line.to_vec()));
         assert!(scanner.is_finished());
         assert_eq!(data, [b"{\"a\":1}".to_vec(), b"{\"b\":2}".to_vec()], "cut at {cut}");
     }
 }
 
 #[test]
-fn keys_are_found_wherever_they_stand() {
+fn key_ids_are_found_in_surrounding_text_and_malformed_keys_are_rejected() {
     let secret = KeySecret::draw(&mut ChaCha8Rng::seed_from_u64(9));
     let text = format!("x={}&y", secret.expose());
     assert_eq!(KeySecret::find_ids(text.as_bytes()), vec![secret.id.clone()]);
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn cursors_hold_4096_samples_in_512_bytes() {
+fn a_cursor_of_4096_samples_takes_512_bytes_and_malformed_cursors_are_rejected() {
     let mut cursor = FetchCursor::default();
     (0..4_096).for_each(|sample| cursor.insert(sample));
     let text = serde_json::to_string(&cursor).expect("a cursor");
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn spend_fills_the_floor_then_the_cheaper_kind_and_never_passes_the_ceiling() {
+fn the_minimum_spend_is_used_first_then_reclaimable_upstreams_within_the_maximum() {
     let base = SpendInput {
         wanted: 4,
         standing_min: 1,
@@ -171,9 +171,10 @@
     }
 }
 
-/// From any start, the planner comes to rest, and no start of its own passes the ceiling.
+/// The planner must reach a stable state instead of starting and stopping upstreams forever, and must never exceed the
+/// maximum spend on the way.
 #[test]
-fn the_planner_comes_to_rest_below_the_ceiling() {
+fn the_spend_planner_reaches_a_stable_state_within_the_maximum() {
     for wanted in 0..6 {
         for floor in [0, 150, 300] {
             for available in [false, true] {
@@ -188,7 +189,7 @@
                     surplus_ticks: 9,
                     ..SpendInput::default()
                 };
-                let rested = (0..50).any(|_| {
+                let stable = (0..50).any(|_| {
                     let action = SpendPlanner.next_action(&input);
                     match action {
                         SpendAction::StartStanding => input.standing += 1,
@@ -200,14 +201,14 @@
                     assert!(SpendPlanner::current_spend(&input) <= input.ceiling_cents_per_hour, "{input:?}");
                     action == SpendAction::Keep
                 });
-                assert!(rested, "wanted {wanted}, floor {floor}, available {available}: {input:?}");
+                assert!(stable, "wanted {wanted}, floor {floor}, available {available}: {input:?}");
             }
         }
     }
 }
 
 #[test]
-fn owners_agree_and_move_little() {
+fn rendezvous_owners_match_the_ranking_and_move_only_from_a_removed_member() {
     let members: Vec<String> = (0..10).map(|member| format!("entry-{member}")).collect();
     let fewer: Vec<String> = members[1..].to_vec();
     let mut moved = 0;
@@ -219,7 +220,7 @@
         moved += usize::from(before != after);
         assert!(before == after || *before == "entry-0");
     }
-    assert!((60..=140).contains(&moved), "{moved} of 1000 moved when one of ten left");
+    assert!((60..=140).contains(&moved), "{moved} of 1000 keys moved when one of ten members was removed");
 }
 
 fn member(name: &str, incarnation: u64) -> MemberEntry {
@@ -234,7 +235,7 @@
 }
 
 #[test]
-fn silent_members_are_suspected_then_failed_and_come_back() {
+fn an_unresponsive_member_is_suspected_then_failed_and_can_become_alive_again() {
     let mut table = MemberTable::new("me".into(), "a".into());
     table.heard(member("other", 1), TimePoint(0));
     let state = |table: &MemberTable| table.get("other").expect("known").state;
@@ -242,7 +243,7 @@
     assert_eq!(state(&table), MemberState::Alive);
     table.tick(TimePoint(3_001));
     assert_eq!(state(&table), MemberState::Suspect);
-    assert_eq!(table.active().len(), 2, "a suspect still takes part");
+    assert_eq!(table.active().len(), 2, "a suspected member must stay active");
     table.tick(TimePoint(6_001));
     assert_eq!(state(&table), MemberState::Failed);
     assert_eq!(table.active().len(), 1);
@@ -252,15 +253,15 @@
     table.ended(&"other".into(), TimePoint(8_000));
     assert!(table.possibly_running().is_empty());
     table.rumour(&member("other", 1), TimePoint(8_000));
-    assert_eq!(state(&table), MemberState::Ended, "hearsay does not wake the dead");
+    assert_eq!(state(&table), MemberState::Ended, "a report by a peer must not revive an ended process");
     table.heard(member("other", 2), TimePoint(9_000));
     assert_eq!(state(&table), MemberState::Alive);
     table.heard(member("other", 1), TimePoint(9_500));
-    assert_eq!(table.get("other").expect("known").incarnation, 2, "an older process does not replace a newer one");
+    assert_eq!(table.get("other").expect("known").incarnation, 2, "an older process must not replace a newer one");
 }
 
 #[test]
-fn refusal_codes_are_unique_and_stable() {
+fn refusal_codes_are_unique_and_statuses_are_errors() {
     let mut codes: Vec<&str> = RefusalReason::ALL.iter().map(|reason| reason.code()).collect();
     codes.sort_unstable();
     codes.dedup();
@@ -268,9 +269,10 @@
     assert!(RefusalReason::ALL.iter().all(|reason| (400..600).contains(&reason.status())));
 }
 
-/// Daemons that know the same processes must not send each other their lists again and again.
+/// Daemons that have recorded the same processes must have equal digests, or they would keep sending each other their
+/// member lists.
 #[test]
-fn daemons_that_know_the_same_processes_have_one_digest() {
+fn daemons_with_the_same_members_have_equal_digests() {
     let mut one = MemberTable::new("one".into(), "a".into());
     let mut two = MemberTable::new("two".into(), "b".into());
     one.heard(member("two", 2), TimePoint(0));
--- a/crates/kernel/tests/machines/usage.rs
+++ b/crates/kernel/tests/machines/usage.rs
@@ -1,4 +1,4 @@
-//! Usage windows: everything counted is billed exactly once.
+//! Tests of usage windows: all counted usage is billed exactly once.
 
 use crate::sequence;
 use pimentoslip_kernel::{SharedName, UsageCount, UsageKey, UsageLine, UsageWindow};
@@ -9,49 +9,44 @@
 
 #[derive(Clone, Debug)]
 enum Command {
-    Count {
-        daemon: u8,
-        key: u8,
-        tokens: u8,
-    },
-    /// A daemon's counters are gathered now; others keep what was gathered last.
-    Gather {
-        daemon: u8,
-    },
+    /// A daemon counts one request.
+    Count { daemon: u8, key: u8, tokens: u8 },
+    /// The reporter collects the counters of a daemon. For the other daemons it keeps those collected last.
+    Collect { daemon: u8 },
+    /// The next window is sealed.
     Seal,
-    /// The reporter is replaced by one that has gathered nothing yet.
+    /// The reporter is replaced by one that has collected no counters yet.
     Replace,
-    Restart {
-        daemon: u8,
-    },
+    /// A daemon restarts as a new incarnation, whose counters start at zero.
+    Restart { daemon: u8 },
 }
 
 impl Arbitrary for Command {
     fn arbitrary(rng: &mut Gen) -> Self {
-        let (a, b) = (u8::arbitrary(rng) % DAEMONS, u8::arbitrary(rng));
+        let (daemon, value) = (u8::arbitrary(rng) % DAEMONS, u8::arbitrary(rng));
         match u8::arbitrary(rng) % 8 {
-            0..=2 => Self::Count { daemon: a, key: b % 2, tokens: b },
-            3 | 4 => Self::Gather { daemon: a },
+            0..=2 => Self::Count { daemon, key: value % 2, tokens: value },
+            3 | 4 => Self::Collect { daemon },
             5 => Self::Seal,
             6 => Self::Replace,
-            _ => Self::Restart { daemon: a },
+            _ => Self::Restart { daemon },
         }
     }
 }
 
-fn key(key: u8) -> UsageKey {
-    UsageKey { organisation: format!("o{key}").into(), service: "s".into() }
+fn usage_key(number: u8) -> UsageKey {
+    UsageKey { organisation: format!("o{number}").into(), service: "s".into() }
 }
 
-fn billed_once(commands: Vec<Command>) -> Result<(), String> {
+fn check_billed_once(commands: Vec<Command>) -> Result<(), String> {
     let mut incarnations = [0_u32; DAEMONS as usize];
     let mut counters: BTreeMap<SharedName, BTreeMap<u8, UsageCount>> = BTreeMap::new();
-    let mut gathered: BTreeMap<SharedName, Vec<UsageLine>> = BTreeMap::new();
+    let mut collected: BTreeMap<SharedName, Vec<UsageLine>> = BTreeMap::new();
     let mut windows = vec![UsageWindow::default()];
     let name =
         |daemon: u8, incarnations: &[u32]| SharedName::from(format!("{daemon}/{}", incarnations[usize::from(daemon)]));
     let lines = |counts: &BTreeMap<u8, UsageCount>| -> Vec<UsageLine> {
-        counts.iter().map(|(k, count)| UsageLine { key: key(*k), count: *count }).collect()
+        counts.iter().map(|(key, count)| UsageLine { key: usage_key(*key), count: *count }).collect()
     };
     for command in commands {
         match command {
@@ -59,45 +54,45 @@
                 let count = UsageCount { requests: 1, tokens: tokens.into() };
                 counters.entry(name(daemon, &incarnations)).or_default().entry(key).or_default().add(count);
             }
-            Command::Gather { daemon } => {
+            Command::Collect { daemon } => {
                 let name = name(daemon, &incarnations);
                 if let Some(counts) = counters.get(&name) {
-                    gathered.insert(name, lines(counts));
+                    collected.insert(name, lines(counts));
                 }
             }
             Command::Seal => {
                 let last = windows.last().cloned().unwrap_or_default();
-                windows.push(UsageWindow::seal(last.index + 1, &last, &gathered));
+                windows.push(UsageWindow::seal(last.index + 1, &last, &collected));
             }
-            Command::Replace => gathered.clear(),
+            Command::Replace => collected.clear(),
             Command::Restart { daemon } => incarnations[usize::from(daemon)] += 1,
         }
     }
-    // At last everything is gathered from every incarnation, and sealed.
+    // Finally, the counters of all incarnations are collected and sealed.
     for (name, counts) in &counters {
-        gathered.insert(name.clone(), lines(counts));
+        collected.insert(name.clone(), lines(counts));
     }
     let last = windows.last().cloned().unwrap_or_default();
-    windows.push(UsageWindow::seal(last.index + 1, &last, &gathered));
-    for k in 0..2 {
-        let billed = windows.iter().flat_map(|window| &window.lines).filter(|line| line.key == key(k));
+    windows.push(UsageWindow::seal(last.index + 1, &last, &collected));
+    for key in 0..2 {
+        let billed = windows.iter().flat_map(|window| &window.lines).filter(|line| line.key == usage_key(key));
         let billed = billed.fold(UsageCount::default(), |mut sum, line| {
             sum.add(line.count);
             sum
         });
         let counted =
-            counters.values().filter_map(|counts| counts.get(&k)).fold(UsageCount::default(), |mut sum, count| {
+            counters.values().filter_map(|counts| counts.get(&key)).fold(UsageCount::default(), |mut sum, count| {
                 sum.add(*count);
                 sum
             });
         if billed != counted {
-            return Err(format!("key {k}: counted {counted:?}, billed {billed:?}"));
+            return Err(format!("key {key}: counted {counted:?}, billed {billed:?}"));
         }
     }
     Ok(())
 }
 
 #[test]
-fn everything_counted_is_billed_exactly_once() {
-    sequence::check(0xb111, 60, billed_once);
+fn all_counted_usage_is_billed_exactly_once() {
+    sequence::check(0xb111, 60, check_billed_once);
 }
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,4 +1,4 @@
-//! Structured logs: one line of key=value pairs for each event.
+//! Structured logging: writes each event as one line of `key=value` pairs.
 
 mod bounded_sink;
 mod log_line;
--- a/crates/telemetry/src/log_line.rs
+++ b/crates/telemetry/src/log_line.rs
@@ -1,4 +1,4 @@
-//! Structured logs: one line of key=value pairs for each event.
+//! Builds log lines of `key=value` pairs and sets up the process's logger.
 
 use crate::BoundedSink;
 use spdlog::{
@@ -8,68 +8,72 @@
 };
 use std::{fmt::Write, sync::Arc};
 
-const KEY_MARK: &str = "psk-";
+/// Prefix of API keys. A value that contains it is redacted.
+const API_KEY_PREFIX: &str = "psk-";
 const REDACTED: &str = "[redacted]";
 
-/// One event under construction. Values that could hold a key are redacted.
+/// Log line of one event. Values that may contain an API key are redacted.
 #[derive(Clone, Debug)]
 pub struct LogLine {
     text: String,
 }
 
 impl LogLine {
-    /// Begins the line of `event`.
+    /// Creates a line for `event` without further fields.
     #[must_use]
     pub fn new(event: &str) -> Self {
         Self { text: format!("event={event}") }
     }
 
-    /// Adds a pair. A value with spaces, quotes or control characters is quoted and escaped.
+    /// Adds a `key=value` pair. A value that is empty or has spaces, quotes, `=`, backslashes, control or non-ASCII
+    /// characters is quoted and escaped.
     #[must_use]
     pub fn field(mut self, key: &str, value: impl std::fmt::Display) -> Self {
         let value = value.to_string();
-        let value = if value.contains(KEY_MARK) { REDACTED.to_owned() } else { value };
-        let plain = !value.is_empty() && value.chars().all(|c| c.is_ascii_graphic() && !matches!(c, '"' | '=' | '\\'));
-        let text = if plain { value } else { format!("{value:?}") };
-        // Writing to a string cannot fail.
+        let value = if value.contains(API_KEY_PREFIX) { REDACTED.to_owned() } else { value };
+        let is_plain =
+            !value.is_empty() && value.chars().all(|c| c.is_ascii_graphic() && !matches!(c, '"' | '=' | '\\'));
+        let text = if is_plain { value } else { format!("{value:?}") };
+        // Writing to a `String` cannot fail.
         let _ = write!(self.text, " {key}={text}");
         self
     }
 
-    /// The finished text.
+    /// Text of the line, without the timestamp and level.
     #[must_use]
     pub fn text(&self) -> &str {
         &self.text
     }
 
-    /// Writes the line at level info.
+    /// Logs the line at level info.
     pub fn info(self) {
         spdlog::info!("{}", self.text);
     }
 
-    /// Writes the line at level warn.
+    /// Logs the line at level warn.
     pub fn warn(self) {
         spdlog::warn!("{}", self.text);
     }
 }
 
-/// Sends logs to standard error, a line at a time.
+/// Sends all logs to standard error, with a blocking write for each line.
 pub fn init_stderr_logs() {
     let sink = StdStreamSink::builder().std_stream(StdStream::Stderr).build();
     let Ok(sink) = sink else { return };
-    install(sink);
+    set_default_sink(sink);
 }
 
-/// Sends logs to standard output through a bounded queue.
+/// Sends all logs to standard output through a bounded queue; see [`BoundedSink`]. Falls back to standard error if
+/// the writer thread cannot be started.
 pub fn init_stdout_logs() {
-    // Without its writer a process still serves.
+    // A process that cannot start the writer thread can still serve requests.
     let Ok(sink) = BoundedSink::start() else { return init_stderr_logs() };
-    install(sink);
+    set_default_sink(sink);
 }
 
-fn install(sink: impl Sink + 'static) {
-    let layout = pattern!("ts={date}T{time}.{millisecond} level={level} {payload}{eol}");
-    sink.set_formatter(Box::new(PatternFormatter::new(layout)));
+fn set_default_sink(sink: impl Sink + 'static) {
+    let line_pattern = pattern!("ts={date}T{time}.{millisecond} level={level} {payload}{eol}");
+    sink.set_formatter(Box::new(PatternFormatter::new(line_pattern)));
     let sink: Arc<dyn Sink> = Arc::new(sink);
     let logger = Logger::builder().sink(sink).flush_level_filter(LevelFilter::All).build();
     if let Ok(logger) = logger {
@@ -77,7 +81,7 @@
     }
 }
 
-/// Writes no logs at all.
+/// Disables all log output.
 pub fn disable_logs() {
     spdlog::default_logger().set_level_filter(LevelFilter::Off);
 }
