--- a/crates/edge/src/edge_state.rs
+++ b/crates/edge/src/edge_state.rs
@@ -170,7 +170,7 @@
         lock(&self.newest_versions)
     }
 
-    /// Locks the list of VMs that operators want to retire, that is, on which nothing may be left running.
+    /// Locks the list of VMs that operators want to retire and that must hold no durable data any more.
     pub fn retired_vms(&self) -> MutexGuard<'_, Vec<SharedName>> {
         lock(&self.retired_vms)
     }
--- a/crates/edge/src/http/api_refusal.rs
+++ b/crates/edge/src/http/api_refusal.rs
@@ -1,44 +1,44 @@
-//! Answers of the daemon's own.
+//! Error responses that the daemon creates itself, without a response from an upstream.
 
 use crate::edge_metrics::EdgeMetrics;
 use actix_web::{HttpResponse, http::StatusCode};
 use pimentoslip_platform::header;
 
-/// Why the daemon answers a request itself.
+/// Reason why a request is refused or fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApiRefusal {
-    /// No configuration is known yet.
+    /// No configuration has been read from the store yet.
     ConfigNotLoaded,
     /// No route matches.
     RouteNotFound,
-    /// The key is missing or unknown.
+    /// The API key is missing or does not exist.
     KeyInvalid,
     /// The request or its body is malformed.
     Malformed,
-    /// The header is too large.
+    /// The request header exceeds the configured limit.
     HeaderTooLarge,
-    /// The body is too large.
+    /// The request body exceeds the configured limit.
     BodyTooLarge,
-    /// The body did not arrive in time.
+    /// The request body was not received before the deadline.
     BodyTimeout,
-    /// No upstream has room or can be reached; nothing ran.
+    /// No upstream has capacity or can be reached; the request did not run.
     NoUpstream,
-    /// Time is up; nothing ran.
+    /// The deadline has passed; the request did not run.
     DeadlinePassed,
-    /// Time is up; it may have run.
+    /// The deadline has passed without a response, or the caller has disconnected; the request may have run.
     ResponseTimeout,
-    /// An upstream broke off; it may have run.
+    /// An upstream failed without a complete response; the request may have run.
     UpstreamLost,
-    /// The store cannot be asked; nothing ran.
+    /// The store is unreachable; nothing was done.
     StoreUnreachable,
-    /// The store did not say whether a batch job is on record.
+    /// The store did not confirm whether a batch job was stored.
     OutcomeUnknown,
     /// No such batch job or item exists.
     JobNotFound,
 }
 
 impl ApiRefusal {
-    /// Spelling in metrics and logs.
+    /// Code in metrics, logs and the response body.
     #[must_use]
     pub fn code(self) -> &'static str {
         match self {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Status; 408, 429 and 503 promise that the request has not run and never will.
+    /// HTTP status. The statuses 408, 429 and 503 guarantee that the request has not run and never will.
     #[must_use]
     pub fn status(self) -> StatusCode {
         match self {
@@ -77,7 +77,8 @@
         }
     }
 
-    /// Seconds after which a caller may come again: about the time in which the cause passes.
+    /// Value of the `Retry-After` header in seconds: about the time after which the cause has passed. `None` if the
+    /// response has no such header.
     fn retry_after(self) -> Option<&'static str> {
         match self {
             Self::ConfigNotLoaded | Self::StoreUnreachable => Some("0.5"),
@@ -86,7 +87,7 @@
         }
     }
 
-    /// The answer.
+    /// The error response. Counts the refusal in the metrics.
     #[must_use]
     pub fn response(self) -> HttpResponse {
         EdgeMetrics::increment(&EdgeMetrics::global().refusals, self.code());
--- a/crates/edge/src/http/batch_api.rs
+++ b/crates/edge/src/http/batch_api.rs
@@ -1,4 +1,4 @@
-//! Batch jobs: submissions, reads and ends.
+//! Public API for batch jobs: submits a job, reads its results and item bodies, and ends it.
 
 use super::{
     api_refusal::ApiRefusal,
@@ -19,14 +19,14 @@
 use pimentoslip_wire::stored::{JobEntry, ResultEntry};
 use std::sync::Arc;
 
-/// Largest page of results, in bytes of text; the interface allows 1 MB of results.
+/// Largest page of results in bytes of text; the API allows pages of 1 MB.
 const PAGE_BYTES_MAX: usize = 900_000;
-/// Longest wait of a read in milliseconds, as the interface allows.
+/// Longest time for which a read waits for new results; the limit is part of the API.
 const READ_WAIT_MS_MAX: u64 = 1_000;
-/// A write is tried for this long; callers wait longer and come again otherwise.
-const WRITE_MS_MAX: u64 = 2_000;
+/// Time for which a write to the store is retried; callers wait longer than this and retry after a failure.
+const WRITE_TIMEOUT_MS: u64 = 2_000;
 
-/// Accepts a batch job.
+/// Stores a submitted batch job. Submitting the same job again is accepted too.
 pub async fn submit_job(
     parts: &WorkerParts,
     context: &RequestContext,
@@ -55,10 +55,10 @@
         submitted_unix_ms: parts.state.unix_ms(),
     };
     let (step, items) = (submission.step, submission.items.len());
-    let deadline = context.deadline.min(parts.state.now().plus_ms(WRITE_MS_MAX));
+    let deadline = context.deadline.min(parts.state.now().plus_ms(WRITE_TIMEOUT_MS));
     let submission = Arc::new(submission);
-    let new = NewJob { id: context.id.clone(), entry, kind: rule.name.clone(), body, submission };
-    let outcome = job::submit(parts, &new, deadline).await;
+    let new_job = NewJob { id: context.id.clone(), entry, kind: rule.name.clone(), body, submission };
+    let outcome = job::submit(parts, &new_job, deadline).await;
     LogLine::new("job_submitted")
         .field("job", &context.id)
         .field("route", &rule.name)
@@ -74,7 +74,7 @@
     }
 }
 
-/// The job that a call names, if its key is one of the job's organisation.
+/// The job `id`; fails with `JobNotFound` unless the request's key belongs to the organisation that submitted the job.
 async fn find_job(
     parts: &WorkerParts,
     context: &RequestContext,
@@ -83,7 +83,7 @@
 ) -> Result<JobView, ApiRefusal> {
     let grant = context.key_grant(request)?;
     let view = job::view(&parts.state, &parts.store, id).await.map_err(|error| {
-        LogLine::new("job_unread").field("job", id).field("reason", error).warn();
+        LogLine::new("job_read_failed").field("job", id).field("reason", error).warn();
         ApiRefusal::StoreUnreachable
     })?;
     let view = view.ok_or(ApiRefusal::JobNotFound)?;
@@ -94,11 +94,12 @@
     Ok(view)
 }
 
+/// The decoded value of the query parameter `name`; `None` if it is missing.
 fn query_parameter(request: &HttpRequest, name: &str) -> Option<String> {
     parse(request.query_string().as_bytes()).find(|(key, _)| key == name).map(|(_, value)| value.into_owned())
 }
 
-/// Reads results.
+/// Responds with a page of the job's results from a position on, and waits for the first one if the caller requests it.
 pub async fn read_results(
     parts: &WorkerParts,
     context: &RequestContext,
@@ -115,7 +116,7 @@
     let read = BoundedRead { position, bytes_max: PAGE_BYTES_MAX, until };
     let results = job::read_page(&parts.state, &parts.store, &parts.peer_client, &id.into(), &read).await;
     let results = results.map_err(|error| {
-        LogLine::new("results_unread").field("job", id).field("position", position).field("reason", error).warn();
+        LogLine::new("results_read_failed").field("job", id).field("position", position).field("reason", error).warn();
         ApiRefusal::StoreUnreachable
     })?;
     let results: Vec<ListedResult<'_>> = results.iter().map(|result| listed_result(result)).collect();
@@ -124,6 +125,7 @@
     Ok(HttpResponse::Ok().content_type("application/json").body(body))
 }
 
+/// The representation of a stored result in the API.
 fn listed_result(result: &ResultEntry) -> ListedResult<'_> {
     ListedResult {
         id: &result.id,
@@ -134,7 +136,7 @@
     }
 }
 
-/// Reads the body of an item.
+/// Responds with the request body of one item of the job.
 pub async fn read_item(
     parts: &WorkerParts,
     context: &RequestContext,
@@ -145,14 +147,14 @@
     let item = query_parameter(request, ITEM_PARAMETER).ok_or(ApiRefusal::Malformed)?;
     let body =
         job::read_body(&parts.state, &parts.store, &parts.peer_client, &id.into(), &item).await.map_err(|error| {
-            LogLine::new("item_unread").field("job", id).field("item", &item).field("reason", error).warn();
+            LogLine::new("item_read_failed").field("job", id).field("item", &item).field("reason", error).warn();
             ApiRefusal::StoreUnreachable
         })?;
     let body = body.ok_or(ApiRefusal::JobNotFound)?;
     Ok(HttpResponse::Ok().content_type("application/octet-stream").body(body))
 }
 
-/// Ends a batch job.
+/// Ends a batch job before all its results are complete.
 pub async fn end_job(
     parts: &WorkerParts,
     context: &RequestContext,
@@ -160,7 +162,7 @@
     id: &str,
 ) -> Result<HttpResponse, ApiRefusal> {
     find_job(parts, context, request, id).await?;
-    let deadline = context.deadline.min(parts.state.now().plus_ms(WRITE_MS_MAX));
+    let deadline = context.deadline.min(parts.state.now().plus_ms(WRITE_TIMEOUT_MS));
     let ended = job::end(&parts.state, &parts.store, id, deadline).await;
     LogLine::new("job_end").field("job", id).field("request_id", &context.id).field("done", ended).info();
     if ended { Ok(HttpResponse::Ok().finish()) } else { Err(ApiRefusal::StoreUnreachable) }
--- a/crates/edge/src/http/front_app.rs
+++ b/crates/edge/src/http/front_app.rs
@@ -1,4 +1,4 @@
-//! The address for callers.
+//! Entry point of the public listener, to which callers connect.
 
 use super::{api_refusal::ApiRefusal, batch_api, proxy, request_context::RequestContext};
 use crate::{edge_metrics::EdgeMetrics, worker_parts::WorkerParts};
@@ -12,14 +12,15 @@
 
 const MS_PER_SECOND: f64 = 1_000.0;
 
-/// Routes of the address for callers: everything goes through one handler.
+/// Configures the public listener: one handler serves all paths.
 pub fn configure_front(app: &mut web::ServiceConfig) {
     app.default_service(web::to(serve));
 }
 
+/// Serves one request and records its latency.
 async fn serve(parts: web::Data<WorkerParts>, request: HttpRequest, payload: web::Payload) -> HttpResponse {
-    let _counted = parts.state.track_request();
-    let began = parts.state.now();
+    let _request_guard = parts.state.track_request();
+    let started_at = parts.state.now();
     let outcome = match RequestContext::from_request(&parts, &request) {
         Ok(context) => dispatch(&parts, &context, &request, payload).await,
         Err(refusal) => Err(refusal),
@@ -28,13 +29,14 @@
         Ok(response) => response,
         Err(refusal) => refusal_response(&request, refusal),
     };
-    EdgeMetrics::global().request_latency.observe(parts.state.now().since_ms(began) as f64 / MS_PER_SECOND);
+    EdgeMetrics::global().request_latency.observe(parts.state.now().since_ms(started_at) as f64 / MS_PER_SECOND);
     if parts.state.is_draining() {
         response.headers_mut().insert(header::CONNECTION, header::HeaderValue::from_static("close"));
     }
     response
 }
 
+/// Logs a refusal and creates its response.
 fn refusal_response(request: &HttpRequest, refusal: ApiRefusal) -> HttpResponse {
     let id = request.headers().get(pimentoslip_platform::header::REQUEST_ID);
     LogLine::new("refused")
@@ -46,6 +48,7 @@
     refusal.response()
 }
 
+/// Passes a request to the batch API or to the proxy, depending on its path and route.
 async fn dispatch(
     parts: &WorkerParts,
     context: &RequestContext,
--- a/crates/edge/src/http/mod.rs
+++ b/crates/edge/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! Listeners.
+//! HTTP handlers of the public API, the readiness probe, and the control API for peers and operators.
 
 mod api_refusal;
 mod batch_api;
--- a/crates/edge/src/http/peer_api.rs
+++ b/crates/edge/src/http/peer_api.rs
@@ -1,4 +1,4 @@
-//! What daemons send each other.
+//! Control API through which daemons call each other.
 
 use crate::{
     job::{BoundedRead, NewJob, owned_item, owned_results, receive},
@@ -16,17 +16,18 @@
 use serde::Serialize;
 use std::sync::Arc;
 
-/// Largest push: submissions are bounded by the operators' limit on bodies, 32 MB by default.
+/// Largest request body in bytes: a pushed job with its submission, which the configured limit on request bodies bounds
+/// to 32 MB by default.
 pub const PUSH_BYTES_MAX: usize = 33 << 20;
 
-/// Passes a peer's call on to the store. A failure before anything was sent is told from one of unknown outcome.
+/// Relays a peer's call to the store. Responds with 503 if the call was not executed and 502 if its outcome is unknown.
 pub async fn relay_store_call(parts: web::Data<WorkerParts>, request: HttpRequest, body: web::Bytes) -> HttpResponse {
     let path = request.uri().path_and_query().map(ToString::to_string).unwrap_or_default();
-    let Some(name) = path.strip_prefix(RELAY_PATH) else { return HttpResponse::NotFound().finish() };
+    let Some(store_path) = path.strip_prefix(RELAY_PATH) else { return HttpResponse::NotFound().finish() };
     if !parts.state.store_path().is_direct_open() {
         return HttpResponse::ServiceUnavailable().finish();
     }
-    match parts.relay_client.pass_on(request.method().clone(), name, body).await {
+    match parts.relay_client.pass_on(request.method().clone(), store_path, body).await {
         Ok((status, body)) => {
             let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
             HttpResponse::build(status).content_type("application/json").body(body)
@@ -36,7 +37,7 @@
     }
 }
 
-/// Tells another daemon of changes in the store.
+/// Responds to a peer with changes of the store.
 pub async fn read_changes(parts: web::Data<WorkerParts>, body: web::Bytes) -> HttpResponse {
     match decode::<NewsRequest>(&body) {
         Ok(request) => message_response(&parts.change_hub.answer(request).await),
@@ -44,7 +45,7 @@
     }
 }
 
-/// Reads results for another daemon.
+/// Responds to a peer with results of a job that this daemon owns.
 pub async fn read_results(parts: web::Data<WorkerParts>, body: web::Bytes) -> HttpResponse {
     let request: ResultsRequest = match decode(&body) {
         Ok(request) => request,
@@ -55,7 +56,7 @@
     message_response(&owned_results(&parts.state, &request.job, &read).await)
 }
 
-/// Reads the body of an item for another daemon.
+/// Responds to a peer with the body of an item of a job that this daemon owns.
 pub async fn read_item(parts: web::Data<WorkerParts>, body: web::Bytes) -> HttpResponse {
     match decode::<ItemRequest>(&body) {
         Ok(request) => message_response(&owned_item(&parts.state, &request.job, &request.item)),
@@ -63,7 +64,7 @@
     }
 }
 
-/// Takes in what another daemon runs.
+/// Records the numbers of batch items that a peer runs at each upstream.
 pub async fn receive_runs(parts: web::Data<WorkerParts>, body: web::Bytes) -> HttpResponse {
     match decode::<RunReport>(&body) {
         Ok(report) => {
@@ -75,7 +76,7 @@
     }
 }
 
-/// Takes usage counts in, and answers once it is known whether they are on record.
+/// Collects usage counts of a peer, and responds with whether they were stored.
 pub async fn receive_usage(parts: web::Data<WorkerParts>, body: web::Bytes) -> HttpResponse {
     match decode::<UsagePush>(&body) {
         Ok(push) => message_response(&parts.usage_collector.take(push).await),
@@ -83,6 +84,7 @@
     }
 }
 
+/// A successful response with the encoded `message`.
 fn message_response(message: &impl Serialize) -> HttpResponse {
     match encode(message) {
         Ok(body) => HttpResponse::Ok().body(body),
@@ -93,12 +95,14 @@
     }
 }
 
+/// Logs a request that cannot be decoded and creates its response.
 fn malformed_response(error: &CodecError) -> HttpResponse {
     LogLine::new("peer_call_malformed").field("reason", error).warn();
     HttpResponse::BadRequest().finish()
 }
 
-/// Takes in a job that this process owns.
+/// Receives a job that this process owns from the daemon that accepted or previously owned it. Responds with 409 if the
+/// job is meant for an earlier process or this daemon is draining.
 pub async fn receive_job(parts: web::Data<WorkerParts>, body: web::Bytes) -> HttpResponse {
     let state = &parts.state;
     let push: JobPush = match decode(&body) {
--- a/crates/edge/src/http/proxy.rs
+++ b/crates/edge/src/http/proxy.rs
@@ -1,4 +1,4 @@
-//! Requests that are answered by one upstream.
+//! Forwards a request to upstreams until one returns a response.
 
 use super::{
     api_refusal::ApiRefusal,
@@ -22,24 +22,26 @@
 use pimentoslip_telemetry::LogLine;
 use std::time::Duration;
 
-/// Largest answer that is held; plain services answer with kilobytes.
-const ANSWER_BYTES_MAX: usize = 16 << 20;
-/// Pause before upstreams are looked at again when none has room.
-const ROOM_PAUSE: Duration = Duration::from_millis(15);
-/// A request waits for room up to its objective divided by this; later an answer elsewhere is worth more.
-const ROOM_WAIT_DIVISOR: u64 = 4;
-/// Refusals, which are no runs, that one request may collect beyond its attempts.
+/// Largest response body that is buffered, in bytes; services other than batch jobs respond with kilobytes.
+const RESPONSE_BYTES_MAX: usize = 16 << 20;
+/// Interval at which upstreams are checked again while none has capacity.
+const CAPACITY_CHECK_INTERVAL: Duration = Duration::from_millis(15);
+/// A request waits for capacity for up to its route's latency objective divided by this. After that, a response from
+/// elsewhere is worth more to the caller, so the request is refused.
+const CAPACITY_WAIT_DIVISOR: u64 = 4;
+/// Failed attempts in which the request did not run, such as refusals by upstreams, that one request may have in
+/// addition to the attempts that its route allows.
 const REFUSALS_MAX: u32 = 4;
 
-/// Reads the body within the limits in force.
+/// Reads the request body within the configured size limit and the request's deadline.
 pub async fn read_body(
     parts: &WorkerParts,
     context: &RequestContext,
     payload: web::Payload,
 ) -> Result<Bytes, ApiRefusal> {
-    let left = Duration::from_millis(context.deadline.since_ms(parts.state.now()));
-    let read = payload.to_bytes_limited(context.config.limits.body_bytes_max);
-    match actix_rt::time::timeout(left, read).await {
+    let time_left = Duration::from_millis(context.deadline.since_ms(parts.state.now()));
+    let body = payload.to_bytes_limited(context.config.limits.body_bytes_max);
+    match actix_rt::time::timeout(time_left, body).await {
         Ok(Ok(Ok(body))) => Ok(body),
         Ok(Ok(Err(_))) => Err(ApiRefusal::Malformed),
         Ok(Err(_)) => Err(ApiRefusal::BodyTooLarge),
@@ -47,7 +49,7 @@
     }
 }
 
-/// Sends a request to upstreams of its route's service until one answers it.
+/// Forwards a request to upstreams of its route's service until one returns a response.
 pub async fn forward_request(
     parts: &WorkerParts,
     context: &RequestContext,
@@ -57,13 +59,13 @@
 ) -> Result<HttpResponse, ApiRefusal> {
     let grant = if rule.open { None } else { context.key_grant(request)? };
     let body = read_body(parts, context, payload).await?;
-    let draw = fingerprint(&[context.id.as_bytes()]);
-    let service = rule.service(draw).ok_or(ApiRefusal::NoUpstream)?.clone();
-    let query = request.uri().path_and_query().map_or_else(|| context.path.clone(), ToString::to_string);
+    let request_hash = fingerprint(&[context.id.as_bytes()]);
+    let service = rule.service(request_hash).ok_or(ApiRefusal::NoUpstream)?.clone();
+    let path_and_query = request.uri().path_and_query().map_or_else(|| context.path.clone(), ToString::to_string);
     let call = UpstreamCall {
         id: context.id.clone(),
         method: request.method().clone(),
-        path: query,
+        path: path_and_query,
         host: context.host.clone(),
         headers: forwarded_request_headers(request.headers()),
         organisation: grant.map(|grant| grant.organisation),
@@ -71,43 +73,52 @@
         deadline: context.deadline.min(context.arrived_at.plus_ms(rule.timeout_ms)),
         last_event_id: header_text(request.headers(), header::LAST_EVENT).and_then(|text| text.parse().ok()),
     };
-    let watch = request.conn_data::<ClientWatch>().cloned();
-    let work = try_upstreams(parts, context, &call, &service, rule);
-    let answer = match watch {
-        // A request that may run once is finished for its caller's sake, who may ask what became of it.
-        Some(watch) if rule.kind == RouteKind::Idempotent => {
+    let client_watch = request.conn_data::<ClientWatch>().cloned();
+    let attempts = try_upstreams(parts, context, &call, &service, rule);
+    let upstream_response = match client_watch {
+        // Only idempotent requests are cancelled when the caller disconnects. Others may run at most once and are
+        // finished, because the caller may ask for the outcome later.
+        Some(client_watch) if rule.kind == RouteKind::Idempotent => {
             tokio::select! {
-                answer = work => answer?,
-                () = watch.closed() => {
+                upstream_response = attempts => upstream_response?,
+                () = client_watch.closed() => {
                     LogLine::new("client_left").field("request_id", &context.id).info();
                     EdgeMetrics::increment(&EdgeMetrics::global().answers, "client_left");
                     return Err(ApiRefusal::ResponseTimeout);
                 }
             }
         }
-        _ => work.await?,
+        _ => attempts.await?,
     };
-    Ok(caller_response(answer))
+    Ok(caller_response(upstream_response))
 }
 
-fn caller_response(answer: CompleteResponse) -> HttpResponse {
-    let mut response = HttpResponse::build(answer.status);
-    for (name, value) in &forwarded_response_headers(&answer.headers) {
+/// The response to the caller, with the headers of the upstream's response that are forwarded.
+fn caller_response(upstream_response: CompleteResponse) -> HttpResponse {
+    let mut response = HttpResponse::build(upstream_response.status);
+    for (name, value) in &forwarded_response_headers(&upstream_response.headers) {
         response.append_header((name.clone(), value.clone()));
     }
-    response.body(answer.body)
+    response.body(upstream_response.body)
 }
 
-/// What is known after the attempts so far.
+/// Results of the attempts to send one request.
 #[derive(Debug, Default)]
 struct AttemptHistory {
+    /// Ids of the upstreams tried so far; cleared when no other upstream has capacity, so that all are tried again.
     tried: Vec<SharedName>,
+    /// Number of attempts in which the request may have run.
     runs: u32,
+    /// Number of attempts in which the request certainly did not run.
     refusals: u32,
+    /// Whether the request may have run in any attempt.
     may_have_run: bool,
-    answer: Option<CompleteResponse>,
+    /// The last complete response; it has an error status if a further attempt was made.
+    upstream_response: Option<CompleteResponse>,
 }
 
+/// Sends `call` to upstreams of `service`, one at a time, until one returns a response that is not to be retried, or
+/// until the attempts, the wait for capacity or the deadline are exhausted.
 async fn try_upstreams(
     parts: &WorkerParts,
     context: &RequestContext,
@@ -116,26 +127,26 @@
     rule: &RouteRule,
 ) -> Result<CompleteResponse, ApiRefusal> {
     let state = &parts.state;
-    let room_until = context.arrived_at.plus_ms(rule.objective_ms / ROOM_WAIT_DIVISOR);
-    let mut log = AttemptHistory::default();
-    while log.runs < rule.attempts_max && log.refusals <= REFUSALS_MAX && state.now() < call.deadline {
-        let picked = pick_upstream(parts, service, &call.id, &log.tried);
-        let Some(mut guard) = picked else {
+    let capacity_deadline = context.arrived_at.plus_ms(rule.objective_ms / CAPACITY_WAIT_DIVISOR);
+    let mut history = AttemptHistory::default();
+    while history.runs < rule.attempts_max && history.refusals <= REFUSALS_MAX && state.now() < call.deadline {
+        let picked_guard = pick_upstream(parts, service, &call.id, &history.tried);
+        let Some(mut guard) = picked_guard else {
             let now = state.now();
-            if log.answer.is_some() || now >= room_until.min(call.deadline) {
+            if history.upstream_response.is_some() || now >= capacity_deadline.min(call.deadline) {
                 break;
             }
-            log.tried.clear();
-            actix_rt::time::sleep(ROOM_PAUSE).await;
+            history.tried.clear();
+            actix_rt::time::sleep(CAPACITY_CHECK_INTERVAL).await;
             continue;
         };
-        let sent = state.now();
-        let end = fetch_complete(&parts.upstream_client, call, &guard, sent, ANSWER_BYTES_MAX).await;
-        let took_ms = state.now().since_ms(sent);
+        let sent_at = state.now();
+        let attempt = fetch_complete(&parts.upstream_client, call, &guard, sent_at, RESPONSE_BYTES_MAX).await;
+        let took_ms = state.now().since_ms(sent_at);
         let upstream = guard.record.id.clone();
-        log.tried.push(upstream.clone());
-        let result = match &end {
-            Ok(answer) => answer.status.as_u16().to_string(),
+        history.tried.push(upstream.clone());
+        let result_text = match &attempt {
+            Ok(upstream_response) => upstream_response.status.as_u16().to_string(),
             Err(failure) => failure.as_str().to_owned(),
         };
         LogLine::new("attempt")
@@ -143,19 +154,19 @@
             .field("route", &rule.name)
             .field("upstream", &upstream)
             .field("config", context.config.version)
-            .field("left_ms", call.deadline.since_ms(sent))
+            .field("left_ms", call.deadline.since_ms(sent_at))
             .field("took_ms", took_ms)
-            .field("result", result)
+            .field("result", result_text)
             .info();
-        match end {
-            Ok(answer) => {
+        match attempt {
+            Ok(upstream_response) => {
                 guard.set_outcome(SamplerOutcome::Answered(Some(took_ms)));
-                count_usage(parts, call, sent);
-                log.runs += 1;
-                log.may_have_run = true;
-                let repeat = answer.status.is_server_error() && rule.kind == RouteKind::Idempotent;
-                log.answer = Some(answer);
-                if !repeat {
+                count_usage(parts, call, sent_at);
+                history.runs += 1;
+                history.may_have_run = true;
+                let should_retry = upstream_response.status.is_server_error() && rule.kind == RouteKind::Idempotent;
+                history.upstream_response = Some(upstream_response);
+                if !should_retry {
                     break;
                 }
                 EdgeMetrics::increment(&EdgeMetrics::global().retries, "upstream_failed");
@@ -164,33 +175,34 @@
                 guard.set_outcome(failure.upstream_outcome());
                 EdgeMetrics::increment(&EdgeMetrics::global().retries, failure.as_str());
                 if failure.may_have_run() {
-                    count_usage(parts, call, sent);
-                    log.runs += 1;
-                    log.may_have_run = true;
+                    count_usage(parts, call, sent_at);
+                    history.runs += 1;
+                    history.may_have_run = true;
                     if rule.kind != RouteKind::Idempotent {
                         break;
                     }
                 } else {
-                    log.refusals += 1;
+                    history.refusals += 1;
                 }
             }
         }
     }
-    final_response(parts, call, log)
+    final_response(parts, call, history)
 }
 
+/// The last upstream response, or, without one, the refusal that describes the failed attempts.
 fn final_response(
     parts: &WorkerParts,
     call: &UpstreamCall,
-    log: AttemptHistory,
+    history: AttemptHistory,
 ) -> Result<CompleteResponse, ApiRefusal> {
-    if let Some(answer) = log.answer {
-        let outcome = if answer.status.is_success() { "served" } else { "upstream_failed" };
+    if let Some(upstream_response) = history.upstream_response {
+        let outcome = if upstream_response.status.is_success() { "served" } else { "upstream_failed" };
         EdgeMetrics::increment(&EdgeMetrics::global().answers, outcome);
-        return Ok(answer);
+        return Ok(upstream_response);
     }
-    let late = parts.state.now() >= call.deadline;
-    Err(match (log.may_have_run, late) {
+    let is_past_deadline = parts.state.now() >= call.deadline;
+    Err(match (history.may_have_run, is_past_deadline) {
         (true, true) => ApiRefusal::ResponseTimeout,
         (true, false) => ApiRefusal::UpstreamLost,
         (false, true) => ApiRefusal::DeadlinePassed,
@@ -198,6 +210,7 @@
     })
 }
 
+/// Picks an upstream of `service` other than those in `tried`; `None` if none is available.
 fn pick_upstream(parts: &WorkerParts, service: &str, id: &str, tried: &[SharedName]) -> Option<UpstreamGuard> {
     let query = SamplerQuery {
         service,
@@ -210,10 +223,10 @@
     UpstreamGuard::pick(&parts.state, &query)
 }
 
-/// Counts a request that an upstream began to run.
-fn count_usage(parts: &WorkerParts, call: &UpstreamCall, sent: TimePoint) {
+/// Counts a request that an upstream may have run as usage of its organisation, in the window in which it was sent.
+fn count_usage(parts: &WorkerParts, call: &UpstreamCall, sent_at: TimePoint) {
     let Some(organisation) = &call.organisation else { return };
     let state = &parts.state;
-    let unix_ms = state.unix_ms().saturating_sub(state.now().since_ms(sent));
+    let unix_ms = state.unix_ms().saturating_sub(state.now().since_ms(sent_at));
     state.usage().count(organisation, unix_ms);
 }
--- a/crates/edge/src/http/ready_app.rs
+++ b/crates/edge/src/http/ready_app.rs
@@ -1,4 +1,4 @@
-//! The balancer's probe, and metrics.
+//! Routes of the readiness probe and of the control listener.
 
 use super::peer_api;
 use crate::{
@@ -11,6 +11,7 @@
 use actix_web::{HttpResponse, web};
 use pimentoslip_platform::READY_PATH;
 
+/// Readiness probe of the load balancer: succeeds when a configuration is applied and the daemon is not draining.
 async fn ready(parts: web::Data<WorkerParts>) -> HttpResponse {
     let state = &parts.state;
     if state.is_draining() || state.config().is_none() {
@@ -19,18 +20,19 @@
     HttpResponse::Ok().finish()
 }
 
+/// Metrics in the OpenMetrics text format.
 async fn metrics() -> HttpResponse {
     HttpResponse::Ok()
         .content_type("application/openmetrics-text; version=1.0.0; charset=utf-8")
         .body(EdgeMetrics::global().encode())
 }
 
-/// Routes of the address that the balancer probes.
+/// Configures the listener that the load balancer probes.
 pub fn configure_ready(app: &mut web::ServiceConfig) {
     app.route(READY_PATH, web::get().to(ready));
 }
 
-/// Routes of the address for operators.
+/// Configures the control listener, which peers call and from which metrics are read.
 pub fn configure_control(app: &mut web::ServiceConfig) {
     app.app_data(web::PayloadConfig::new(peer_api::PUSH_BYTES_MAX))
         .route(JOB_PUSH_PATH, web::post().to(peer_api::receive_job))
--- a/crates/edge/src/http/request_context.rs
+++ b/crates/edge/src/http/request_context.rs
@@ -1,4 +1,4 @@
-//! What the daemon knows of a request before it decides anything.
+//! Request data that is read from the header before a request is routed.
 
 use super::api_refusal::ApiRefusal;
 use crate::worker_parts::WorkerParts;
@@ -7,33 +7,33 @@
 use pimentoslip_platform::header;
 use std::sync::Arc;
 
-/// Longest wait where a caller names none, in milliseconds.
-const DEADLINE_DEFAULT_MS: u64 = 30_000;
+/// Time until the deadline of a request whose caller sends none.
+const DEFAULT_DEADLINE_MS: u64 = 30_000;
 
-/// A request's identity, its arrival and the configuration under which it is served.
+/// Id, target, times and configuration of one request.
 #[derive(Clone, Debug)]
 pub struct RequestContext {
-    /// Id.
+    /// Request id that the caller sent; empty if there is none.
     pub id: SharedName,
-    /// Host that the caller named.
+    /// Value of the `Host` header; empty if there is none.
     pub host: SharedName,
     /// Path without query.
     pub path: String,
-    /// When it arrived.
+    /// Time at which the header was received.
     pub arrived_at: TimePoint,
-    /// When its caller stops waiting.
+    /// Time at which the caller stops waiting for the response.
     pub deadline: TimePoint,
-    /// Configuration.
+    /// Configuration under which the request is served, also if a newer one is applied meanwhile.
     pub config: Arc<TrafficConfig>,
 }
 
-/// The text of a header.
+/// The value of the header `name`; `None` if it is missing or not printable ASCII.
 pub fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
 impl RequestContext {
-    /// Reads the head of a request.
+    /// Reads the header of a request. Fails if no configuration is applied yet or the header is too large.
     pub fn from_request(parts: &WorkerParts, request: &HttpRequest) -> Result<Self, ApiRefusal> {
         let config = parts.state.config().ok_or(ApiRefusal::ConfigNotLoaded)?;
         let headers = request.headers();
@@ -43,7 +43,7 @@
         }
         let arrived_at = parts.state.now();
         let wait_ms = header_text(headers, header::DEADLINE_MS).and_then(|text| text.trim().parse::<f64>().ok());
-        let wait_ms = wait_ms.map_or(DEADLINE_DEFAULT_MS, |ms| ms.max(0.0) as u64);
+        let wait_ms = wait_ms.map_or(DEFAULT_DEADLINE_MS, |ms| ms.max(0.0) as u64);
         Ok(Self {
             id: header_text(headers, header::REQUEST_ID).unwrap_or_default().into(),
             host: header_text(headers, "host").unwrap_or_default().into(),
@@ -54,7 +54,8 @@
         })
     }
 
-    /// What the request's key grants; none where the operators use no organisations.
+    /// The permissions of the request's API key; `None` if the configuration has no organisations. Fails if the key is
+    /// missing, does not exist, or is sent more than once.
     pub fn key_grant(&self, request: &HttpRequest) -> Result<Option<KeyGrant>, ApiRefusal> {
         if !self.config.keyed {
             return Ok(None);
--- a/crates/edge/src/lease_task.rs
+++ b/crates/edge/src/lease_task.rs
@@ -1,4 +1,4 @@
-//! Acquires and renews the daemon's lease, to which the store entries for its presence, its jobs and the duty are bound.
+//! Acquires and renews the daemon's lease, to which its store entries for presence, owned jobs and the duty are bound.
 
 use crate::{edge_state::EdgeState, store::StoreAccess};
 use pimentoslip_kernel::TimePoint;
@@ -45,6 +45,7 @@
     }
 }
 
+/// Extends `lease` until `ends_at`, if it is still the current one.
 fn lease_renewed(state: &EdgeState, lease: u64, ends_at: TimePoint) {
     let mut view = state.lease();
     if view.lease == Some(lease) {
@@ -52,6 +53,7 @@
     }
 }
 
+/// Clears the lease, so that a new one is acquired.
 fn lease_lost(state: &EdgeState) {
     let mut view = state.lease();
     view.lease = None;
--- a/crates/edge/src/relay/attempt.rs
+++ b/crates/edge/src/relay/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one upstream, up to the header of its answer.
+//! One attempt to send a request to an upstream, up to the header of the response.
 
 use super::{UpstreamCall, UpstreamGuard};
 use actix_web::http::{StatusCode, header::HeaderMap};
@@ -15,27 +15,27 @@
 /// Result of an attempt.
 pub type Result<T> = std::result::Result<T, AttemptError>;
 
-/// What went wrong with an attempt.
+/// Reason why an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptFailure {
     /// No connection could be opened.
     Unreachable,
-    /// The upstream refused to run it.
+    /// The upstream refused to run the request.
     Refused,
-    /// Another upstream has the address, or its weights differ.
+    /// Another upstream has taken over the address, or the upstream has loaded other weights.
     Misdirected,
-    /// The connection was lost.
+    /// The connection was lost after the request may have been sent.
     Lost,
-    /// No answer came in time.
+    /// No complete response was received before the deadline.
     TimedOut,
-    /// The answer was another request's.
+    /// The response has no request id, or that of another request.
     Mismatch,
-    /// The answer was cut or spoilt.
+    /// The response was truncated, malformed, too large, or had a content encoding.
     Malformed,
 }
 
 impl AttemptFailure {
-    /// Spelling in metrics and logs.
+    /// Name of the reason in metrics and logs.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -55,7 +55,7 @@
         !matches!(self, Self::Unreachable | Self::Refused | Self::Misdirected)
     }
 
-    /// What the failure says about the upstream.
+    /// Outcome that is recorded for the upstream, on which its availability is based.
     #[must_use]
     pub fn upstream_outcome(self) -> SamplerOutcome {
         match self {
@@ -69,7 +69,7 @@
 /// A failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptError {
-    /// What went wrong.
+    /// Reason of the failure.
     pub failure: AttemptFailure,
 }
 
@@ -79,7 +79,8 @@
     }
 }
 
-/// Sends `call` to the guard's upstream and waits for the header of an answer that belongs to it.
+/// Sends `call` to the guard's upstream and waits until the deadline for the header of the response; the body is not
+/// read. If the deadline has passed already, nothing is sent and the result is `Unreachable`.
 pub async fn start_attempt(
     client: &Client,
     call: &UpstreamCall,
@@ -105,26 +106,26 @@
     if let Some(organisation) = &call.organisation {
         request = request.insert_header((header::ORGANISATION, &**organisation));
     }
-    if let Some(last) = call.last_event_id {
-        request = request.insert_header((header::LAST_EVENT, last.to_string()));
+    if let Some(event_id) = call.last_event_id {
+        request = request.insert_header((header::LAST_EVENT, event_id.to_string()));
     }
-    let answer = match request.send_body(call.body.clone()).await {
-        Ok(answer) => answer,
+    let response = match request.send_body(call.body.clone()).await {
+        Ok(response) => response,
         Err(SendRequestError::Connect(ConnectError::Disconnected)) => return Err(AttemptFailure::Lost.into()),
         Err(SendRequestError::Connect(_)) => return Err(AttemptFailure::Unreachable.into()),
         Err(SendRequestError::Timeout) => return Err(AttemptFailure::TimedOut.into()),
         Err(SendRequestError::Response(_)) => return Err(AttemptFailure::Malformed.into()),
         Err(_) => return Err(AttemptFailure::Lost.into()),
     };
-    if let Some(requests) = load(answer.headers()) {
+    if let Some(requests) = reported_load(response.headers()) {
         guard.load_reported(requests);
     }
-    check_answer(&call.id, answer.status(), answer.headers())?;
-    Ok(answer)
+    check_response(&call.id, response.status(), response.headers())?;
+    Ok(response)
 }
 
-/// Whether an answer belongs to the request `id` and says that an upstream took it on.
-pub fn check_answer(id: &str, status: StatusCode, headers: &HeaderMap) -> Result<()> {
+/// Checks that a response belongs to the request `id` and that the upstream accepted the request.
+pub fn check_response(id: &str, status: StatusCode, headers: &HeaderMap) -> Result<()> {
     let echoed = headers.get(header::REQUEST_ID).map(|value| value.as_bytes());
     if echoed.is_some_and(|echoed| echoed != id.as_bytes()) {
         return Err(AttemptFailure::Mismatch.into());
@@ -144,10 +145,10 @@
     Ok(())
 }
 
-/// Requests running and waiting at the upstream.
-fn load(headers: &HeaderMap) -> Option<u64> {
+/// Number of requests that are running and queued at the upstream, as reported in a response header.
+fn reported_load(headers: &HeaderMap) -> Option<u64> {
     let mut fields = headers.get(header::LOAD)?.to_str().ok()?.split(',');
     let running: u64 = fields.next()?.trim().parse().ok()?;
-    let waiting: u64 = fields.next()?.trim().parse().ok()?;
-    Some(running + waiting)
+    let queued: u64 = fields.next()?.trim().parse().ok()?;
+    Some(running + queued)
 }
--- a/crates/edge/src/relay/complete_response.rs
+++ b/crates/edge/src/relay/complete_response.rs
@@ -1,4 +1,4 @@
-//! An upstream's answer once it is whole.
+//! Reads a complete response of an upstream into memory.
 
 use super::{AttemptFailure, Result, UpstreamCall, UpstreamGuard, start_attempt};
 use actix_web::http::{
@@ -11,26 +11,26 @@
 use pimentoslip_kernel::TimePoint;
 use std::{io::ErrorKind, time::Duration};
 
-/// Status, headers and the whole body.
+/// A response with its complete body.
 #[derive(Clone, Debug)]
 pub struct CompleteResponse {
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Headers.
+    /// Response headers, unfiltered.
     pub headers: HeaderMap,
-    /// Body.
+    /// Complete response body.
     pub body: Bytes,
 }
 
-/// Reads the rest of an answer. Only what the message itself ends counts as whole, or the orderly end of
-/// the connection where the message names no length.
-async fn read_whole<S>(mut answer: ClientResponse<S>, bytes_max: usize) -> Result<CompleteResponse>
+/// Reads the body of a response; one larger than `bytes_max` is rejected. The body is complete when the framing of the
+/// message says so, or, for a message without a length, when the upstream closes the connection cleanly.
+async fn read_response<S>(mut response: ClientResponse<S>, bytes_max: usize) -> Result<CompleteResponse>
 where
     S: Stream<Item = std::result::Result<Bytes, PayloadError>> + Unpin,
 {
-    let (status, headers) = (answer.status(), answer.headers().clone());
+    let (status, headers) = (response.status(), response.headers().clone());
     let mut body = BytesMut::new();
-    while let Some(chunk) = answer.next().await {
+    while let Some(chunk) = response.next().await {
         match chunk {
             Ok(chunk) if body.len() + chunk.len() <= bytes_max => body.extend_from_slice(&chunk),
             Ok(_) => return Err(AttemptFailure::Malformed.into()),
@@ -41,12 +41,12 @@
     Ok(CompleteResponse { status, headers, body: body.freeze() })
 }
 
-/// Whether the body lasts until the connection's end.
+/// Whether the end of the body is marked only by the close of the connection.
 pub fn is_delimited_by_close(headers: &HeaderMap) -> bool {
     !headers.contains_key(CONTENT_LENGTH) && !headers.contains_key(TRANSFER_ENCODING)
 }
 
-/// Whether the upstream closed the connection in order.
+/// Whether `error` means that the upstream closed the connection cleanly, not that the connection was lost.
 pub fn is_clean_close(error: &PayloadError) -> bool {
     match error {
         PayloadError::Incomplete(None) => true,
@@ -55,7 +55,7 @@
     }
 }
 
-/// Sends `call` to the guard's upstream and reads its whole answer before the call's deadline.
+/// Sends `call` to the guard's upstream and reads the complete response before the call's deadline.
 pub async fn fetch_complete(
     client: &Client,
     call: &UpstreamCall,
@@ -63,13 +63,13 @@
     now: TimePoint,
     bytes_max: usize,
 ) -> std::result::Result<CompleteResponse, AttemptFailure> {
-    let left = Duration::from_millis(call.deadline.since_ms(now));
-    let whole = async {
-        let answer = start_attempt(client, call, guard, now).await?;
-        read_whole(answer, bytes_max).await
+    let time_left = Duration::from_millis(call.deadline.since_ms(now));
+    let exchange = async {
+        let response = start_attempt(client, call, guard, now).await?;
+        read_response(response, bytes_max).await
     };
-    match actix_rt::time::timeout(left, whole).await {
-        Ok(Ok(answer)) => Ok(answer),
+    match actix_rt::time::timeout(time_left, exchange).await {
+        Ok(Ok(response)) => Ok(response),
         Ok(Err(error)) => Err(error.failure),
         Err(_) => Err(AttemptFailure::TimedOut),
     }
--- a/crates/edge/src/relay/header_filter.rs
+++ b/crates/edge/src/relay/header_filter.rs
@@ -1,9 +1,9 @@
-//! Which headers are passed on.
+//! Selects the headers that are forwarded between callers and upstreams.
 
 use actix_web::http::header::{HeaderMap, HeaderName};
 use pimentoslip_platform::header;
 
-/// Headers that concern one connection only, or are written anew for each message.
+/// Hop-by-hop headers, and headers that the HTTP library sets for each message.
 const CONNECTION_HEADERS: [&str; 11] = [
     "connection",
     "keep-alive",
@@ -18,8 +18,8 @@
     "expect",
 ];
 
-/// Headers that the service sets itself, whatever the caller sent.
-const OWN_HEADERS: [&str; 7] = [
+/// Request headers that are not copied from the caller's request; the daemon sets those that an upstream needs.
+const RESERVED_HEADERS: [&str; 7] = [
     "host",
     "authorization",
     header::ORGANISATION,
@@ -29,6 +29,7 @@
     header::PRIORITY,
 ];
 
+/// Whether `name` is a hop-by-hop header, also one that the message's `Connection` header lists.
 fn is_connection_header(name: &HeaderName, headers: &HeaderMap) -> bool {
     CONNECTION_HEADERS.contains(&name.as_str())
         || headers
@@ -37,19 +38,19 @@
             .any(|value| value.split(',').any(|option| option.trim().eq_ignore_ascii_case(name.as_str())))
 }
 
-/// Headers of a caller's request that go to the upstream.
+/// Headers of a caller's request that are forwarded to the upstream.
 #[must_use]
 pub fn forwarded_request_headers(headers: &HeaderMap) -> HeaderMap {
     let mut forwarded = HeaderMap::new();
     for (name, value) in headers {
-        if !is_connection_header(name, headers) && !OWN_HEADERS.contains(&name.as_str()) {
+        if !is_connection_header(name, headers) && !RESERVED_HEADERS.contains(&name.as_str()) {
             forwarded.append(name.clone(), value.clone());
         }
     }
     forwarded
 }
 
-/// Headers of an upstream's answer that go to the caller.
+/// Headers of an upstream's response that are forwarded to the caller.
 #[must_use]
 pub fn forwarded_response_headers(headers: &HeaderMap) -> HeaderMap {
     let mut forwarded = HeaderMap::new();
--- a/crates/edge/src/relay/mod.rs
+++ b/crates/edge/src/relay/mod.rs
@@ -1,4 +1,4 @@
-//! Calls to upstreams.
+//! Sends requests to upstreams and reads their responses.
 
 mod attempt;
 mod complete_response;
--- a/crates/edge/src/relay/upstream_call.rs
+++ b/crates/edge/src/relay/upstream_call.rs
@@ -1,28 +1,28 @@
-//! What is sent to an upstream.
+//! The request that is sent to an upstream.
 
 use actix_web::http::{Method, header::HeaderMap};
 use bytes::Bytes;
 use pimentoslip_kernel::{SharedName, TimePoint};
 
-/// A request as it goes to any upstream of its service.
+/// A request that can be sent to any upstream of its service.
 #[derive(Clone, Debug)]
 pub struct UpstreamCall {
-    /// Id that the answer must repeat.
+    /// Request id, which the response must echo.
     pub id: SharedName,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub path: String,
-    /// Host that the caller named.
+    /// Value of the `Host` header that the caller sent.
     pub host: SharedName,
-    /// Headers of the caller that go to the upstream.
+    /// Headers of the caller that are forwarded to the upstream.
     pub headers: HeaderMap,
-    /// Organisation, if the route asks for one.
+    /// Organisation of the caller; `None` if the route needs no key or the configuration has no organisations.
     pub organisation: Option<SharedName>,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
-    /// When the caller stops waiting.
+    /// Time at which the caller stops waiting for the response.
     pub deadline: TimePoint,
-    /// Number of the last event that is known, for a stream that goes on.
+    /// Number of the last received event, after which an interrupted event stream is resumed.
     pub last_event_id: Option<u64>,
 }
--- a/crates/edge/src/relay/upstream_guard.rs
+++ b/crates/edge/src/relay/upstream_guard.rs
@@ -1,32 +1,33 @@
-//! Counts a request on its upstream.
+//! Counts a request towards the load of its upstream while it is in flight.
 
 use crate::edge_state::EdgeState;
 use pimentoslip_kernel::{SamplerOutcome, SamplerQuery, SamplerRecord};
 use std::sync::Arc;
 
-/// Keeps a request counted on an upstream until the guard is closed or dropped.
+/// Counts a request as in flight at an upstream; when dropped, records the outcome of the attempt.
 #[derive(Debug)]
 pub struct UpstreamGuard {
     state: Arc<EdgeState>,
-    /// The upstream.
+    /// The upstream's entry in the list at the time of the choice.
     pub record: SamplerRecord,
     outcome: SamplerOutcome,
 }
 
 impl UpstreamGuard {
-    /// Chooses an upstream for `query`.
+    /// Chooses an upstream for `query` and counts the request there. `None` if no upstream has capacity.
     #[must_use]
     pub fn pick(state: &Arc<EdgeState>, query: &SamplerQuery<'_>) -> Option<Self> {
         let record = state.upstreams().pick(query, state.now())?;
         Some(Self { state: state.clone(), record, outcome: SamplerOutcome::Abandoned })
     }
 
-    /// Sets how the attempt ended; without this nothing is learned from it.
+    /// Sets the outcome that is recorded on drop. Without it the attempt counts as abandoned, which does not affect the
+    /// upstream's availability.
     pub fn set_outcome(&mut self, outcome: SamplerOutcome) {
         self.outcome = outcome;
     }
 
-    /// The upstream reported its load.
+    /// Records the number of requests that the upstream reported as running and queued.
     pub fn load_reported(&self, requests: u64) {
         self.state.upstreams().load_reported(&self.record.id, requests, self.state.now());
     }
--- a/crates/edge/src/run_edge.rs
+++ b/crates/edge/src/run_edge.rs
@@ -27,7 +27,7 @@
 
 /// Time within which a client must have sent the header of its request; clients send it at once.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time after which idle connections are closed; clients close theirs sooner.
+/// Time after which idle connections are closed; longer than clients keep them, so that clients close them first.
 const KEEP_ALIVE: Duration = Duration::from_secs(75);
 /// After SIGTERM new connections are accepted for this long, until the load balancer has stopped sending them.
 const BALANCER_REACTION_MS: u64 = 3_200;
@@ -87,6 +87,7 @@
     }
 }
 
+/// Starts the background tasks of the daemon.
 fn spawn_tasks(state: &Arc<EdgeState>) {
     let parts = WorkerParts::new(state.clone());
     let WorkerParts { store, upstream_client, change_feed, peer_client, .. } = parts;
@@ -123,7 +124,8 @@
 
 /// Starts the public HTTP server, to which callers connect.
 fn serve_public(state: &Arc<EdgeState>) -> Result<ServerHandle> {
-    let address = state.settings.public.context("the settings file has no public address; add one")?;
+    let address =
+        state.settings.public.context("the settings file has no address for callers; add `listenAddrs.frontend`")?;
     let shared_state = state.clone();
     let server = HttpServer::new(move || {
         let parts = WorkerParts::new(shared_state.clone());
@@ -166,7 +168,8 @@
     TcpListener::bind(address).with_context(|| format!("cannot listen on {address}; check the settings file"))
 }
 
-/// Drains the daemon: fails the readiness probe, hands over jobs and the duty, and waits for active requests.
+/// Drains the daemon: fails the readiness probe, hands over jobs and the duty, waits for active requests, and stores
+/// the remaining usage counts.
 async fn drain(state: &Arc<EdgeState>) {
     let started_at = state.now();
     LogLine::new("draining").field("requests", state.active_requests()).info();
--- a/crates/edge/src/store/store_access.rs
+++ b/crates/edge/src/store/store_access.rs
@@ -133,8 +133,8 @@
         self.call(true, async |client, _| client.range(prefix).await).await
     }
 
-    /// Waits for changes below `prefix` after `revision`; see [`StoreClient::watch`]. The wait is shorter if the call is
-    /// relayed through a peer.
+    /// Waits for changes below `prefix` after `revision`; see [`StoreClient::watch`]. The wait is shorter if the call
+    /// is relayed through a peer.
     pub async fn watch(&self, prefix: &str, revision: u64, wait_ms: u64) -> Result<WatchBatch> {
         let watch = async |client: &StoreClient, path: &ServicePath| {
             let wait_ms = if *path == ServicePath::Direct { wait_ms } else { RELAYED_WAIT_MS.min(wait_ms) };
