--- a/crates/edge/src/edge_state.rs
+++ b/crates/edge/src/edge_state.rs
@@ -2,10 +2,7 @@
 
 use crate::{edge_metrics::EdgeMetrics, job::JobIndex, steady_time::SteadyTime};
 use pimentoslip_client::OwnerClock;
-use pimentoslip_kernel::{
-    OwnershipTable, PathSelector, RunReports, SamplerTable, SharedName, TimePoint, TrafficConfig, UsageTally,
-    fingerprint,
-};
+use pimentoslip_kernel::{OwnershipTable, PathSelector, RunReports, SamplerTable, SharedName, TimePoint, TrafficConfig, UsageTally, fingerprint};
 use pimentoslip_platform::ProcessSettings;
 use pimentoslip_wire::stored::DaemonEntry;
 use std::{
@@ -50,7 +47,7 @@
     lease: Mutex<LeaseView>,
     store_path: Mutex<PathSelector>,
     store_reconnected_at: Mutex<Option<TimePoint>>,
-    usage_writes: AtomicU64,
+    usage_write_count: AtomicU64,
     run_board: Mutex<RunReports>,
     pending_duty_calls: AtomicUsize,
 }
@@ -124,7 +121,7 @@
             lease: Mutex::default(),
             store_path: Mutex::new(PathSelector::new(fingerprint(&[settings.vm.as_bytes()]))),
             store_reconnected_at: Mutex::default(),
-            usage_writes: AtomicU64::new(0),
+            usage_write_count: AtomicU64::new(0),
             run_board: Mutex::default(),
             pending_duty_calls: AtomicUsize::new(0),
             settings,
@@ -171,7 +168,7 @@
         lock(&self.newest_versions)
     }
 
-    /// Locks the list of VMs that operators have asked to drain.
+    /// Locks the list of VMs that operators want to retire and that must hold no durable data any more.
     pub fn retired_vms(&self) -> MutexGuard<'_, Vec<SharedName>> {
         lock(&self.retired_vms)
     }
@@ -233,7 +230,7 @@
     /// Sequence number for this process's next write of usage counts; each call returns the next one.
     #[must_use]
     pub fn next_usage_write_number(&self) -> u64 {
-        self.usage_writes.fetch_add(1, Ordering::Relaxed)
+        self.usage_write_count.fetch_add(1, Ordering::Relaxed)
     }
 
     /// Whether this daemon's lease cannot have expired yet, so that no other daemon can own what depends on it. False
