--- a/crates/edge/src/http/batch_api.rs
+++ b/crates/edge/src/http/batch_api.rs
@@ -5,7 +5,10 @@
     proxy::read_body,
     request_context::{RequestContext, header_text},
 };
-use crate::{job::{self, JobView, ResultsQuery, SubmitOutcome, SubmittedJob}, worker_parts::WorkerParts};
+use crate::{
+    job::{self, JobView, ResultsQuery, SubmitOutcome, SubmittedJob},
+    worker_parts::WorkerParts,
+};
 use actix_web::{HttpRequest, HttpResponse, http::Method, web};
 use form_urlencoded::parse;
 use pimentoslip_kernel::RouteRule;
--- a/crates/edge/src/http/peer_api.rs
+++ b/crates/edge/src/http/peer_api.rs
@@ -1,6 +1,10 @@
 //! Control API through which daemons call each other.
 
-use crate::{job::{ResultsQuery, SubmittedJob, accept_pushed_job, local_item, local_results}, store::RELAY_PATH, worker_parts::WorkerParts};
+use crate::{
+    job::{ResultsQuery, SubmittedJob, accept_pushed_job, local_item, local_results},
+    store::RELAY_PATH,
+    worker_parts::WorkerParts,
+};
 use actix_web::{HttpRequest, HttpResponse, http::StatusCode, web};
 use pimentoslip_kernel::OwnerRecord;
 use pimentoslip_platform::{StoreError, decode_submission};
--- a/crates/kernel/tests/machines/small_machines.rs
+++ b/crates/kernel/tests/machines/small_machines.rs
@@ -1,6 +1,10 @@
 //! Table-driven tests of the small state machines and decision functions.
 
-use pimentoslip_kernel::{FailedAttempt, FetchCursor, KeySecret, MemberEntry, MemberState, MemberTable, RefusalReason, RequestClass, RequestProgress, RetryBudget, RetryDecision, RetryPolicy, RunState, SpendAction, SpendInput, SpendPlanner, StreamScanner, SuspectTable, TimePoint, highest_ranked, rank};
+use pimentoslip_kernel::{
+    FailedAttempt, FetchCursor, KeySecret, MemberEntry, MemberState, MemberTable, RefusalReason, RequestClass,
+    RequestProgress, RetryBudget, RetryDecision, RetryPolicy, RunState, SpendAction, SpendInput, SpendPlanner,
+    StreamScanner, SuspectTable, TimePoint, highest_ranked, rank,
+};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
