--- a/crates/kernel/src/batch/run_monitor.rs
+++ b/crates/kernel/src/batch/run_monitor.rs
@@ -21,6 +21,7 @@
 pub struct RunMonitor {
     /// Arrival of the last event, or the start of the run.
     last_event_at: TimePoint,
+    /// Number of events received.
     event_count: u64,
     /// Moving average of the interval between two events.
     interval_us: u64,
--- a/crates/kernel/src/duty/duty_history.rs
+++ b/crates/kernel/src/duty/duty_history.rs
@@ -3,7 +3,7 @@
 use crate::SharedName;
 
 /// Number of acquisitions that the history keeps.
-const HOLDERS_MAX: usize = 8;
+const ACQUISITIONS_MAX: usize = 8;
 /// Largest difference that is tolerated between the wall clocks of two VMs, which can jump by seconds.
 const CLOCK_ERROR_MS: u64 = 10_000;
 
@@ -47,7 +47,7 @@
     #[must_use]
     pub fn with_acquisition(mut self, daemon: SharedName, unix_ms: u64) -> Self {
         self.acquisitions.push(DutyAcquisition { daemon, acquired_unix_ms: unix_ms });
-        let excess = self.acquisitions.len().saturating_sub(HOLDERS_MAX);
+        let excess = self.acquisitions.len().saturating_sub(ACQUISITIONS_MAX);
         self.acquisitions.drain(..excess);
         self
     }
--- a/crates/kernel/src/duty/scaling_planner.rs
+++ b/crates/kernel/src/duty/scaling_planner.rs
@@ -60,6 +60,7 @@
 }
 
 impl DomainPlan {
+    /// State of the orders for reclaimable or standing upstreams.
     fn order_state(&mut self, reclaimable: bool) -> &mut OrderState {
         if reclaimable { &mut self.reclaimable } else { &mut self.standing }
     }
@@ -68,6 +69,7 @@
 /// Plans the number of upstreams of one service.
 #[derive(Debug, Default)]
 pub struct ScalingPlanner {
+    /// State of the orders by failure domain.
     domains: BTreeMap<SharedName, DomainPlan>,
     /// Largest demand within [`DEMAND_WINDOW_MS`].
     peak_demand: u64,
--- a/crates/kernel/src/duty/usage_tally.rs
+++ b/crates/kernel/src/duty/usage_tally.rs
@@ -12,7 +12,7 @@
 pub struct UsageBatch {
     /// Sequence number of the batch within its process.
     pub number: u64,
-    /// Number of the usage window since the Unix epoch.
+    /// Usage window, numbered from the Unix epoch.
     pub window: u64,
     /// Number of requests started, by organisation.
     pub counts: BTreeMap<SharedName, u64>,
@@ -21,11 +21,13 @@
 /// Counts of one process by window and organisation, until they are stored.
 #[derive(Clone, Debug)]
 pub struct UsageTally {
+    /// Length of a window.
     window_ms: u64,
     /// Counts by window that are in no batch yet.
     counts: BTreeMap<u64, BTreeMap<SharedName, u64>>,
     /// Batches that are not confirmed as stored, by sequence number.
     unstored: BTreeMap<u64, UsageBatch>,
+    /// Sequence number of the next batch.
     next_number: u64,
 }
 
--- a/crates/kernel/src/duty/version_planner.rs
+++ b/crates/kernel/src/duty/version_planner.rs
@@ -217,9 +217,7 @@
             let lag = |model: &SharedName| {
                 models[model].newest_version.saturating_sub(record.versions.get(model).copied().unwrap_or(0))
             };
-            let Some(model) = lacking.map(|(model, _)| model).min_by_key(|model| lag(model)).cloned() else {
-                continue;
-            };
+            let Some(model) = lacking.map(|(model, _)| model).min_by_key(|model| lag(model)).cloned() else { continue };
             *counts.entry(model.clone()).or_default() += 1;
             if let Some(plan) = self.plans.get_mut(&record.id) {
                 plan.model = Some(model);
--- a/crates/kernel/tests/machines/batches.rs
+++ b/crates/kernel/tests/machines/batches.rs
@@ -1,4 +1,5 @@
-//! Batch jobs: each item is listed once, with its whole text and the versions that made it, or given up for a reason.
+//! Batch jobs: each item is listed exactly once, either with its complete text and the versions that generated it, or
+//! as terminated for a valid reason, also if writes to the store are lost or the owner changes.
 
 use crate::sequence;
 use pimentoslip_kernel::{
@@ -11,28 +12,29 @@
 const ITEMS: usize = 4;
 const ATTEMPTS_MAX: u32 = 2;
 const SCORER_FAILURES_MAX: u32 = 3;
-const GIVE_UP_MS: u64 = 20_000;
-const CHUNK_BYTES: usize = 450;
-const CHECKPOINT_BYTES: usize = 40;
+const RETENTION_MS: u64 = 20_000;
+const CHUNK_BYTES_MAX: usize = 450;
+const CHECKPOINT_BYTES_MAX: usize = 40;
 
+/// Input to the simulation of a batch job.
 #[derive(Clone, Debug)]
 enum Command {
-    /// The owner starts what it may.
-    Run,
-    /// A run brings an event, skipping some where `skip` says so.
-    Event { run: u8, skip: bool },
-    /// A run ends.
-    EndRun { run: u8, how: u8 },
-    /// The owner scores what it may; the scorer answers.
-    Score { how: u8 },
-    /// The owner writes results; the answer may be lost.
-    List { lost: bool },
-    /// The owner puts texts on record; the write or its answer may be lost.
-    Save { written: bool, answered: bool },
-    /// The weights change.
-    Swap,
-    /// The owner dies, or hands its state over; another one goes on.
-    Change { handed: bool },
+    /// The owner starts all items that may run.
+    StartRuns,
+    /// A run sends its next event, or with `skip` the one after it.
+    SendEvent { run: u8, skip: bool },
+    /// A run ends; `selector` determines the outcome.
+    EndRun { run: u8, selector: u8 },
+    /// The owner scores all items that may be scored; `selector` determines the outcome.
+    Score { selector: u8 },
+    /// The owner stores results; the answer may be lost.
+    StoreResults { answer_lost: bool },
+    /// The owner stores a checkpoint; the write or its answer may be lost.
+    StoreCheckpoint { written: bool, answered: bool },
+    /// The upstreams load the next version of the weights.
+    ChangeVersion,
+    /// Another daemon becomes the owner; the previous one crashed, or handed its state over.
+    ChangeOwner { handed_over: bool },
     /// Time passes.
     Wait { ms: u16 },
 }
@@ -41,63 +43,74 @@
     fn arbitrary(rng: &mut Gen) -> Self {
         let (a, b) = (u8::arbitrary(rng), u8::arbitrary(rng));
         match u8::arbitrary(rng) % 20 {
-            0..=3 => Self::Run,
-            4..=9 => Self::Event { run: a, skip: b % 16 == 0 },
-            10..=13 => Self::EndRun { run: a, how: b },
-            14..=15 => Self::Score { how: a },
-            16 if a % 2 == 0 => Self::List { lost: a % 3 == 0 },
-            16 => Self::Save { written: b % 4 > 0, answered: b % 3 > 0 },
-            17 if a % 2 == 0 => Self::Swap,
-            18 if a % 3 == 0 => Self::Change { handed: b % 2 == 0 },
+            0..=3 => Self::StartRuns,
+            4..=9 => Self::SendEvent { run: a, skip: b % 16 == 0 },
+            10..=13 => Self::EndRun { run: a, selector: b },
+            14..=15 => Self::Score { selector: a },
+            16 if a % 2 == 0 => Self::StoreResults { answer_lost: a % 3 == 0 },
+            16 => Self::StoreCheckpoint { written: b % 4 > 0, answered: b % 3 > 0 },
+            17 if a % 2 == 0 => Self::ChangeVersion,
+            18 if a % 3 == 0 => Self::ChangeOwner { handed_over: b % 2 == 0 },
             _ => Self::Wait { ms: u16::arbitrary(rng) % 600 },
         }
     }
 }
 
-/// Length of an item's text in events; the longest are worth a checkpoint.
-fn length(index: usize) -> u64 {
+/// Number of events in an item's complete text; only the longer texts reach the size for a checkpoint.
+fn text_length(index: usize) -> u64 {
     index as u64 * 6 + 1
 }
 
-fn data(index: usize, number: u64) -> String {
+/// Data of event `number` of an item's text.
+fn event_data(index: usize, number: u64) -> String {
     format!("{index}:{number}")
 }
 
-fn text(index: usize) -> String {
-    (FIRST_EVENT_NUMBER..=length(index)).map(|number| data(index, number)).collect::<Vec<_>>().join("\n")
+/// An item's complete text.
+fn complete_text(index: usize) -> String {
+    (FIRST_EVENT_NUMBER..=text_length(index)).map(|number| event_data(index, number)).collect::<Vec<_>>().join("\n")
 }
 
+/// A run in progress at an upstream.
 struct Run {
-    work: RunAssignment,
-    next: u64,
+    assignment: RunAssignment,
+    /// Number of the next event.
+    next_event: u64,
 }
 
-/// What truly happened, kept apart from the ledger's own books.
+/// Independent record of all inputs to the ledger, and the contents of the store.
 #[derive(Default)]
-struct Truth {
-    /// Versions of the events that the owner was told to keep.
-    kept: Vec<Vec<u64>>,
-    failures: Vec<u32>,
+struct Oracle {
+    /// Versions of the accepted events of each item.
+    event_versions: Vec<Vec<u64>>,
+    run_failures: Vec<u32>,
     scorer_failures: Vec<u32>,
-    impossible: BTreeSet<usize>,
+    /// Items that an upstream reported as unrunnable.
+    unrunnable: BTreeSet<usize>,
+    /// Results in the store.
     listed: Vec<ItemResult>,
-    /// Checkpoints on record, each with the versions of all events of its texts up to there.
-    record: BTreeMap<usize, SavedTexts>,
-    /// The checkpoint that the owner wrote last, as it was when it was made.
-    written: Option<(usize, SavedTexts)>,
+    /// Checkpoints in the store by number.
+    stored_checkpoints: BTreeMap<usize, StoredCheckpoint>,
+    /// The checkpoint that the owner wrote last and its number, as it was when it was created.
+    last_written: Option<(usize, StoredCheckpoint)>,
 }
 
+/// A checkpoint with the versions that generated its texts.
 #[derive(Clone, Debug, PartialEq)]
-struct SavedTexts {
+struct StoredCheckpoint {
     checkpoint: TextCheckpoint,
+    /// Version of each event of a text, from its first event to the last one in the checkpoint, by item.
     versions: BTreeMap<usize, Vec<u64>>,
 }
 
-struct World {
-    terms: BatchOptions,
+/// A batch job with its owner, upstreams, scorer and store.
+struct Simulation {
+    options: BatchOptions,
     ledger: BatchLedger,
+    /// Runs in progress.
     runs: Vec<Run>,
-    truth: Truth,
+    oracle: Oracle,
+    /// Version of the weights at the upstreams.
     version: u64,
     now: TimePoint,
 }
@@ -105,186 +118,191 @@
 fn specs() -> Vec<ItemSpec> {
     let spec = |index: usize| ItemSpec {
         group: "g".into(),
-        expected_tokens: length(index),
+        expected_tokens: text_length(index),
         needs_score: index.is_multiple_of(2),
     };
     (0..ITEMS).map(spec).collect()
 }
 
-impl World {
+impl Simulation {
     fn new(single_version: bool) -> Self {
-        let give_up_at = TimePoint(GIVE_UP_MS);
-        let terms = BatchOptions {
+        let retention_ends_at = TimePoint(RETENTION_MS);
+        let options = BatchOptions {
             attempts_max: ATTEMPTS_MAX,
             oldest_version: 2,
             single_version,
-            retention_ends_at: give_up_at,
+            retention_ends_at,
             groups_awaited: 1,
         };
-        let truth = Truth {
-            kept: vec![Vec::new(); ITEMS],
-            failures: vec![0; ITEMS],
+        let oracle = Oracle {
+            event_versions: vec![Vec::new(); ITEMS],
+            run_failures: vec![0; ITEMS],
             scorer_failures: vec![0; ITEMS],
-            ..Truth::default()
+            ..Oracle::default()
         };
         Self {
-            terms,
-            ledger: BatchLedger::new(terms, specs(), &[]),
+            options,
+            ledger: BatchLedger::new(options, specs(), &[]),
             runs: Vec::new(),
-            truth,
+            oracle,
             version: 1,
             now: TimePoint(0),
         }
     }
 
-    fn step(&mut self, command: &Command) -> Result<(), String> {
+    fn apply(&mut self, command: &Command) -> Result<(), String> {
         match *command {
-            Command::Run => {
-                while let Some(work) = self.ledger.start_next_run(self.now) {
-                    if self.runs.iter().any(|run| run.work.index == work.index) {
-                        return Err(format!("item {} runs twice at one owner", work.index));
+            Command::StartRuns => {
+                while let Some(assignment) = self.ledger.start_next_run(self.now) {
+                    if self.runs.iter().any(|run| run.assignment.index == assignment.index) {
+                        return Err(format!("item {} has two runs at the same owner", assignment.index));
                     }
-                    self.runs.push(Run { work, next: work.resume_after.map_or(FIRST_EVENT_NUMBER, |last| last + 1) });
+                    self.runs.push(Run {
+                        assignment,
+                        next_event: assignment.resume_after.map_or(FIRST_EVENT_NUMBER, |last| last + 1),
+                    });
                 }
             }
-            Command::Event { run, skip } => self.event(run, skip)?,
-            Command::EndRun { run, how } => self.end_run(run, how),
-            Command::Score { how } => self.score(how),
-            Command::List { lost } => self.list(lost)?,
-            Command::Save { written, answered } => self.save(written, answered)?,
-            Command::Swap => self.version += 1,
-            Command::Change { handed } => self.change(handed),
+            Command::SendEvent { run, skip } => self.send_event(run, skip)?,
+            Command::EndRun { run, selector } => self.end_run(run, selector),
+            Command::Score { selector } => self.score(selector),
+            Command::StoreResults { answer_lost } => self.store_results(answer_lost)?,
+            Command::StoreCheckpoint { written, answered } => self.store_checkpoint(written, answered)?,
+            Command::ChangeVersion => self.version += 1,
+            Command::ChangeOwner { handed_over } => self.change_owner(handed_over),
             Command::Wait { ms } => {
                 self.now = self.now.plus_ms(u64::from(ms));
                 self.ledger.expire_items(self.now);
-                self.runs.retain(|run| self.ledger.is_running(run.work.index));
+                self.runs.retain(|run| self.ledger.is_running(run.assignment.index));
             }
         }
         Ok(())
     }
 
-    fn event(&mut self, run: u8, skip: bool) -> Result<(), String> {
+    fn send_event(&mut self, run: u8, skip: bool) -> Result<(), String> {
         if self.runs.is_empty() {
             return Ok(());
         }
-        let at = usize::from(run) % self.runs.len();
-        let (index, number) = (self.runs[at].work.index, self.runs[at].next + u64::from(skip));
-        if number > length(index) {
+        let position = usize::from(run) % self.runs.len();
+        let (index, number) = (self.runs[position].assignment.index, self.runs[position].next_event + u64::from(skip));
+        if number > text_length(index) {
             return Ok(());
         }
-        let before = FIRST_EVENT_NUMBER + self.truth.kept[index].len() as u64;
-        let verdict = self.ledger.event_received(index, number, self.version, &data(index, number));
-        let kept = &mut self.truth.kept[index];
-        let fits = number == before;
-        match verdict {
-            EventOutcome::Accepted if !fits => {
-                return Err(format!("event {number} of item {index} was taken out of turn"));
+        let expected_number = FIRST_EVENT_NUMBER + self.oracle.event_versions[index].len() as u64;
+        let outcome = self.ledger.event_received(index, number, self.version, &event_data(index, number));
+        let event_versions = &mut self.oracle.event_versions[index];
+        let is_next = number == expected_number;
+        match outcome {
+            EventOutcome::Accepted if !is_next => {
+                return Err(format!("event {number} of item {index} was accepted out of order"));
             }
-            EventOutcome::Accepted if self.version < self.terms.oldest_version => {
-                return Err(format!("an event of version {} was taken", self.version));
+            EventOutcome::Accepted if self.version < self.options.oldest_version => {
+                return Err(format!("an event of the outdated version {} was accepted", self.version));
             }
             EventOutcome::Accepted => {
-                kept.push(self.version);
-                self.runs[at].next = number + 1;
+                event_versions.push(self.version);
+                self.runs[position].next_event = number + 1;
             }
             EventOutcome::Restart => {
-                kept.clear();
-                self.runs.remove(at);
+                event_versions.clear();
+                self.runs.remove(position);
                 self.ledger.run_ended(index, RunOutcome::Interrupted, self.now);
             }
             EventOutcome::Mismatch => {
-                self.runs.remove(at);
+                self.runs.remove(position);
                 self.ledger.run_ended(index, RunOutcome::Interrupted, self.now);
             }
         }
         Ok(())
     }
 
-    fn end_run(&mut self, run: u8, how: u8) {
+    fn end_run(&mut self, run: u8, selector: u8) {
         if self.runs.is_empty() {
             return;
         }
-        let at = usize::from(run) % self.runs.len();
-        let index = self.runs[at].work.index;
-        let whole = self.runs[at].next > length(index);
-        let end = match how % 12 {
-            _ if whole && !how.is_multiple_of(8) => RunOutcome::Completed,
+        let position = usize::from(run) % self.runs.len();
+        let index = self.runs[position].assignment.index;
+        let is_complete = self.runs[position].next_event > text_length(index);
+        let outcome = match selector % 12 {
+            _ if is_complete && !selector.is_multiple_of(8) => RunOutcome::Completed,
             0..=5 => RunOutcome::Interrupted,
             6..=7 => RunOutcome::NotRun,
             8..=10 => RunOutcome::Failed,
             _ => RunOutcome::Unrunnable,
         };
-        match end {
-            RunOutcome::Failed => self.truth.failures[index] += 1,
+        match outcome {
+            RunOutcome::Failed => self.oracle.run_failures[index] += 1,
             RunOutcome::Unrunnable => {
-                self.truth.impossible.insert(index);
+                self.oracle.unrunnable.insert(index);
             }
             _ => {}
         }
-        self.runs.remove(at);
-        self.ledger.run_ended(index, end, self.now);
+        self.runs.remove(position);
+        self.ledger.run_ended(index, outcome, self.now);
     }
 
-    fn score(&mut self, how: u8) {
+    fn score(&mut self, selector: u8) {
         while let Some(index) = self.ledger.start_next_scoring(self.now) {
-            let end = match how % 4 {
+            let outcome = match selector % 4 {
                 0 => {
-                    self.truth.scorer_failures[index] += 1;
+                    self.oracle.scorer_failures[index] += 1;
                     ScoreOutcome::Failed
                 }
                 1 => ScoreOutcome::Interrupted,
                 _ => ScoreOutcome::Signed(format!("s{index}")),
             };
-            self.ledger.scoring_ended(index, end, SCORER_FAILURES_MAX, self.now);
+            self.ledger.scoring_ended(index, outcome, SCORER_FAILURES_MAX, self.now);
         }
     }
 
-    /// The store takes a chunk at its position once; a repeat finds its own chunk there.
-    fn list(&mut self, lost: bool) -> Result<(), String> {
-        let Some(chunk) = self.ledger.next_chunk(CHUNK_BYTES).cloned() else { return Ok(()) };
-        let stored = &mut self.truth.listed;
+    /// Stores the next chunk of results. A repeated write must find the same results at its position.
+    fn store_results(&mut self, answer_lost: bool) -> Result<(), String> {
+        let Some(chunk) = self.ledger.next_chunk(CHUNK_BYTES_MAX).cloned() else { return Ok(()) };
+        let stored = &mut self.oracle.listed;
         if chunk.first_position == stored.len() {
             stored.extend(chunk.results.iter().cloned());
         } else if stored.get(chunk.first_position..chunk.first_position + chunk.results.len())
             != Some(&chunk.results[..])
         {
-            return Err(format!("position {} would hold other results than before", chunk.first_position));
+            return Err(format!("the chunk at position {} differs from the stored results", chunk.first_position));
         }
-        if !lost {
+        if !answer_lost {
             self.ledger.chunk_stored(chunk.first_position);
         }
-        self.check()
+        self.check_results()
     }
 
-    /// The store takes a checkpoint under its number once.
-    fn save(&mut self, written: bool, answered: bool) -> Result<(), String> {
-        let Some((number, checkpoint)) = self.ledger.next_checkpoint(CHECKPOINT_BYTES) else { return Ok(()) };
+    /// Stores the next checkpoint unless there is one under its number.
+    fn store_checkpoint(&mut self, written: bool, answered: bool) -> Result<(), String> {
+        let Some((number, checkpoint)) = self.ledger.next_checkpoint(CHECKPOINT_BYTES_MAX) else { return Ok(()) };
         let checkpoint = checkpoint.clone();
         let versions = |part: &pimentoslip_kernel::TextPart| {
-            let length = usize::try_from(part.last_event + 1 - FIRST_EVENT_NUMBER).unwrap_or(usize::MAX);
-            (part.index, self.truth.kept[part.index].iter().copied().take(length).collect())
+            let event_count = usize::try_from(part.last_event + 1 - FIRST_EVENT_NUMBER).unwrap_or(usize::MAX);
+            (part.index, self.oracle.event_versions[part.index].iter().copied().take(event_count).collect())
         };
-        let made = match &self.truth.written {
-            // The same texts again; the items may have gone on or begun anew since.
-            Some((known, texts)) if *known == number && texts.checkpoint == checkpoint => texts.clone(),
-            _ => SavedTexts { versions: checkpoint.parts.iter().map(versions).collect(), checkpoint },
+        let created = match &self.oracle.last_written {
+            // A repeated write: the items may have received events or restarted since the first attempt.
+            Some((written_number, texts)) if *written_number == number && texts.checkpoint == checkpoint => {
+                texts.clone()
+            }
+            _ => StoredCheckpoint { versions: checkpoint.parts.iter().map(versions).collect(), checkpoint },
         };
-        for part in &made.checkpoint.parts {
+        for part in &created.checkpoint.parts {
             let data: Vec<String> =
-                (part.first_event..=part.last_event).map(|number| data(part.index, number)).collect();
+                (part.first_event..=part.last_event).map(|number| event_data(part.index, number)).collect();
             if part.text != data.join("\n") {
                 return Err(format!(
-                    "the part of item {} from event {} is {:?}",
+                    "the part of item {} from event {} has the text {:?}",
                     part.index, part.first_event, part.text
                 ));
             }
         }
-        self.truth.written = Some((number, made.clone()));
+        self.oracle.last_written = Some((number, created.clone()));
         if !written {
             return Ok(());
         }
-        let stored = self.truth.record.entry(number).or_insert_with(|| made.clone()).clone();
-        match (answered, stored == made) {
+        let stored = self.oracle.stored_checkpoints.entry(number).or_insert_with(|| created.clone()).clone();
+        match (answered, stored == created) {
             (false, _) => {}
             (true, true) => self.ledger.checkpoint_stored(number),
             (true, false) => self.ledger.checkpoint_conflicted(number),
@@ -292,29 +310,31 @@
         Ok(())
     }
 
-    /// Another owner reads the record, and gets the former one's state if that could hand it over.
-    fn change(&mut self, handed: bool) {
+    /// Replaces the owner. The new one restores the state that was handed over, or else the stored checkpoints.
+    fn change_owner(&mut self, handed_over: bool) {
         let state = self.ledger.handover_state();
-        let listed: Vec<usize> = self.truth.listed.iter().map(|result| result.index).collect();
+        let listed: Vec<usize> = self.oracle.listed.iter().map(|result| result.index).collect();
         self.runs.clear();
-        self.ledger = BatchLedger::new(self.terms, specs(), &listed);
-        if handed {
+        self.ledger = BatchLedger::new(self.options, specs(), &listed);
+        if handed_over {
             self.ledger.restore(state);
             return;
         }
-        let record: Vec<TextCheckpoint> = self.truth.record.values().map(|texts| texts.checkpoint.clone()).collect();
-        self.ledger.replay_checkpoints(&record);
+        let checkpoints: Vec<TextCheckpoint> =
+            self.oracle.stored_checkpoints.values().map(|stored| stored.checkpoint.clone()).collect();
+        self.ledger.replay_checkpoints(&checkpoints);
         for index in (0..ITEMS).filter(|index| !listed.contains(index)) {
-            let saved = self.truth.record.values().rev().find_map(|texts| texts.versions.get(&index));
-            self.truth.kept[index] = saved.cloned().unwrap_or_default();
-            self.truth.failures[index] = 0;
-            self.truth.scorer_failures[index] = 0;
+            let stored_versions =
+                self.oracle.stored_checkpoints.values().rev().find_map(|stored| stored.versions.get(&index));
+            self.oracle.event_versions[index] = stored_versions.cloned().unwrap_or_default();
+            self.oracle.run_failures[index] = 0;
+            self.oracle.scorer_failures[index] = 0;
         }
     }
 
-    fn check(&self) -> Result<(), String> {
+    fn check_results(&self) -> Result<(), String> {
         let mut seen = BTreeSet::new();
-        for result in &self.truth.listed {
+        for result in &self.oracle.listed {
             let index = result.index;
             if !seen.insert(index) {
                 return Err(format!("item {index} is listed twice"));
@@ -329,141 +349,148 @@
 
     fn check_completed(&self, result: &ItemResult) -> Result<(), String> {
         let index = result.index;
-        if result.text != text(index) {
-            return Err(format!("item {index} is listed with {:?}", result.text));
+        if result.text != complete_text(index) {
+            return Err(format!("item {index} is listed with the text {:?}", result.text));
         }
-        let made: BTreeSet<u64> = self.truth.kept[index].iter().copied().collect();
-        if result.versions != made.iter().copied().collect::<Vec<_>>() {
-            return Err(format!("item {index} names {:?}, was made under {made:?}", result.versions));
+        let generated_by: BTreeSet<u64> = self.oracle.event_versions[index].iter().copied().collect();
+        if result.versions != generated_by.iter().copied().collect::<Vec<_>>() {
+            return Err(format!(
+                "item {index} lists the versions {:?} but was generated by {generated_by:?}",
+                result.versions
+            ));
         }
-        if self.terms.single_version && made.len() != 1 {
-            return Err(format!("item {index} mixes versions {made:?}"));
+        if self.options.single_version && generated_by.len() != 1 {
+            return Err(format!("item {index} mixes the versions {generated_by:?}"));
         }
-        let scored = specs()[index].needs_score;
-        if result.score != scored.then(|| format!("s{index}")) {
+        let needs_score = specs()[index].needs_score;
+        if result.score != needs_score.then(|| format!("s{index}")) {
             return Err(format!("item {index} has the score {:?}", result.score));
         }
         Ok(())
     }
 
     fn check_terminated(&self, index: usize) -> Result<(), String> {
-        let truth = &self.truth;
-        let reason = truth.impossible.contains(&index)
-            || truth.failures[index] >= ATTEMPTS_MAX
-            || truth.scorer_failures[index] >= SCORER_FAILURES_MAX
-            || self.now >= self.terms.retention_ends_at;
-        if reason { Ok(()) } else { Err(format!("item {index} was given up for no reason")) }
+        let oracle = &self.oracle;
+        let is_valid = oracle.unrunnable.contains(&index)
+            || oracle.run_failures[index] >= ATTEMPTS_MAX
+            || oracle.scorer_failures[index] >= SCORER_FAILURES_MAX
+            || self.now >= self.options.retention_ends_at;
+        if is_valid { Ok(()) } else { Err(format!("item {index} was terminated without a valid reason")) }
     }
 }
 
-fn law(single_version: bool, commands: Vec<Command>) -> Result<(), String> {
-    let mut world = World::new(single_version);
+/// Applies `commands`, then checks that the job finishes without further faults.
+fn check_commands(single_version: bool, commands: Vec<Command>) -> Result<(), String> {
+    let mut simulation = Simulation::new(single_version);
     for command in &commands {
-        world.step(command)?;
+        simulation.apply(command)?;
     }
-    // Left alone, every job settles: all items are listed.
-    world.version = world.version.max(2);
+    // Without further faults, all items must be listed within the following passes.
+    simulation.version = simulation.version.max(2);
     for _ in 0..200 {
-        world.step(&Command::Run)?;
-        let runs = world.runs.len();
+        simulation.apply(&Command::StartRuns)?;
+        let runs = simulation.runs.len();
         for run in (0..runs).rev() {
-            // A run that mixes versions ends; its item runs again in the next round.
-            let Some(left) = world.runs.get(run).map(|run| length(run.work.index) + FIRST_EVENT_NUMBER - run.next)
+            // A run that mixes versions is removed; its item runs again in the next pass.
+            let Some(remaining) = simulation
+                .runs
+                .get(run)
+                .map(|run| text_length(run.assignment.index) + FIRST_EVENT_NUMBER - run.next_event)
             else {
                 continue;
             };
-            for _ in 0..left {
-                world.event(u8::try_from(run).unwrap_or(0), false)?;
+            for _ in 0..remaining {
+                simulation.send_event(u8::try_from(run).unwrap_or(0), false)?;
             }
         }
-        while !world.runs.is_empty() {
-            world.end_run(0, 1);
+        while !simulation.runs.is_empty() {
+            simulation.end_run(0, 1);
         }
-        world.score(3);
-        world.list(false)?;
-        world.step(&Command::Wait { ms: 100 })?;
-        if world.ledger.is_settled() {
-            return world.check();
+        simulation.score(3);
+        simulation.store_results(false)?;
+        simulation.apply(&Command::Wait { ms: 100 })?;
+        if simulation.ledger.is_settled() {
+            return simulation.check_results();
         }
     }
-    Err(format!("{} of {ITEMS} items are listed in the end", world.truth.listed.len()))
+    Err(format!("{} of {ITEMS} items are listed at the end", simulation.oracle.listed.len()))
 }
 
 #[test]
-fn each_item_is_listed_once_whole_and_with_its_versions() {
-    sequence::check(0xba7c, 60, |commands| law(false, commands));
+fn each_item_is_listed_once_with_its_complete_text_and_versions() {
+    sequence::check(0xba7c, 60, |commands| check_commands(false, commands));
 }
 
 #[test]
-fn texts_of_one_version_mix_none() {
-    sequence::check(0xba7d, 60, |commands| law(true, commands));
+fn a_single_version_text_never_mixes_versions() {
+    sequence::check(0xba7d, 60, |commands| check_commands(true, commands));
 }
 
 #[test]
-fn an_ended_job_runs_and_lists_nothing_more() {
-    let mut world = World::new(false);
-    world.version = 2;
-    world.step(&Command::Run).unwrap();
-    world.ledger.end();
-    assert_eq!(world.ledger.event_received(0, FIRST_EVENT_NUMBER, 2, "0:1"), EventOutcome::Mismatch);
-    assert_eq!(world.ledger.start_next_run(TimePoint(1)), None);
-    assert!(world.ledger.next_chunk(CHUNK_BYTES).is_none());
-    assert!(world.ledger.is_settled());
+fn an_ended_job_runs_and_lists_no_items() {
+    let mut simulation = Simulation::new(false);
+    simulation.version = 2;
+    simulation.apply(&Command::StartRuns).unwrap();
+    simulation.ledger.end();
+    assert_eq!(simulation.ledger.event_received(0, FIRST_EVENT_NUMBER, 2, "0:1"), EventOutcome::Mismatch);
+    assert_eq!(simulation.ledger.start_next_run(TimePoint(1)), None);
+    assert!(simulation.ledger.next_chunk(CHUNK_BYTES_MAX).is_none());
+    assert!(simulation.ledger.is_settled());
 }
 
 #[test]
-fn the_longest_item_runs_first_and_a_refused_one_keeps_its_place() {
-    let mut world = World::new(false);
-    let first = world.ledger.start_next_run(TimePoint(0)).unwrap();
+fn the_longest_item_runs_first_also_after_it_was_requeued() {
+    let mut simulation = Simulation::new(false);
+    let first = simulation.ledger.start_next_run(TimePoint(0)).unwrap();
     assert_eq!(first.index, ITEMS - 1);
-    world.ledger.requeue_run(first.index);
-    assert_eq!(world.ledger.start_next_run(TimePoint(0)).unwrap().index, ITEMS - 1);
+    simulation.ledger.requeue_run(first.index);
+    assert_eq!(simulation.ledger.start_next_run(TimePoint(0)).unwrap().index, ITEMS - 1);
 }
 
-/// Plays the loss of an owner in the middle of a text of `events` events, of which a checkpoint was written after
-/// `saved`; returns the event after which the next owner goes on.
+/// Simulates an owner that crashes after it received `events` events of a text and stored a checkpoint after event
+/// `saved`. Returns the event after which the next owner resumes the text.
 fn resumed_after(saved: u64, events: u64) -> Option<u64> {
     let spec = ItemSpec { group: "g".into(), expected_tokens: 1, needs_score: false };
-    let terms = BatchOptions {
+    let options = BatchOptions {
         attempts_max: 1,
         oldest_version: 1,
         single_version: false,
-        retention_ends_at: TimePoint(GIVE_UP_MS),
+        retention_ends_at: TimePoint(RETENTION_MS),
         groups_awaited: 1,
     };
-    let mut first = BatchLedger::new(terms, vec![spec.clone()], &[]);
-    first.start_next_run(TimePoint(0)).unwrap();
-    let mut record = Vec::new();
+    let mut first_owner = BatchLedger::new(options, vec![spec.clone()], &[]);
+    first_owner.start_next_run(TimePoint(0)).unwrap();
+    let mut checkpoints = Vec::new();
     for number in FIRST_EVENT_NUMBER..FIRST_EVENT_NUMBER + events {
-        first.event_received(0, number, 1, &data(0, number));
+        first_owner.event_received(0, number, 1, &event_data(0, number));
         if number == saved {
-            record.extend(first.next_checkpoint(1 << 20).map(|(_, checkpoint)| checkpoint.clone()));
+            checkpoints.extend(first_owner.next_checkpoint(1 << 20).map(|(_, checkpoint)| checkpoint.clone()));
         }
     }
-    let mut second = BatchLedger::new(terms, vec![spec], &[]);
-    second.replay_checkpoints(&record);
-    second.start_next_run(TimePoint(0)).unwrap().resume_after
+    let mut second_owner = BatchLedger::new(options, vec![spec], &[]);
+    second_owner.replay_checkpoints(&checkpoints);
+    second_owner.start_next_run(TimePoint(0)).unwrap().resume_after
 }
 
 #[test]
-fn the_next_owner_goes_on_from_the_last_checkpoint() {
+fn the_next_owner_resumes_after_the_last_checkpoint() {
     for (saved, events, resumed) in [(40, 60, Some(40)), (8, 9, Some(8)), (7, 60, None), (100, 60, None)] {
-        assert_eq!(resumed_after(saved, events), resumed, "saved after {saved} of {events}");
+        assert_eq!(resumed_after(saved, events), resumed, "checkpoint after event {saved} of {events}");
     }
 }
 
 #[test]
-fn the_group_that_a_submitter_waits_for_is_listed_without_delay() {
+fn listing_becomes_urgent_with_the_last_awaited_group() {
     let groups = ["a", "a", "b", "b", "c"];
     let specs = groups.map(|group| ItemSpec { group: group.into(), expected_tokens: 1, needs_score: false });
-    let terms = BatchOptions {
+    let options = BatchOptions {
         attempts_max: 1,
         oldest_version: 1,
         single_version: false,
-        retention_ends_at: TimePoint(GIVE_UP_MS),
+        retention_ends_at: TimePoint(RETENTION_MS),
         groups_awaited: 2,
     };
-    let mut ledger = BatchLedger::new(terms, specs.into(), &[]);
+    let mut ledger = BatchLedger::new(options, specs.into(), &[]);
     while ledger.start_next_run(TimePoint(0)).is_some() {}
     for (index, urgent) in [(0, false), (2, false), (1, false), (3, true)] {
         ledger.event_received(index, FIRST_EVENT_NUMBER, 1, "x");
--- a/crates/kernel/tests/machines/main.rs
+++ b/crates/kernel/tests/machines/main.rs
@@ -1,4 +1,5 @@
-//! Stateful fuzzing of the kernel's state machines against simple oracles, with fixed seeds.
+//! Model-based tests of the kernel's state machines: random command sequences from fixed seeds, checked against simple
+//! reference models.
 
 mod sequence;
 mod sizes;
--- a/crates/kernel/tests/machines/sequence.rs
+++ b/crates/kernel/tests/machines/sequence.rs
@@ -1,43 +1,45 @@
-//! Runs a law over many sequences of commands from a fixed seed.
+//! Checks a property on random command sequences that are generated from a fixed seed.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult};
 
-const SEQUENCES: u64 = 10_000;
+/// Number of sequences per property unless `PIMENTOSLIP_SEQUENCES` is set.
+const SEQUENCES_DEFAULT: u64 = 10_000;
 
-/// Checks `law` on sequences of up to `length` commands. `PIMENTOSLIP_SEQUENCES` asks for more of them.
-/// A failing sequence is shrunk and printed.
-pub fn check<C: Arbitrary + std::fmt::Debug>(seed: u64, length: usize, law: fn(Vec<C>) -> Result<(), String>) {
-    let asked = std::env::var("PIMENTOSLIP_SEQUENCES").ok().and_then(|text| text.parse().ok());
-    let sequences = asked.unwrap_or(SEQUENCES);
-    fn test<C: Arbitrary + std::fmt::Debug>(law: fn(Vec<C>) -> Result<(), String>) -> Law<C> {
-        Law(law)
+/// Checks `property` on sequences of up to `length` commands. The environment variable `PIMENTOSLIP_SEQUENCES`
+/// overrides their number. Panics with a shrunk sequence if the property fails.
+pub fn check<C: Arbitrary + std::fmt::Debug>(seed: u64, length: usize, property: fn(Vec<C>) -> Result<(), String>) {
+    let requested = std::env::var("PIMENTOSLIP_SEQUENCES").ok().and_then(|text| text.parse().ok());
+    let sequences = requested.unwrap_or(SEQUENCES_DEFAULT);
+    fn test<C: Arbitrary + std::fmt::Debug>(property: fn(Vec<C>) -> Result<(), String>) -> Property<C> {
+        Property(property)
     }
     let outcome = QuickCheck::new()
         .rng(Gen::from_size_and_seed(length, seed))
         .tests(sequences)
         .max_tests(sequences)
-        .quicktest(test(law));
+        .quicktest(test(property));
     match outcome {
-        Ok(passed) => assert_eq!(passed, sequences, "sequences run"),
+        Ok(passed) => assert_eq!(passed, sequences, "number of sequences that were checked"),
         Err(failure) => panic!("seed {seed}: {failure:?}"),
     }
 }
 
-struct Law<C>(fn(Vec<C>) -> Result<(), String>);
+/// A property of command sequences; the error says how it was violated.
+struct Property<C>(fn(Vec<C>) -> Result<(), String>);
 
-impl<C: Arbitrary + std::fmt::Debug> quickcheck::Testable for Law<C> {
+impl<C: Arbitrary + std::fmt::Debug> quickcheck::Testable for Property<C> {
     fn result(&self, rng: &mut Gen) -> TestResult {
         let commands = Vec::<C>::arbitrary(rng);
-        let Err(problem) = (self.0)(commands.clone()) else { return TestResult::passed() };
-        let (mut smallest, mut why) = (commands, problem);
+        let Err(violation) = (self.0)(commands.clone()) else { return TestResult::passed() };
+        let (mut smallest, mut error) = (commands, violation);
         'shrink: loop {
             for candidate in smallest.shrink() {
-                if let Err(problem) = (self.0)(candidate.clone()) {
-                    (smallest, why) = (candidate, problem);
+                if let Err(violation) = (self.0)(candidate.clone()) {
+                    (smallest, error) = (candidate, violation);
                     continue 'shrink;
                 }
             }
-            return TestResult::error(format!("{why}\nshrunk to {smallest:#?}"));
+            return TestResult::error(format!("{error}\nshrunk sequence: {smallest:#?}"));
         }
     }
 }
--- a/crates/kernel/tests/machines/sizes.rs
+++ b/crates/kernel/tests/machines/sizes.rs
@@ -1,5 +1,5 @@
-//! Numbers of upstreams: within the operators' bounds, as many as the load asks, given back late, the reclaimable kind
-//! beyond the floor.
+//! Scaling of services: the number of upstreams stays within the configured limits, matches the demand and falls only
+//! after a delay; upstreams beyond the floor are reclaimable ones where available.
 
 use crate::sequence;
 use pimentoslip_kernel::{
@@ -9,89 +9,95 @@
 use quickcheck::{Arbitrary, Gen};
 use std::collections::BTreeMap;
 
+/// Failure domains with their relative prices in thousandths.
 const DOMAINS: [(&str, u64); 3] = [("a", 1_000), ("b", 800), ("c", 1_250)];
-const LEAST: u64 = 1;
-const MOST: u64 = 5;
+const UPSTREAMS_MIN: u64 = 1;
+const UPSTREAMS_MAX: u64 = 5;
+/// Standing upstreams per failure domain at the start.
 const FLOOR: u64 = 2;
+/// Slots per upstream.
 const SLOTS: u64 = 4;
 const STARTUP_MS: u64 = 4_000;
-const ROUND_MS: u64 = 1_000;
-/// Time for which a fall of the demand changes nothing.
-const KEPT_MS: u64 = 60_000;
+const PASS_INTERVAL_MS: u64 = 1_000;
+/// Window over which the planner uses the largest demand, so that upstreams are kept after the demand falls.
+const DEMAND_WINDOW_MS: u64 = 60_000;
 
+/// Input to the simulation of a scaled service.
 #[derive(Clone, Debug)]
 enum Command {
-    /// The planner's rounds, over some time; some orders get no answer.
-    Rounds { count: u8, lost: bool },
+    /// The planner runs `count` times; with `orders_fail` its orders fail.
+    RunPlanner { count: u8, orders_fail: bool },
     /// The demand changes.
-    Demand { requests: u8 },
-    /// The reclaimable upstreams of a failure domain go, and none are to be had for a while.
+    SetDemand { requests: u8 },
+    /// The platform stops the reclaimable upstreams of a failure domain and has none available there.
     Reclaim { domain: u8 },
-    /// They are to be had again.
-    Return,
-    /// An upstream is lost.
-    Lose { domain: u8, reclaimable: bool },
+    /// Reclaimable upstreams become available again in all failure domains.
+    RestoreCapacity,
+    /// An upstream crashes and doesn't restart.
+    Crash { domain: u8, reclaimable: bool },
 }
 
 impl Arbitrary for Command {
     fn arbitrary(rng: &mut Gen) -> Self {
         let (a, b) = (u8::arbitrary(rng), u8::arbitrary(rng));
         match u8::arbitrary(rng) % 12 {
-            0..=6 => Self::Rounds { count: a % 8, lost: b % 5 == 0 },
-            7..=8 => Self::Demand { requests: a % 80 },
+            0..=6 => Self::RunPlanner { count: a % 8, orders_fail: b % 5 == 0 },
+            7..=8 => Self::SetDemand { requests: a % 80 },
             9 => Self::Reclaim { domain: a },
-            10 => Self::Return,
-            _ => Self::Lose { domain: a, reclaimable: b % 2 == 0 },
+            10 => Self::RestoreCapacity,
+            _ => Self::Crash { domain: a, reclaimable: b % 2 == 0 },
         }
     }
 }
 
-struct World {
+/// A service with its planner, and the platform that carries out the orders.
+struct Simulation {
     planner: ScalingPlanner,
     floor: BTreeMap<SharedName, u64>,
-    /// Running upstreams by failure domain and kind, and what the platform was told to run.
+    /// Number of running upstreams by failure domain and whether they are reclaimable.
     running: BTreeMap<(SharedName, bool), u64>,
+    /// Number of upstreams in the last accepted order, by the same key.
     ordered: BTreeMap<(SharedName, bool), u64>,
-    /// Failure domain without reclaimable upstreams.
-    dry: Option<SharedName>,
+    /// Failure domain in which no reclaimable upstreams are available.
+    exhausted_domain: Option<SharedName>,
     demand: u64,
-    /// Largest demand and when it was last asked.
+    /// Largest demand within the window, and the time at which it was reached last.
     peak: (u64, TimePoint),
     now: TimePoint,
 }
 
-fn rule() -> ScalingRule {
+fn scaling_rule() -> ScalingRule {
     ScalingRule {
-        upstreams_min: LEAST,
-        upstreams_max: MOST,
+        upstreams_min: UPSTREAMS_MIN,
+        upstreams_max: UPSTREAMS_MAX,
         startup_ms: STARTUP_MS,
         reclaimable_price: Some(150),
         domain_prices: DOMAINS.iter().map(|(domain, price)| ((*domain).into(), *price)).collect(),
     }
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let running: BTreeMap<(SharedName, bool), u64> =
             DOMAINS.iter().map(|(domain, _)| (((*domain).into(), false), FLOOR)).collect();
-        let mut world = Self {
+        let mut simulation = Self {
             planner: ScalingPlanner::default(),
             floor: BTreeMap::new(),
             ordered: running.clone(),
             running,
-            dry: None,
+            exhausted_domain: None,
             demand: 0,
             peak: (0, TimePoint(0)),
             now: TimePoint(0),
         };
-        world.floor = standing_counts(&world.records());
-        world
+        simulation.floor = standing_counts(&simulation.records());
+        simulation
     }
 
     fn records(&self) -> Vec<SamplerRecord> {
-        let of_kind = |((domain, reclaimable), count): (&(SharedName, bool), &u64)| {
-            let record = |at: u64| SamplerRecord {
-                id: format!("{domain}-{reclaimable}-{at}").into(),
+        let records_of = |((domain, reclaimable), count): (&(SharedName, bool), &u64)| {
+            let record = |number: u64| SamplerRecord {
+                id: format!("{domain}-{reclaimable}-{number}").into(),
                 service: "s".into(),
                 address: "x".into(),
                 failure_domain: domain.clone(),
@@ -103,32 +109,33 @@
             };
             (0..*count).map(record).collect::<Vec<_>>()
         };
-        self.running.iter().flat_map(of_kind).collect()
+        self.running.iter().flat_map(records_of).collect()
     }
 
     fn count(&self, domain: &SharedName, reclaimable: bool) -> u64 {
         self.running.get(&(domain.clone(), reclaimable)).copied().unwrap_or(0)
     }
 
-    fn round(&mut self, lost: bool) -> Result<(), String> {
-        self.now = self.now.plus_ms(ROUND_MS);
-        if self.demand >= self.peak.0 || self.now >= self.peak.1.plus_ms(KEPT_MS) {
+    /// Runs the planner once and carries out its orders.
+    fn run_planner(&mut self, orders_fail: bool) -> Result<(), String> {
+        self.now = self.now.plus_ms(PASS_INTERVAL_MS);
+        if self.demand >= self.peak.0 || self.now >= self.peak.1.plus_ms(DEMAND_WINDOW_MS) {
             self.peak = (self.demand, self.now);
         }
-        let orders = self.planner.plan(&rule(), &self.records(), &self.floor, self.demand, self.now);
+        let orders = self.planner.plan(&scaling_rule(), &self.records(), &self.floor, self.demand, self.now);
         for order in orders {
-            self.check(&order)?;
-            let outcome = if lost { ScalingOutcome::Failed } else { self.carry_out(&order) };
+            self.check_order(&order)?;
+            let outcome = if orders_fail { ScalingOutcome::Failed } else { self.carry_out(&order) };
             self.planner.order_answered(&order, outcome, STARTUP_MS, self.now);
         }
         Ok(())
     }
 
-    /// The platform's part: what is ordered runs at once.
+    /// Carries out an order as the platform does; ordered upstreams run at once.
     fn carry_out(&mut self, order: &ScalingOrder) -> ScalingOutcome {
         let key = (order.failure_domain.clone(), order.reclaimable);
-        let more = order.desired > self.running.get(&key).copied().unwrap_or(0);
-        if order.reclaimable && more && self.dry.as_ref() == Some(&order.failure_domain) {
+        let is_increase = order.desired > self.running.get(&key).copied().unwrap_or(0);
+        if order.reclaimable && is_increase && self.exhausted_domain.as_ref() == Some(&order.failure_domain) {
             return ScalingOutcome::Unavailable;
         }
         self.running.insert(key.clone(), order.desired);
@@ -136,33 +143,34 @@
         ScalingOutcome::Accepted
     }
 
-    fn check(&self, order: &ScalingOrder) -> Result<(), String> {
+    /// Checks that an order respects the floor and the configured maximum.
+    fn check_order(&self, order: &ScalingOrder) -> Result<(), String> {
         let floor = self.floor[&order.failure_domain];
         if !order.reclaimable && order.desired < floor {
-            return Err(format!("{order:?} goes under the floor of {floor}"));
+            return Err(format!("{order:?} is below the floor of {floor}"));
         }
-        if order.desired > MOST {
-            return Err(format!("{order:?} is over the most of {MOST}"));
+        if order.desired > UPSTREAMS_MAX {
+            return Err(format!("{order:?} exceeds the maximum of {UPSTREAMS_MAX}"));
         }
         Ok(())
     }
 
-    /// Upstreams that the largest demand of the last minute asks for, within the bounds.
-    fn wanted(&self) -> u64 {
-        self.peak.0.div_ceil(SLOTS).clamp(FLOOR * DOMAINS.len() as u64, MOST * DOMAINS.len() as u64)
+    /// Number of upstreams that the largest demand of the last minute needs, within the limits.
+    fn expected_upstreams(&self) -> u64 {
+        self.peak.0.div_ceil(SLOTS).clamp(FLOOR * DOMAINS.len() as u64, UPSTREAMS_MAX * DOMAINS.len() as u64)
     }
 
-    fn step(&mut self, command: &Command) -> Result<(), String> {
+    fn apply(&mut self, command: &Command) -> Result<(), String> {
         match *command {
-            Command::Rounds { count, lost } => (0..count).try_for_each(|_| self.round(lost))?,
-            Command::Demand { requests } => self.demand = u64::from(requests),
+            Command::RunPlanner { count, orders_fail } => (0..count).try_for_each(|_| self.run_planner(orders_fail))?,
+            Command::SetDemand { requests } => self.demand = u64::from(requests),
             Command::Reclaim { domain } => {
                 let domain: SharedName = DOMAINS[usize::from(domain) % DOMAINS.len()].0.into();
                 self.running.insert((domain.clone(), true), 0);
-                self.dry = Some(domain);
+                self.exhausted_domain = Some(domain);
             }
-            Command::Return => self.dry = None,
-            Command::Lose { domain, reclaimable } => {
+            Command::RestoreCapacity => self.exhausted_domain = None,
+            Command::Crash { domain, reclaimable } => {
                 let domain: SharedName = DOMAINS[usize::from(domain) % DOMAINS.len()].0.into();
                 if let Some(count) = self.running.get_mut(&(domain, reclaimable)) {
                     *count = count.saturating_sub(1);
@@ -174,22 +182,22 @@
 }
 
 #[test]
-fn what_the_load_asks_for_runs_in_the_end_and_no_more_than_the_operators_allow() {
+fn the_number_of_upstreams_converges_to_the_demand_within_the_limits() {
     sequence::check(0x512e, 24, |commands: Vec<Command>| {
-        let mut world = World::new();
-        commands.iter().try_for_each(|command| world.step(command))?;
-        // Left alone, as many run as the load asks for, the reclaimable kind where there is any.
-        world.dry = None;
-        (0..40).try_for_each(|_| world.round(false))?;
-        let total: u64 = world.running.values().sum();
-        if total < world.wanted() || total > world.wanted() + 2 {
-            return Err(format!("{total} run where {} are wanted", world.wanted()));
+        let mut simulation = Simulation::new();
+        commands.iter().try_for_each(|command| simulation.apply(command))?;
+        // Without further faults, the demand must be met, beyond the floor by reclaimable upstreams only.
+        simulation.exhausted_domain = None;
+        (0..40).try_for_each(|_| simulation.run_planner(false))?;
+        let total: u64 = simulation.running.values().sum();
+        if total < simulation.expected_upstreams() || total > simulation.expected_upstreams() + 2 {
+            return Err(format!("{total} upstreams run, but {} are expected", simulation.expected_upstreams()));
         }
         for (domain, _) in DOMAINS {
             let domain: SharedName = domain.into();
-            let (standing, reclaimable) = (world.count(&domain, false), world.count(&domain, true));
-            if standing != FLOOR || standing + reclaimable > MOST {
-                return Err(format!("{standing} and {reclaimable} run in {domain}"));
+            let (standing, reclaimable) = (simulation.count(&domain, false), simulation.count(&domain, true));
+            if standing != FLOOR || standing + reclaimable > UPSTREAMS_MAX {
+                return Err(format!("{standing} standing and {reclaimable} reclaimable upstreams run in {domain}"));
             }
         }
         Ok(())
@@ -197,33 +205,33 @@
 }
 
 #[test]
-fn a_fall_of_the_demand_gives_nothing_back_for_a_minute() {
-    let mut world = World::new();
-    world.demand = 48;
-    (0..10).try_for_each(|_| world.round(false)).unwrap();
-    let peak: u64 = world.running.values().sum();
+fn upstreams_are_released_only_a_minute_after_the_demand_falls() {
+    let mut simulation = Simulation::new();
+    simulation.demand = 48;
+    (0..10).try_for_each(|_| simulation.run_planner(false)).unwrap();
+    let peak: u64 = simulation.running.values().sum();
     assert_eq!(peak, 12);
-    world.demand = 0;
-    (0..58).try_for_each(|_| world.round(false)).unwrap();
-    assert_eq!(world.running.values().sum::<u64>(), peak);
-    (0..6).try_for_each(|_| world.round(false)).unwrap();
-    assert_eq!(world.running.values().sum::<u64>(), FLOOR * 3);
+    simulation.demand = 0;
+    (0..58).try_for_each(|_| simulation.run_planner(false)).unwrap();
+    assert_eq!(simulation.running.values().sum::<u64>(), peak);
+    (0..6).try_for_each(|_| simulation.run_planner(false)).unwrap();
+    assert_eq!(simulation.running.values().sum::<u64>(), FLOOR * 3);
 }
 
 #[test]
-fn a_reclaimed_failure_domain_gets_the_standing_kind_until_the_other_is_to_be_had() {
-    let mut world = World::new();
-    world.demand = 48;
-    (0..10).try_for_each(|_| world.round(false)).unwrap();
+fn standing_upstreams_replace_reclaimed_ones_until_reclaimable_ones_are_available() {
+    let mut simulation = Simulation::new();
+    simulation.demand = 48;
+    (0..10).try_for_each(|_| simulation.run_planner(false)).unwrap();
     let domain: SharedName = "b".into();
-    assert_eq!((world.count(&domain, false), world.count(&domain, true)), (FLOOR, 2));
-    world.step(&Command::Reclaim { domain: 1 }).unwrap();
-    (0..10).try_for_each(|_| world.round(false)).unwrap();
+    assert_eq!((simulation.count(&domain, false), simulation.count(&domain, true)), (FLOOR, 2));
+    simulation.apply(&Command::Reclaim { domain: 1 }).unwrap();
+    (0..10).try_for_each(|_| simulation.run_planner(false)).unwrap();
     for _ in 0..40 {
-        world.round(false).unwrap();
-        assert_eq!((world.count(&domain, false), world.count(&domain, true)), (FLOOR + 2, 0));
+        simulation.run_planner(false).unwrap();
+        assert_eq!((simulation.count(&domain, false), simulation.count(&domain, true)), (FLOOR + 2, 0));
     }
-    world.dry = None;
-    (0..18).try_for_each(|_| world.round(false)).unwrap();
-    assert_eq!((world.count(&domain, false), world.count(&domain, true)), (FLOOR, 2));
+    simulation.exhausted_domain = None;
+    (0..18).try_for_each(|_| simulation.run_planner(false)).unwrap();
+    assert_eq!((simulation.count(&domain, false), simulation.count(&domain, true)), (FLOOR, 2));
 }
