--- a/crates/kernel/src/claim_table.rs
+++ b/crates/kernel/src/claim_table.rs
@@ -34,14 +34,19 @@
 
 #[derive(Clone, Debug)]
 enum ClaimState<A> {
+    /// Waits for the group commit.
     Queued { grant: u64, deadline: TimePoint },
+    /// Granted; the request may be running until `deadline`.
     Running { grant: u64, deadline: TimePoint },
+    /// The request has returned this answer.
     Done(A),
+    /// The request may have run, and its outcome is lost.
     Unknown,
 }
 
 #[derive(Clone, Debug)]
 struct ClaimEntry<A> {
+    /// Fingerprint of the caller's request.
     fingerprint: u64,
     state: ClaimState<A>,
 }
--- a/crates/kernel/src/config/config_fault.rs
+++ b/crates/kernel/src/config/config_fault.rs
@@ -1,17 +1,17 @@
-//! A fault in a configuration file.
+//! Errors in configuration files, as reported to operators.
 
 use serde::Serialize;
 
-/// Names the file, the key and what to do.
+/// An error in a configuration file: where it is, what is wrong and how to correct it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, thiserror::Error)]
 #[error("{file}: {key}: {problem}; {remedy}")]
 pub struct ConfigFault {
-    /// File that holds the value, base or overlay.
+    /// Name of the file that holds the value: the base file or the overlay.
     pub file: String,
-    /// Dotted key.
+    /// Dotted key of the value, such as `services.desk.queue_depth`; `(file)` if the file is not valid TOML.
     pub key: String,
-    /// What is wrong.
+    /// What is wrong with the value.
     pub problem: String,
-    /// How to mend it.
+    /// How to correct the value.
     pub remedy: String,
 }
--- a/crates/kernel/src/config/config_file.rs
+++ b/crates/kernel/src/config/config_file.rs
@@ -1,4 +1,4 @@
-//! One base file with an overlay for each site.
+//! Reads and checks configuration files: one base file and an overlay for each site.
 
 use super::{ConfigFault, ConfigRecord, OrganisationConfig, RecordName, ServiceConfig, ServiceKind, SiteConfig};
 use crate::SharedName;
@@ -6,17 +6,20 @@
 use std::collections::BTreeMap;
 use toml::{Table, Value};
 
-/// Either the configuration or every fault found.
+/// Result of reading a configuration, with all faults found as the error.
 pub type Result<T> = std::result::Result<T, Vec<ConfigFault>>;
 
+/// Top-level tables of a configuration file.
 const SECTIONS: [&str; 3] = ["site", "services", "organisations"];
+/// Longest name of a site, service or organisation.
 const NAME_CHARS_MAX: usize = 64;
+/// Accepted lengths of a billing window: up to one day.
 const USAGE_WINDOW_SECONDS: std::ops::RangeInclusive<u64> = 1..=86_400;
 
-/// A checked configuration.
+/// A valid configuration, merged from its files.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigFile {
-    /// The site's own settings.
+    /// Settings of the whole site.
     pub site: SiteConfig,
     /// Services by name.
     pub services: BTreeMap<SharedName, ServiceConfig>,
@@ -25,17 +28,21 @@
 }
 
 impl ConfigFile {
-    /// Parses and checks a base file with an optional overlay, each given as name and text.
+    /// Parses and checks a base file and an optional overlay, each given as name and text. Values of the overlay
+    /// replace those of the base file.
+    ///
+    /// Returns all faults found if the configuration is not valid.
     pub fn parse(base: (&str, &str), overlay: Option<(&str, &str)>) -> Result<Self> {
         let base_table = parse_table(base)?;
         let overlay_table = overlay.map(parse_table).transpose()?.unwrap_or_default();
-        let origin = FileOrigin { base: base.0, overlay: overlay.map(|(name, _)| name), table: overlay_table.clone() };
+        let origin =
+            FileOrigin { base: base.0, overlay: overlay.map(|(name, _)| name), overlay_table: overlay_table.clone() };
         let mut merged = base_table;
         merge(&mut merged, overlay_table);
-        read(&merged, &origin)
+        parse_merged(&merged, &origin)
     }
 
-    /// The records to store.
+    /// The configuration as records to store.
     #[must_use]
     pub fn records(&self) -> Vec<(RecordName, ConfigRecord)> {
         let site = (RecordName::Site, ConfigRecord::Site(self.site.clone()));
@@ -50,18 +57,19 @@
     }
 }
 
-/// Tells which of the two files a value came from.
+/// Finds the file that a value was read from.
 struct FileOrigin<'a> {
     base: &'a str,
     overlay: Option<&'a str>,
-    table: Table,
+    overlay_table: Table,
 }
 
 impl FileOrigin<'_> {
+    /// Creates a fault of `key`, in the overlay if that sets the key and in the base file otherwise.
     fn fault(&self, key: &str, problem: impl Into<String>, remedy: impl Into<String>) -> ConfigFault {
-        let mut value = self.overlay.map(|_| Value::Table(self.table.clone()));
-        for part in key.split('.') {
-            value = value.and_then(|value| value.get(part).cloned());
+        let mut value = self.overlay.map(|_| Value::Table(self.overlay_table.clone()));
+        for segment in key.split('.') {
+            value = value.and_then(|value| value.get(segment).cloned());
         }
         let file = match (value, self.overlay) {
             (Some(_), Some(overlay)) => overlay,
@@ -85,7 +93,7 @@
 fn merge(base: &mut Table, overlay: Table) {
     for (key, value) in overlay {
         match (base.get_mut(&key), value) {
-            (Some(Value::Table(old)), Value::Table(new)) => merge(old, new),
+            (Some(Value::Table(base)), Value::Table(overlay)) => merge(base, overlay),
             (_, value) => {
                 base.insert(key, value);
             }
@@ -93,20 +101,20 @@
     }
 }
 
-fn read(merged: &Table, origin: &FileOrigin<'_>) -> Result<ConfigFile> {
+fn parse_merged(merged: &Table, origin: &FileOrigin<'_>) -> Result<ConfigFile> {
     let mut faults = Vec::new();
     for key in merged.keys().filter(|key| !SECTIONS.contains(&key.as_str())) {
         faults.push(origin.fault(key, "unknown table", format!("use one of {}", SECTIONS.join(", "))));
     }
     let site = match merged.get("site") {
-        Some(value) => entry::<SiteConfig>("site", value, origin, &mut faults),
+        Some(value) => parse_entry::<SiteConfig>("site", value, origin, &mut faults),
         None => {
             faults.push(origin.fault("site", "missing", "add a [site] table"));
             None
         }
     };
-    let services = section::<ServiceConfig>(merged, "services", origin, &mut faults);
-    let organisations = section::<OrganisationConfig>(merged, "organisations", origin, &mut faults);
+    let services = parse_section::<ServiceConfig>(merged, "services", origin, &mut faults);
+    let organisations = parse_section::<OrganisationConfig>(merged, "organisations", origin, &mut faults);
     if let Some(site) = &site {
         check_site(site, origin, &mut faults);
     }
@@ -118,7 +126,8 @@
     }
 }
 
-fn section<T: DeserializeOwned>(
+/// Parses the tables below `name`. Adds a fault for each entry that is not valid and leaves out those that don't parse.
+fn parse_section<T: DeserializeOwned>(
     merged: &Table,
     name: &str,
     origin: &FileOrigin<'_>,
@@ -132,17 +141,17 @@
     let mut entries = BTreeMap::new();
     for (key, value) in table {
         let path = format!("{name}.{key}");
-        if !valid_name(key) {
+        if !is_valid_name(key) {
             faults.push(origin.fault(&path, "invalid name", "use 1 to 64 of a-z, 0-9 and -"));
         }
-        if let Some(entry) = entry(&path, value, origin, faults) {
+        if let Some(entry) = parse_entry(&path, value, origin, faults) {
             entries.insert(SharedName::from(key.as_str()), entry);
         }
     }
     entries
 }
 
-fn entry<T: DeserializeOwned>(
+fn parse_entry<T: DeserializeOwned>(
     path: &str,
     value: &Value,
     origin: &FileOrigin<'_>,
@@ -159,19 +168,19 @@
     }
 }
 
-/// Extends `path` by the field that the parser's message names in backquotes, if the table holds it.
+/// Extends `path` by the field that the parser's message quotes in backticks, if the table has that field.
 fn faulty_key(path: &str, problem: &str, value: &Value) -> String {
-    let named = problem.split('`').nth(1).filter(|field| value.get(field).is_some());
-    named.map_or_else(|| path.to_owned(), |field| format!("{path}.{field}"))
+    let quoted = problem.split('`').nth(1).filter(|field| value.get(field).is_some());
+    quoted.map_or_else(|| path.to_owned(), |field| format!("{path}.{field}"))
 }
 
-fn valid_name(name: &str) -> bool {
-    let allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
-    !name.is_empty() && name.len() <= NAME_CHARS_MAX && name.chars().all(allowed)
+fn is_valid_name(name: &str) -> bool {
+    let is_allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
+    !name.is_empty() && name.len() <= NAME_CHARS_MAX && name.chars().all(is_allowed)
 }
 
 fn check_site(site: &SiteConfig, origin: &FileOrigin<'_>, faults: &mut Vec<ConfigFault>) {
-    if !valid_name(&site.name) {
+    if !is_valid_name(&site.name) {
         faults.push(origin.fault("site.name", "invalid name", "use 1 to 64 of a-z, 0-9 and -"));
     }
     if site.failure_domains.is_empty() {
@@ -179,7 +188,11 @@
     }
     if site.spend_ceiling_cents_per_hour < site.spend_floor_cents_per_hour {
         let key = "site.spend_ceiling_cents_per_hour";
-        faults.push(origin.fault(key, "below the floor", "raise it to spend_floor_cents_per_hour or more"));
+        faults.push(origin.fault(
+            key,
+            "below spend_floor_cents_per_hour",
+            "raise it to spend_floor_cents_per_hour or more",
+        ));
     }
     if !USAGE_WINDOW_SECONDS.contains(&site.usage_window_seconds) {
         faults.push(origin.fault("site.usage_window_seconds", "out of range", "use 1 to 86400"));
@@ -194,10 +207,18 @@
     for (name, service) in services {
         let key = |field: &str| format!("services.{name}.{field}");
         if service.kind == ServiceKind::Engine && !service.open_paths.is_empty() {
-            faults.push(origin.fault(&key("open_paths"), "set on an engine", "open paths are for plain services"));
+            faults.push(origin.fault(
+                &key("open_paths"),
+                "set on a service of kind engine",
+                "remove them; open paths are for plain services",
+            ));
         }
         if service.open_paths.iter().any(|path| !path.starts_with('/')) {
-            faults.push(origin.fault(&key("open_paths"), "a path lacks its slash", "start each path with /"));
+            faults.push(origin.fault(
+                &key("open_paths"),
+                "a path does not start with a slash",
+                "start each path with /",
+            ));
         }
         if service.inflight_per_upstream == 0 {
             faults.push(origin.fault(&key("inflight_per_upstream"), "zero", "use 1 or more"));
@@ -222,13 +243,13 @@
     origin: &FileOrigin<'_>,
     faults: &mut Vec<ConfigFault>,
 ) {
-    let named = |service: &str| merged.get("services").and_then(|table| table.get(service)).is_some();
+    let is_named = |service: &str| merged.get("services").and_then(|table| table.get(service)).is_some();
     for (name, organisation) in organisations {
         if organisation.weight == 0 {
             faults.push(origin.fault(&format!("organisations.{name}.weight"), "zero", "use 1 or more"));
         }
         for service in
-            organisation.services.iter().filter(|service| !services.contains_key(*service) && !named(service))
+            organisation.services.iter().filter(|service| !services.contains_key(*service) && !is_named(service))
         {
             let key = format!("organisations.{name}.services");
             faults.push(origin.fault(
--- a/crates/kernel/src/config/config_record.rs
+++ b/crates/kernel/src/config/config_record.rs
@@ -1,27 +1,27 @@
-//! Configuration as stored in the platform's service, one record an entry.
+//! Configuration records as stored in the platform's key-value service, one entry for each record.
 
 use super::{KeySet, OrganisationConfig, ServiceConfig, SiteConfig};
 use crate::SharedName;
 use serde::{Deserialize, Serialize};
 
-/// Name of a record, unique in a site.
+/// Name of a configuration record, unique in a site.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "of", content = "name")]
 pub enum RecordName {
-    /// The site's own settings.
+    /// Settings of the whole site.
     Site,
-    /// A service.
+    /// Settings of the named service.
     Service(SharedName),
-    /// An organisation.
+    /// Settings of the named organisation.
     Organisation(SharedName),
-    /// An organisation's keys.
+    /// API keys of the named organisation.
     Keys(SharedName),
-    /// A service's newest published weights.
+    /// Newest published weight version of the named service.
     Weights(SharedName),
 }
 
 impl RecordName {
-    /// The record's path below the site's prefix.
+    /// Key of the record's entry, relative to the site's prefix.
     #[must_use]
     pub fn path(&self) -> String {
         match self {
@@ -33,15 +33,15 @@
         }
     }
 
-    /// Parses what [`path`](Self::path) made.
+    /// Parses the result of [`path`](Self::path); `None` if it is not the path of a record.
     #[must_use]
     pub fn parse(path: &str) -> Option<Self> {
         if path == "site" {
             return Some(Self::Site);
         }
-        let (of, name) = path.split_once('/')?;
+        let (family, name) = path.split_once('/')?;
         let name = SharedName::from(name);
-        match of {
+        match family {
             "service" => Some(Self::Service(name)),
             "organisation" => Some(Self::Organisation(name)),
             "keys" => Some(Self::Keys(name)),
@@ -51,20 +51,20 @@
     }
 }
 
-/// Content of a record.
+/// Content of a configuration record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ConfigRecord {
-    /// The site's own settings.
+    /// Settings of the whole site.
     Site(SiteConfig),
-    /// A service.
+    /// Settings of a service.
     Service(ServiceConfig),
-    /// An organisation.
+    /// Settings of an organisation.
     Organisation(OrganisationConfig),
-    /// An organisation's keys.
+    /// API keys of an organisation.
     Keys(KeySet),
-    /// Newest published weight version.
+    /// Newest published weight version of a service.
     Weights(u64),
-    /// The entry was removed. The record stays, so that removal outlives older copies.
+    /// Marks a removed record. It stays stored, so that the removal supersedes older copies held by daemons.
     Removed,
 }
--- a/crates/kernel/src/config/config_view.rs
+++ b/crates/kernel/src/config/config_view.rs
@@ -1,35 +1,36 @@
-//! The configuration in force in one daemon.
+//! The configuration that is in effect on one daemon.
 
 use super::{ConfigRecord, KeySecret, OrganisationConfig, RecordName, ServiceConfig, SiteConfig};
 use crate::SharedName;
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, sync::Arc};
 
-/// A record with the revision that wrote it.
+/// A configuration record with its store revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordEntry {
-    /// Name.
+    /// Name of the record.
     pub name: RecordName,
-    /// Revision of the platform's service that wrote it.
+    /// Revision of the platform's key-value service at which the record was written.
     pub revision: u64,
-    /// Content.
+    /// Content of the record.
     pub record: Arc<ConfigRecord>,
 }
 
-/// Records by name. Each moves to higher revisions only.
+/// Cached configuration records by name. A record is only ever replaced by one of a higher revision.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigView {
     records: BTreeMap<RecordName, RecordEntry>,
-    /// Every change up to this revision is held.
-    complete: u64,
+    /// Every change up to this revision has been applied.
+    complete_revision: u64,
+    /// Organisations by the IDs of their keys.
     key_owners: BTreeMap<SharedName, SharedName>,
 }
 
 impl ConfigView {
-    /// Applies a record unless a newer one is in force. True when it changed something.
+    /// Applies a record unless the cached one is as new. Returns true if the record was applied.
     pub fn apply(&mut self, entry: RecordEntry) -> bool {
-        let newer = self.records.get(&entry.name).is_none_or(|old| old.revision < entry.revision);
-        if !newer {
+        let is_newer = self.records.get(&entry.name).is_none_or(|old| old.revision < entry.revision);
+        if !is_newer {
             return false;
         }
         self.index_keys(&entry);
@@ -37,41 +38,41 @@
         true
     }
 
-    /// Everything up to `revision` has been applied.
+    /// Records that every change up to `revision` has been applied.
     pub fn revision_completed(&mut self, revision: u64) {
-        self.complete = self.complete.max(revision);
+        self.complete_revision = self.complete_revision.max(revision);
     }
 
-    /// Revision up to which nothing is missing.
+    /// Revision up to which every change has been applied.
     #[must_use]
     pub fn complete_revision(&self) -> u64 {
-        self.complete
+        self.complete_revision
     }
 
-    /// Highest revision of any held record.
+    /// Highest revision of the cached records; 0 if there are none.
     #[must_use]
     pub fn newest_revision(&self) -> u64 {
         self.records.values().map(|entry| entry.revision).max().unwrap_or(0)
     }
 
-    /// Records newer than `revision`.
+    /// Cached records that were written after `revision`.
     #[must_use]
     pub fn entries_since(&self, revision: u64) -> Vec<RecordEntry> {
         self.records.values().filter(|entry| entry.revision > revision).cloned().collect()
     }
 
-    /// The entry called `name`.
+    /// The cached record `name`, or `None` if there is none.
     #[must_use]
     pub fn get(&self, name: &RecordName) -> Option<&RecordEntry> {
         self.records.get(name)
     }
 
-    /// All entries, sorted by name.
+    /// All cached records, sorted by name.
     pub fn iter(&self) -> impl Iterator<Item = &RecordEntry> {
         self.records.values()
     }
 
-    /// The site's settings.
+    /// Settings of the whole site, or `None` if they have not been received.
     #[must_use]
     pub fn site(&self) -> Option<&SiteConfig> {
         match &*self.records.get(&RecordName::Site)?.record {
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Settings of a service.
+    /// Settings of the service `name`, or `None` if there is no such service.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&ServiceConfig> {
         match &*self.records.get(&RecordName::Service(name.into()))?.record {
@@ -89,7 +90,7 @@
         }
     }
 
-    /// All services with their settings, sorted by name.
+    /// Names and settings of all services, sorted by name.
     pub fn services(&self) -> impl Iterator<Item = (&SharedName, &ServiceConfig)> {
         self.records.values().filter_map(|entry| match (&entry.name, &*entry.record) {
             (RecordName::Service(name), ConfigRecord::Service(service)) => Some((name, service)),
@@ -97,13 +98,13 @@
         })
     }
 
-    /// Names of all services.
+    /// Sorted names of all services.
     #[must_use]
     pub fn service_names(&self) -> Vec<SharedName> {
         self.services().map(|(name, _)| name.clone()).collect()
     }
 
-    /// Settings of an organisation.
+    /// Settings of the organisation `name`, or `None` if there is no such organisation.
     #[must_use]
     pub fn organisation(&self, name: &str) -> Option<&OrganisationConfig> {
         match &*self.records.get(&RecordName::Organisation(name.into()))?.record {
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Newest published weight version of a service, zero before the first.
+    /// Newest published weight version of `service`; 0 if none has been published.
     #[must_use]
     pub fn published_version(&self, service: &str) -> u64 {
         let Some(entry) = self.records.get(&RecordName::Weights(service.into())) else { return 0 };
@@ -122,7 +123,8 @@
         }
     }
 
-    /// The organisation that `secret` belongs to, if the key holds.
+    /// The organisation that `secret` belongs to; `None` if the key is unknown or withdrawn, or the organisation does
+    /// not exist.
     #[must_use]
     pub fn authenticate(&self, secret: &KeySecret) -> Option<SharedName> {
         let owner = self.key_owners.get(&secret.id)?;
@@ -133,7 +135,7 @@
         }
     }
 
-    /// Whether the key called `id` still holds for `organisation`.
+    /// Whether the key with the ID `id` belongs to `organisation`, is not withdrawn, and the organisation exists.
     #[must_use]
     pub fn is_key_valid(&self, organisation: &str, id: &str) -> bool {
         let Some(entry) = self.records.get(&RecordName::Keys(organisation.into())) else { return false };
@@ -145,7 +147,7 @@
         }
     }
 
-    /// Whether `id` names a key of any organisation.
+    /// Whether an organisation has or had a key with the ID `id`, which may be withdrawn.
     #[must_use]
     pub fn has_key(&self, id: &str) -> bool {
         self.key_owners.contains_key(id)
--- a/crates/kernel/src/config/key_set.rs
+++ b/crates/kernel/src/config/key_set.rs
@@ -1,4 +1,4 @@
-//! Keys of one organisation, stored hashed.
+//! API keys of one organisation, of which only hashes are stored.
 
 use super::KeySecret;
 use crate::SharedName;
@@ -6,28 +6,28 @@
 use std::collections::BTreeMap;
 use subtle::ConstantTimeEq;
 
-/// One key on record.
+/// A stored API key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyEntry {
-    /// SHA-256 of the whole key, in hexadecimal.
+    /// SHA-256 of the complete key, in hexadecimal.
     pub hash: String,
-    /// Whether an operator withdrew it.
+    /// Whether an operator has withdrawn the key.
     pub withdrawn: bool,
 }
 
-/// All keys of an organisation by their ids. Withdrawn ones stay on record.
+/// All keys of an organisation. Withdrawn keys stay stored.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeySet {
-    /// Keys by id.
+    /// Keys by their public IDs.
     pub keys: BTreeMap<SharedName, KeyEntry>,
 }
 
 impl KeySet {
-    /// Whether `secret` is one of the keys and was not withdrawn. Compares in constant time.
+    /// Whether `secret` is one of the keys and not withdrawn. Hashes are compared in constant time.
     #[must_use]
     pub fn accepts(&self, secret: &KeySecret) -> bool {
         let Some(entry) = self.keys.get(&secret.id) else { return false };
-        let same: bool = entry.hash.as_bytes().ct_eq(secret.hash().as_bytes()).into();
-        same && !entry.withdrawn
+        let is_equal: bool = entry.hash.as_bytes().ct_eq(secret.hash().as_bytes()).into();
+        is_equal && !entry.withdrawn
     }
 }
--- a/crates/kernel/src/config/mod.rs
+++ b/crates/kernel/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! What operators own: organisations, keys, services, and the site itself.
+//! Configuration that operators control: the site, its services, its organisations and their API keys.
 
 mod config_fault;
 mod config_file;
--- a/crates/kernel/src/config/organisation_config.rs
+++ b/crates/kernel/src/config/organisation_config.rs
@@ -1,16 +1,16 @@
-//! Settings of one organisation.
+//! Settings of an organisation.
 
 use crate::SharedName;
 use serde::{Deserialize, Serialize};
 
-/// An `[organisations.NAME]` table.
+/// Settings in an `[organisations.NAME]` table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OrganisationConfig {
-    /// Share of contended capacity relative to other organisations.
+    /// The organisation's share of contended capacity, relative to the weights of other organisations.
     #[serde(default = "default_weight")]
     pub weight: u64,
-    /// Services that it may call.
+    /// Names of the services that the organisation may call.
     pub services: Vec<SharedName>,
 }
 
--- a/crates/kernel/src/config/service_config.rs
+++ b/crates/kernel/src/config/service_config.rs
@@ -1,9 +1,9 @@
-//! Settings of one service.
+//! Settings of a service.
 
 use crate::SharedName;
 use serde::{Deserialize, Serialize};
 
-/// What stands behind a service.
+/// Type of a service's upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServiceKind {
@@ -13,37 +13,37 @@
     Plain,
 }
 
-/// A `[services.NAME]` table.
+/// Settings in a `[services.NAME]` table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceConfig {
-    /// What stands behind it.
+    /// Type of the upstreams.
     pub kind: ServiceKind,
-    /// Path prefixes that need no key.
+    /// Path prefixes that may be called without an API key. Plain services only.
     #[serde(default)]
     pub open_paths: Vec<SharedName>,
-    /// Whether POST requests may be repeated.
+    /// Whether POST requests may be sent again after a failure.
     #[serde(default)]
     pub repeatable: bool,
-    /// Most requests of one daemon on one upstream.
+    /// Largest number of concurrent requests from one daemon to one upstream.
     #[serde(default = "default_inflight_per_upstream")]
     pub inflight_per_upstream: u64,
-    /// Most requests of one organisation waiting in one daemon.
+    /// Largest number of requests of one organisation that may wait on one daemon.
     #[serde(default = "default_queue_depth")]
     pub queue_depth: usize,
-    /// Time for a request in milliseconds, unless the caller asks for less.
+    /// Timeout of a request in milliseconds. Callers may request a shorter one.
     #[serde(default = "default_timeout_ms")]
     pub timeout_ms: u64,
-    /// Upstreams wanted in each failure domain.
+    /// Desired number of upstreams in each failure domain.
     #[serde(default)]
     pub upstreams_per_domain: u32,
-    /// Of these, how many must not be reclaimable.
+    /// Minimum number of these upstreams that must not be reclaimable.
     #[serde(default)]
     pub standing_per_domain: u32,
-    /// Price of an upstream that cannot be reclaimed, in hundredths of a currency unit an hour.
+    /// Price of an upstream that cannot be reclaimed, in hundredths of a currency unit per hour.
     #[serde(default)]
     pub standing_cents_per_hour: u64,
-    /// Price of one that can.
+    /// Price of a reclaimable upstream, in hundredths of a currency unit per hour.
     #[serde(default)]
     pub reclaimable_cents_per_hour: u64,
 }
--- a/crates/kernel/src/freshness_table.rs
+++ b/crates/kernel/src/freshness_table.rs
@@ -3,7 +3,8 @@
 use crate::{SharedName, TimePoint};
 use std::collections::HashMap;
 
-/// Largest age at which the cached configuration may be used.
+/// Largest age at which the cached configuration may be used. It bounds the time until an accepted change is in effect
+/// on every daemon.
 const MAX_AGE_MS: u64 = 3_000;
 
 /// The latest time up to which this daemon has received every accepted change of the configuration.
--- a/crates/kernel/src/member_table.rs
+++ b/crates/kernel/src/member_table.rs
@@ -10,7 +10,7 @@
 const FAIL_AFTER_MS: u64 = 3_000;
 /// Largest number of members that receive an exchange request in each round.
 const EXCHANGE_PEERS_MAX: usize = 4;
-/// Time since its last answer after which a member whose process ended is removed.
+/// Time since the last message after which a member whose process has ended is removed.
 const REMOVE_AFTER_MS: u64 = 600_000;
 
 /// Liveness of a member.
@@ -42,7 +42,7 @@
     pub control: SharedName,
     /// Liveness as this daemon sees it.
     pub state: MemberState,
-    /// Time of the member's last answer, by this daemon's clock.
+    /// Time of the last message exchanged with the member, by this daemon's clock.
     #[serde(skip)]
     pub heard_at: TimePoint,
 }
--- a/crates/kernel/tests/machines/claims.rs
+++ b/crates/kernel/tests/machines/claims.rs
@@ -1,4 +1,4 @@
-//! Claims: a key runs at most once, whatever fails.
+//! Idempotency claims: the request of a key runs at most once, whatever fails.
 
 use crate::sequence;
 use pimentoslip_kernel::{ClaimAnswer, ClaimKey, ClaimTable, TimePoint};
@@ -7,17 +7,18 @@
 
 const DAEMONS: u8 = 3;
 const KEYS: u8 = 2;
-const RUN_MS: u64 = 1_000;
+/// Time until the deadline of each attempt's request.
+const RUN_TIMEOUT_MS: u64 = 1_000;
 
 #[derive(Clone, Debug)]
 enum Command {
-    /// A caller asks daemon `owner` for the claim of `key`.
-    Ask {
+    /// A caller requests the claim of `key` from daemon `owner`.
+    Request {
         owner: u8,
         key: u8,
     },
-    /// An earlier asker that got no answer asks again under its own number.
-    AskAgain {
+    /// An attempt that received no answer repeats its request under the same number.
+    RequestAgain {
         attempt: u8,
         owner: u8,
     },
@@ -25,16 +26,16 @@
     TakeBatch {
         owner: u8,
     },
-    /// The platform's service receives a commit under way.
-    Receive {
+    /// The platform's key-value service receives a commit that is in flight.
+    ReceiveCommit {
         commit: u8,
     },
-    /// The daemon gets the answer of a commit, or learns that it failed.
-    Answer {
+    /// The daemon receives the answer to a commit, or the call fails.
+    AnswerCommit {
         commit: u8,
         lost: bool,
     },
-    /// An ask that nothing disturbs: it is committed and answered.
+    /// A caller requests a claim, which is committed and answered at once.
     Grant {
         owner: u8,
         key: u8,
@@ -45,7 +46,7 @@
     TakeOver {
         owner: u8,
     },
-    /// The daemon's process ends and starts again.
+    /// The daemon's process ends and restarts.
     Crash {
         owner: u8,
     },
@@ -53,11 +54,12 @@
     Run {
         attempt: u8,
     },
-    /// An attempt that has run tells the end; one that has not gives up. The message may arrive late or twice.
+    /// An attempt sends its outcome: finished if its request ran, released otherwise. The message may arrive late or
+    /// twice.
     Settle {
         attempt: u8,
     },
-    /// A message arrives at some daemon.
+    /// A message arrives at daemon `owner`, which may not be the shard's owner.
     Deliver {
         message: u8,
         owner: u8,
@@ -73,11 +75,11 @@
         match u8::arbitrary(rng) % 20 {
             16 | 17 => Self::Grant { owner: a % DAEMONS, key: b % KEYS },
             18 => Self::RunLatest,
-            0..=2 => Self::Ask { owner: a % DAEMONS, key: b % KEYS },
-            3 => Self::AskAgain { attempt: a, owner: b % DAEMONS },
+            0..=2 => Self::Request { owner: a % DAEMONS, key: b % KEYS },
+            3 => Self::RequestAgain { attempt: a, owner: b % DAEMONS },
             4 | 5 => Self::TakeBatch { owner: a % DAEMONS },
-            6 | 7 => Self::Receive { commit: a },
-            8 | 9 => Self::Answer { commit: a, lost: b % 4 == 0 },
+            6 | 7 => Self::ReceiveCommit { commit: a },
+            8 | 9 => Self::AnswerCommit { commit: a, lost: b % 4 == 0 },
             10 => Self::TakeOver { owner: a % DAEMONS },
             11 => Self::Crash { owner: a % DAEMONS },
             12 => Self::Run { attempt: a },
@@ -88,6 +90,7 @@
     }
 }
 
+/// A caller's attempt to run the request of a key. Its index is its grant number.
 struct Attempt {
     key: u8,
     granted: bool,
@@ -95,30 +98,37 @@
     ended: bool,
 }
 
+/// A group commit sent to the service.
 struct Commit {
     owner: usize,
     process: u32,
     epoch: u64,
+    /// Key, grant number and request fingerprint of each claim.
     batch: Vec<(ClaimKey, u64, u64)>,
-    /// Whether the service applied it, once it has arrived.
+    /// Whether the service applied the commit; `None` before it arrives.
     applied: Option<bool>,
 }
 
+/// The outcome of an attempt, on its way to the shard's owner.
 enum Message {
     Finish { key: ClaimKey, grant: u64 },
     Release { key: ClaimKey, grant: u64 },
 }
 
-/// Three daemons, the service's records, and the truth about what ran.
+/// Model of the daemons, the claims stored in the service, and the requests that actually ran.
 #[derive(Default)]
-struct World {
+struct Simulation {
     tables: Vec<ClaimTable<u64>>,
+    /// Incarnation of each daemon's process.
     processes: Vec<u32>,
+    /// Revision of the shard's owner record.
     owner_revision: u64,
-    records: Vec<(ClaimKey, u64)>,
+    /// Stored claims with the fingerprints of their requests.
+    stored: Vec<(ClaimKey, u64)>,
     commits: Vec<Commit>,
     attempts: Vec<Attempt>,
     messages: Vec<Message>,
+    /// Attempts that ran, by key.
     runs: HashMap<u8, Vec<u64>>,
     now: TimePoint,
 }
@@ -127,24 +137,26 @@
     ClaimKey(format!("key-{key}").into())
 }
 
-fn nth<T>(items: &[T], at: u8) -> Option<usize> {
-    (!items.is_empty()).then(|| usize::from(at) % items.len())
+/// An index into `items`, from an arbitrary number; `None` if there are no items.
+fn wrapped_index<T>(items: &[T], number: u8) -> Option<usize> {
+    (!items.is_empty()).then(|| usize::from(number) % items.len())
 }
 
-impl World {
-    fn ask(&mut self, attempt: usize, owner: u8) -> Result<(), String> {
+impl Simulation {
+    /// Requests the claim for `attempt` from daemon `owner`. Fails if a returned answer is not one of the key's runs.
+    fn request_claim(&mut self, attempt: usize, owner: u8) -> Result<(), String> {
         let key = self.attempts[attempt].key;
-        let deadline = self.now.plus_ms(RUN_MS);
+        let deadline = self.now.plus_ms(RUN_TIMEOUT_MS);
         let table = &mut self.tables[usize::from(owner)];
         match table.claim(&claim_key(key), attempt as u64, u64::from(key), deadline, self.now) {
             Ok(ClaimAnswer::Granted) => self.attempts[attempt].granted = true,
             Ok(ClaimAnswer::Replay(answer)) => {
-                let ran = self.runs.get(&key).is_some_and(|runs| runs.contains(&answer));
-                if !ran {
-                    return Err(format!("key {key} was answered by attempt {answer}, which did not run"));
+                let has_run = self.runs.get(&key).is_some_and(|runs| runs.contains(&answer));
+                if !has_run {
+                    return Err(format!("key {key} returned the answer of attempt {answer}, which did not run"));
                 }
             }
-            Ok(ClaimAnswer::Reused) => return Err("an equal request counts as a different one".to_owned()),
+            Ok(ClaimAnswer::Reused) => return Err("the same request was classified as a different one".to_owned()),
             _ => {}
         }
         Ok(())
@@ -158,23 +170,23 @@
         }
     }
 
-    fn receive(&mut self, commit: usize) {
+    fn receive_commit(&mut self, commit: usize) {
         let commit = &mut self.commits[commit];
         if commit.applied.is_some() {
             return;
         }
-        let owned = commit.epoch == self.owner_revision;
-        commit.applied = Some(owned);
-        if owned {
-            self.records.extend(commit.batch.iter().map(|(key, _, fingerprint)| (key.clone(), *fingerprint)));
+        let is_owner = commit.epoch == self.owner_revision;
+        commit.applied = Some(is_owner);
+        if is_owner {
+            self.stored.extend(commit.batch.iter().map(|(key, _, fingerprint)| (key.clone(), *fingerprint)));
         }
     }
 
-    fn answer(&mut self, at: usize, lost: bool) {
-        if self.commits[at].applied.is_none() && !lost {
+    fn answer_commit(&mut self, index: usize, lost: bool) {
+        if self.commits[index].applied.is_none() && !lost {
             return;
         }
-        let commit = self.commits.remove(at);
+        let commit = self.commits.remove(index);
         if self.processes[commit.owner] != commit.process {
             return;
         }
@@ -192,7 +204,7 @@
         if commit.applied == Some(false) && !lost {
             table.drop_ownership();
         }
-        // A commit that is still under way when its answer is given up may arrive later.
+        // The daemon stopped waiting for a commit that is still in flight and may arrive later.
         if commit.applied.is_none() {
             self.commits.push(Commit { process: u32::MAX, ..commit });
         }
@@ -219,34 +231,34 @@
 
     fn apply(&mut self, command: &Command) -> Result<(), String> {
         match *command {
-            Command::Ask { owner, key } => {
+            Command::Request { owner, key } => {
                 self.attempts.push(Attempt { key, granted: false, ran: false, ended: false });
-                self.ask(self.attempts.len() - 1, owner)?;
+                self.request_claim(self.attempts.len() - 1, owner)?;
             }
-            Command::AskAgain { attempt, owner } => {
-                if let Some(at) = nth(&self.attempts, attempt)
-                    && !self.attempts[at].ended
+            Command::RequestAgain { attempt, owner } => {
+                if let Some(index) = wrapped_index(&self.attempts, attempt)
+                    && !self.attempts[index].ended
                 {
-                    self.ask(at, owner)?;
+                    self.request_claim(index, owner)?;
                 }
             }
             Command::TakeBatch { owner } => self.take_batch(usize::from(owner)),
-            Command::Receive { commit } => {
-                if let Some(at) = nth(&self.commits, commit) {
-                    self.receive(at);
+            Command::ReceiveCommit { commit } => {
+                if let Some(index) = wrapped_index(&self.commits, commit) {
+                    self.receive_commit(index);
                 }
             }
-            Command::Answer { commit, lost } => {
-                if let Some(at) = nth(&self.commits, commit) {
-                    self.answer(at, lost);
+            Command::AnswerCommit { commit, lost } => {
+                if let Some(index) = wrapped_index(&self.commits, commit) {
+                    self.answer_commit(index, lost);
                 }
             }
             Command::Grant { owner, key } => {
-                self.apply(&Command::Ask { owner, key })?;
+                self.apply(&Command::Request { owner, key })?;
                 self.take_batch(owner.into());
                 if let Some(last) = self.commits.len().checked_sub(1) {
-                    self.receive(last);
-                    self.answer(last, false);
+                    self.receive_commit(last);
+                    self.answer_commit(last, false);
                 }
             }
             Command::RunLatest => {
@@ -256,26 +268,26 @@
             }
             Command::TakeOver { owner } => {
                 self.owner_revision += 1;
-                self.tables[usize::from(owner)].load(self.owner_revision, self.records.clone());
+                self.tables[usize::from(owner)].load(self.owner_revision, self.stored.clone());
             }
             Command::Crash { owner } => {
                 self.tables[usize::from(owner)] = ClaimTable::default();
                 self.processes[usize::from(owner)] += 1;
             }
             Command::Run { attempt } => {
-                if let Some(at) = nth(&self.attempts, attempt) {
-                    self.run(at);
+                if let Some(index) = wrapped_index(&self.attempts, attempt) {
+                    self.run(index);
                 }
             }
             Command::Settle { attempt } => {
-                if let Some(at) = nth(&self.attempts, attempt) {
-                    self.settle(at);
+                if let Some(index) = wrapped_index(&self.attempts, attempt) {
+                    self.settle(index);
                 }
             }
             Command::Deliver { message, owner } => {
-                if let Some(at) = nth(&self.messages, message) {
+                if let Some(index) = wrapped_index(&self.messages, message) {
                     let table = &mut self.tables[usize::from(owner)];
-                    match &self.messages[at] {
+                    match &self.messages[index] {
                         Message::Finish { key, grant } => table.finish(key, *grant, *grant),
                         Message::Release { key, grant } => table.release(key, *grant),
                     }
@@ -287,15 +299,15 @@
     }
 }
 
-fn at_most_once(commands: Vec<Command>) -> Result<(), String> {
-    let mut world = World::default();
-    world.tables.resize_with(usize::from(DAEMONS), ClaimTable::default);
-    world.processes.resize(usize::from(DAEMONS), 0);
-    world.owner_revision = 1;
-    world.tables[0].load(1, Vec::new());
+fn each_key_runs_at_most_once(commands: Vec<Command>) -> Result<(), String> {
+    let mut simulation = Simulation::default();
+    simulation.tables.resize_with(usize::from(DAEMONS), ClaimTable::default);
+    simulation.processes.resize(usize::from(DAEMONS), 0);
+    simulation.owner_revision = 1;
+    simulation.tables[0].load(1, Vec::new());
     for command in &commands {
-        world.apply(command)?;
-        if let Some((key, runs)) = world.runs.iter().find(|(_, runs)| runs.len() > 1) {
+        simulation.apply(command)?;
+        if let Some((key, runs)) = simulation.runs.iter().find(|(_, runs)| runs.len() > 1) {
             return Err(format!("key {key} ran {} times", runs.len()));
         }
     }
@@ -304,21 +316,25 @@
 
 #[test]
 fn a_claimed_request_runs_at_most_once() {
-    sequence::check(0x51a1, 80, at_most_once);
+    sequence::check(0x51a1, 80, each_key_runs_at_most_once);
 }
 
-/// A release that arrives a second time must not free the claim of a later attempt.
+/// An attempt is released and its release message arrives twice. The second one must not free the claim of a later
+/// attempt that has run, or the key would run again.
 #[test]
-fn a_repeated_release_frees_nothing_else() {
-    let ask = Command::Ask { owner: 0, key: 0 };
-    let grant =
-        [Command::TakeBatch { owner: 0 }, Command::Receive { commit: 0 }, Command::Answer { commit: 0, lost: false }];
-    let mut commands = vec![ask.clone()];
+fn a_repeated_release_does_not_free_the_claim_of_a_later_attempt() {
+    let request = Command::Request { owner: 0, key: 0 };
+    let grant = [
+        Command::TakeBatch { owner: 0 },
+        Command::ReceiveCommit { commit: 0 },
+        Command::AnswerCommit { commit: 0, lost: false },
+    ];
+    let mut commands = vec![request.clone()];
     commands.extend(grant.clone());
-    commands.extend([Command::Settle { attempt: 0 }, Command::Deliver { message: 0, owner: 0 }, ask.clone()]);
+    commands.extend([Command::Settle { attempt: 0 }, Command::Deliver { message: 0, owner: 0 }, request.clone()]);
     commands.extend(grant.clone());
-    commands.extend([Command::Run { attempt: 1 }, Command::Deliver { message: 0, owner: 0 }, ask]);
+    commands.extend([Command::Run { attempt: 1 }, Command::Deliver { message: 0, owner: 0 }, request]);
     commands.extend(grant);
     commands.push(Command::Run { attempt: 2 });
-    at_most_once(commands).expect("runs once");
+    each_key_runs_at_most_once(commands).expect("the key runs once");
 }
--- a/crates/kernel/tests/machines/configuration.rs
+++ b/crates/kernel/tests/machines/configuration.rs
@@ -1,4 +1,5 @@
-//! Configuration: in force everywhere within seconds, never reverting; withdrawn keys stop within seconds.
+//! Configuration: an accepted change is in effect on every daemon within seconds and is never reverted, which includes
+//! the withdrawal of a key.
 
 use crate::sequence;
 use pimentoslip_kernel::{ConfigRecord, ConfigView, FreshnessTable, RecordEntry, RecordName, SharedName, TimePoint};
@@ -6,48 +7,49 @@
 use std::{collections::BTreeSet, sync::Arc};
 
 const DAEMONS: u8 = 3;
-/// The stated target: an accepted change is in force everywhere within this time.
+/// The service's documented target: an accepted change is in effect on every daemon within this time.
 const BOUND_MS: u64 = 5_000;
 
 #[derive(Clone, Debug)]
 enum Command {
-    /// An operator changes the record through a daemon; the answer of the write may be lost.
+    /// An operator changes a record through a daemon; the answer to the write may be lost.
     Change {
         daemon: u8,
         record: u8,
         lost: bool,
     },
-    /// A daemon asks the service; the answer is made now and arrives later.
-    AskService {
+    /// A daemon requests the changes from the key-value service, which answers now; the answer arrives later.
+    RequestService {
         daemon: u8,
     },
-    /// A daemon asks a peer; the peer answers at once, and the answer arrives later.
-    AskPeer {
+    /// A daemon requests the changes from a peer, which answers now; the answer arrives later.
+    RequestPeer {
         daemon: u8,
         peer: u8,
     },
-    /// A daemon asks everyone that it reaches, and all answers arrive at once.
-    Round {
+    /// A daemon requests the changes from every peer that it reaches and, if `service` is set, from the service. All
+    /// answers arrive at once.
+    Exchange {
         daemon: u8,
         service: bool,
     },
-    /// An answer under way arrives, or is lost.
-    Arrive {
+    /// An answer in flight arrives or is lost.
+    DeliverAnswer {
         answer: u8,
         lost: bool,
     },
-    /// The service stops or starts answering a daemon.
+    /// The service becomes unreachable or reachable again for a daemon.
     CutService {
         daemon: u8,
         cut: bool,
     },
-    /// Two daemons stop or start hearing each other.
+    /// Two daemons become unreachable or reachable again for each other.
     CutPeers {
         a: u8,
         b: u8,
         cut: bool,
     },
-    /// A process ends; its peers find its port closed. It starts again knowing nothing.
+    /// A process ends, and its peers find its port closed. It restarts without any records.
     Crash {
         daemon: u8,
     },
@@ -61,11 +63,11 @@
         let (a, b) = (u8::arbitrary(rng) % DAEMONS, u8::arbitrary(rng));
         let flag = bool::arbitrary(rng);
         match u8::arbitrary(rng) % 22 {
-            16..=21 => Self::Round { daemon: a, service: flag },
+            16..=21 => Self::Exchange { daemon: a, service: flag },
             0 | 1 => Self::Change { daemon: a, record: b % 2, lost: b % 8 > 5 },
-            2..=4 => Self::AskService { daemon: a },
-            5..=8 => Self::AskPeer { daemon: a, peer: b % DAEMONS },
-            9..=11 => Self::Arrive { answer: b, lost: b % 16 == 0 },
+            2..=4 => Self::RequestService { daemon: a },
+            5..=8 => Self::RequestPeer { daemon: a, peer: b % DAEMONS },
+            9..=11 => Self::DeliverAnswer { answer: b, lost: b % 16 == 0 },
             12 => Self::CutService { daemon: a, cut: flag },
             13 => Self::CutPeers { a, b: b % DAEMONS, cut: flag },
             14 if b % 4 == 0 => Self::Crash { daemon: a },
@@ -76,17 +78,20 @@
 
 #[derive(Default)]
 struct Daemon {
+    /// Incarnation of the process.
     process: u32,
     view: ConfigView,
     freshness: FreshnessTable,
+    /// Whether the service is unreachable.
     cut: bool,
 }
 
+/// An answer on its way to `daemon`.
 enum Answer {
     Service {
         daemon: usize,
         process: u32,
-        asked_at: TimePoint,
+        requested_at: TimePoint,
         revision: u64,
         entries: Vec<RecordEntry>,
     },
@@ -94,32 +99,34 @@
         daemon: usize,
         process: u32,
         peer: usize,
-        asked_at: TimePoint,
+        requested_at: TimePoint,
         complete: u64,
         age_ms: Option<u64>,
         entries: Vec<RecordEntry>,
     },
 }
 
-/// A record's accepted changes as the oracle sees them: revision and when its operator was told.
-type Accepted = Vec<(u8, u64, TimePoint)>;
+/// Changes as the test's oracle sees them: record, revision, and when the operator received the answer.
+type AcceptedChanges = Vec<(u8, u64, TimePoint)>;
 
+/// Model of the service, the daemons and the operators' accepted changes.
 #[derive(Default)]
-struct World {
+struct Simulation {
     now: TimePoint,
     revision: u64,
     stored: Vec<RecordEntry>,
     daemons: Vec<Daemon>,
     cut_pairs: BTreeSet<(usize, usize)>,
     answers: Vec<Answer>,
-    accepted: Accepted,
-    /// Changes on record that some daemon has not confirmed. They bind fresh daemons too, as long as no
-    /// process has ended since.
-    pending: Accepted,
+    accepted: AcceptedChanges,
+    /// Stored changes that some daemon has not confirmed. Fresh daemons must have them too, as long as no process has
+    /// ended since.
+    pending: AcceptedChanges,
+    /// Highest revisions observed on each daemon, by record.
     seen: Vec<[u64; 2]>,
 }
 
-fn name(daemon: usize) -> SharedName {
+fn daemon_name(daemon: usize) -> SharedName {
     format!("entry-{daemon}").into()
 }
 
@@ -127,13 +134,13 @@
     RecordName::Weights(format!("r{record}").into())
 }
 
-fn pair(a: usize, b: usize) -> (usize, usize) {
+fn sorted_pair(a: usize, b: usize) -> (usize, usize) {
     (a.min(b), a.max(b))
 }
 
-impl World {
-    fn reach(&self, a: usize, b: usize) -> bool {
-        !self.cut_pairs.contains(&pair(a, b))
+impl Simulation {
+    fn is_reachable(&self, a: usize, b: usize) -> bool {
+        !self.cut_pairs.contains(&sorted_pair(a, b))
     }
 
     fn change(&mut self, daemon: usize, record: u8, lost: bool) {
@@ -151,30 +158,36 @@
         if lost {
             return;
         }
-        let mut everywhere = true;
+        let mut all_reached = true;
         for peer in 0..self.daemons.len() {
-            if peer == daemon || self.reach(daemon, peer) {
+            if peer == daemon || self.is_reachable(daemon, peer) {
                 self.daemons[peer].view.apply(entry.clone());
             } else {
-                everywhere = false;
+                all_reached = false;
             }
         }
         let change = (record, self.revision, self.now);
-        if everywhere { self.accepted.push(change) } else { self.pending.push(change) }
+        if all_reached { self.accepted.push(change) } else { self.pending.push(change) }
     }
 
-    fn ask_service(&mut self, daemon: usize) {
+    fn request_service(&mut self, daemon: usize) {
         if self.daemons[daemon].cut {
             return;
         }
         let since = self.daemons[daemon].view.complete_revision();
         let entries = self.stored.iter().filter(|entry| entry.revision > since).cloned().collect();
         let process = self.daemons[daemon].process;
-        self.answers.push(Answer::Service { daemon, process, asked_at: self.now, revision: self.revision, entries });
+        self.answers.push(Answer::Service {
+            daemon,
+            process,
+            requested_at: self.now,
+            revision: self.revision,
+            entries,
+        });
     }
 
-    fn ask_peer(&mut self, daemon: usize, peer: usize) {
-        if daemon == peer || !self.reach(daemon, peer) {
+    fn request_peer(&mut self, daemon: usize, peer: usize) {
+        if daemon == peer || !self.is_reachable(daemon, peer) {
             return;
         }
         let since = self.daemons[daemon].view.complete_revision();
@@ -183,16 +196,16 @@
             daemon,
             process: self.daemons[daemon].process,
             peer,
-            asked_at: self.now,
+            requested_at: self.now,
             complete: other.view.complete_revision(),
             age_ms: other.freshness.age_ms(self.now),
             entries: other.view.entries_since(since),
         });
     }
 
-    fn arrive(&mut self, at: usize) {
-        match self.answers.remove(at) {
-            Answer::Service { daemon, process, asked_at, revision, entries } => {
+    fn deliver_answer(&mut self, index: usize) {
+        match self.answers.remove(index) {
+            Answer::Service { daemon, process, requested_at, revision, entries } => {
                 let state = &mut self.daemons[daemon];
                 if state.process != process {
                     return;
@@ -201,9 +214,9 @@
                     state.view.apply(entry);
                 });
                 state.view.revision_completed(revision);
-                state.freshness.service_read(asked_at);
+                state.freshness.service_read(requested_at);
             }
-            Answer::Peer { daemon, process, peer, asked_at, complete, age_ms, entries } => {
+            Answer::Peer { daemon, process, peer, requested_at, complete, age_ms, entries } => {
                 let state = &mut self.daemons[daemon];
                 if state.process != process {
                     return;
@@ -212,15 +225,15 @@
                     state.view.apply(entry);
                 });
                 state.view.revision_completed(complete);
-                state.freshness.peer_answered(&name(peer), asked_at, age_ms);
-                self.hear_all(daemon);
+                state.freshness.peer_answered(&daemon_name(peer), requested_at, age_ms);
+                self.update_freshness(daemon);
             }
         }
     }
 
-    /// What every daemon does after a round of exchanges.
-    fn hear_all(&mut self, daemon: usize) {
-        let peers: Vec<SharedName> = (0..self.daemons.len()).filter(|peer| *peer != daemon).map(name).collect();
+    /// Updates the freshness from the peers' answers, as a daemon does after each exchange.
+    fn update_freshness(&mut self, daemon: usize) {
+        let peers: Vec<SharedName> = (0..self.daemons.len()).filter(|peer| *peer != daemon).map(daemon_name).collect();
         let state = &mut self.daemons[daemon];
         if state.view.complete_revision() > 0 {
             state.freshness.update_from_peers(&peers, self.now);
@@ -230,40 +243,40 @@
     fn apply(&mut self, command: &Command) {
         match *command {
             Command::Change { daemon, record, lost } => self.change(daemon.into(), record, lost),
-            Command::AskService { daemon } => self.ask_service(daemon.into()),
-            Command::AskPeer { daemon, peer } => self.ask_peer(daemon.into(), peer.into()),
-            Command::Round { daemon, service } => {
-                let before = self.answers.len();
+            Command::RequestService { daemon } => self.request_service(daemon.into()),
+            Command::RequestPeer { daemon, peer } => self.request_peer(daemon.into(), peer.into()),
+            Command::Exchange { daemon, service } => {
+                let answers_before = self.answers.len();
                 if service {
-                    self.ask_service(daemon.into());
+                    self.request_service(daemon.into());
                 }
-                (0..self.daemons.len()).for_each(|peer| self.ask_peer(daemon.into(), peer));
-                while self.answers.len() > before {
-                    self.arrive(before);
+                (0..self.daemons.len()).for_each(|peer| self.request_peer(daemon.into(), peer));
+                while self.answers.len() > answers_before {
+                    self.deliver_answer(answers_before);
                 }
             }
-            Command::Arrive { answer, lost } if !self.answers.is_empty() => {
-                let at = usize::from(answer) % self.answers.len();
+            Command::DeliverAnswer { answer, lost } if !self.answers.is_empty() => {
+                let index = usize::from(answer) % self.answers.len();
                 if lost {
-                    self.answers.remove(at);
+                    self.answers.remove(index);
                 } else {
-                    self.arrive(at);
+                    self.deliver_answer(index);
                 }
             }
-            Command::Arrive { .. } => {}
+            Command::DeliverAnswer { .. } => {}
             Command::CutService { daemon, cut } => self.daemons[usize::from(daemon)].cut = cut,
             Command::CutPeers { a, b, cut: true } => {
-                self.cut_pairs.insert(pair(a.into(), b.into()));
+                self.cut_pairs.insert(sorted_pair(a.into(), b.into()));
             }
             Command::CutPeers { a, b, cut: false } => {
-                self.cut_pairs.remove(&pair(a.into(), b.into()));
+                self.cut_pairs.remove(&sorted_pair(a.into(), b.into()));
             }
             Command::Crash { daemon } => {
                 self.pending.clear();
-                let at = usize::from(daemon);
-                let old = &self.daemons[at];
-                self.daemons[at] = Daemon { process: old.process + 1, cut: old.cut, ..Daemon::default() };
-                self.seen[at] = [0, 0];
+                let index = usize::from(daemon);
+                let ended = &self.daemons[index];
+                self.daemons[index] = Daemon { process: ended.process + 1, cut: ended.cut, ..Daemon::default() };
+                self.seen[index] = [0, 0];
             }
             Command::Wait { ms } => self.now = self.now.plus_ms(u64::from(ms)),
         }
@@ -273,13 +286,14 @@
         self.daemons[daemon].view.get(&record_name(record)).map_or(0, |entry| entry.revision)
     }
 
+    /// Fails if a daemon reverted a record, or is fresh without a change whose time bound has passed.
     fn check(&mut self) -> Result<(), String> {
         for daemon in 0..self.daemons.len() {
             for record in 0..2 {
                 let held = self.revision_at(daemon, record);
                 let seen = &mut self.seen[daemon][usize::from(record)];
                 if held < *seen {
-                    return Err(format!("daemon {daemon} went back from {seen} to {held}"));
+                    return Err(format!("daemon {daemon} reverted from revision {seen} to {held}"));
                 }
                 *seen = held;
             }
@@ -287,10 +301,10 @@
                 continue;
             }
             for (record, revision, accepted_at) in self.accepted.iter().chain(&self.pending) {
-                let late = self.now.since_ms(*accepted_at) > BOUND_MS;
-                if late && self.revision_at(daemon, *record) < *revision {
+                let is_overdue = self.now.since_ms(*accepted_at) > BOUND_MS;
+                if is_overdue && self.revision_at(daemon, *record) < *revision {
                     return Err(format!(
-                        "daemon {daemon} serves without revision {revision}, accepted {accepted_at:?}, now {:?}",
+                        "daemon {daemon} is fresh without revision {revision}, accepted at {accepted_at:?}, now {:?}",
                         self.now
                     ));
                 }
@@ -300,45 +314,49 @@
     }
 }
 
-fn in_force_and_never_reverting(commands: Vec<Command>) -> Result<(), String> {
-    let mut world = World { now: TimePoint(10_000), revision: 1, ..World::default() };
-    world.daemons.resize_with(usize::from(DAEMONS), Daemon::default);
-    world.seen.resize(usize::from(DAEMONS), [0, 0]);
+fn accepted_changes_take_effect_and_stay(commands: Vec<Command>) -> Result<(), String> {
+    let mut simulation = Simulation { now: TimePoint(10_000), revision: 1, ..Simulation::default() };
+    simulation.daemons.resize_with(usize::from(DAEMONS), Daemon::default);
+    simulation.seen.resize(usize::from(DAEMONS), [0, 0]);
     for command in &commands {
-        world.apply(command);
-        world.check()?;
+        simulation.apply(command);
+        simulation.check()?;
     }
     Ok(())
 }
 
 #[test]
-fn accepted_changes_are_in_force_within_the_bound_and_never_revert() {
-    sequence::check(0xc0f1, 100, in_force_and_never_reverting);
+fn accepted_changes_take_effect_within_the_bound_and_are_never_reverted() {
+    sequence::check(0xc0f1, 100, accepted_changes_take_effect_and_stay);
 }
 
-/// While the service is away for all, daemons that hear each other go on serving.
+/// While the key-value service is unreachable for all, daemons that reach all their peers stay fresh and keep serving.
+/// A daemon that reaches only some of them must not.
 #[test]
-fn an_outage_for_all_stops_nobody() {
-    let mut world = World { now: TimePoint(10_000), revision: 1, ..World::default() };
-    world.daemons.resize_with(usize::from(DAEMONS), Daemon::default);
+fn daemons_that_reach_all_peers_stay_fresh_during_an_outage() {
+    let mut simulation = Simulation { now: TimePoint(10_000), revision: 1, ..Simulation::default() };
+    simulation.daemons.resize_with(usize::from(DAEMONS), Daemon::default);
     for daemon in 0..3 {
-        world.apply(&Command::AskService { daemon });
-        world.apply(&Command::Arrive { answer: 0, lost: false });
-        world.apply(&Command::CutService { daemon, cut: true });
+        simulation.apply(&Command::RequestService { daemon });
+        simulation.apply(&Command::DeliverAnswer { answer: 0, lost: false });
+        simulation.apply(&Command::CutService { daemon, cut: true });
     }
     for _ in 0..100 {
-        world.apply(&Command::Wait { ms: 1_000 });
+        simulation.apply(&Command::Wait { ms: 1_000 });
         for (daemon, peer) in [(0, 1), (0, 2), (1, 0), (1, 2), (2, 0), (2, 1)] {
-            world.apply(&Command::AskPeer { daemon, peer });
-            world.apply(&Command::Arrive { answer: 0, lost: false });
+            simulation.apply(&Command::RequestPeer { daemon, peer });
+            simulation.apply(&Command::DeliverAnswer { answer: 0, lost: false });
         }
-        assert!(world.daemons.iter().all(|daemon| daemon.freshness.is_fresh(world.now)));
+        assert!(simulation.daemons.iter().all(|daemon| daemon.freshness.is_fresh(simulation.now)));
     }
-    world.apply(&Command::CutPeers { a: 0, b: 1, cut: true });
+    simulation.apply(&Command::CutPeers { a: 0, b: 1, cut: true });
     for _ in 0..5 {
-        world.apply(&Command::Wait { ms: 1_000 });
-        world.apply(&Command::AskPeer { daemon: 0, peer: 2 });
-        world.apply(&Command::Arrive { answer: 0, lost: false });
+        simulation.apply(&Command::Wait { ms: 1_000 });
+        simulation.apply(&Command::RequestPeer { daemon: 0, peer: 2 });
+        simulation.apply(&Command::DeliverAnswer { answer: 0, lost: false });
     }
-    assert!(!world.daemons[0].freshness.is_fresh(world.now), "a daemon that hears only some cannot know");
+    assert!(
+        !simulation.daemons[0].freshness.is_fresh(simulation.now),
+        "a daemon that reaches only some peers may lack changes"
+    );
 }
--- a/crates/kernel/tests/machines/duties.rs
+++ b/crates/kernel/tests/machines/duties.rs
@@ -1,49 +1,49 @@
-//! Duties: a receiver never gets orders from two processes that both believe they are in charge.
+//! Duty leases: a receiver never receives orders from two processes that both believe that they hold the duty.
 
 use crate::sequence;
 use pimentoslip_kernel::{HolderEvidence, LeaseHolder, TimePoint};
 use quickcheck::{Arbitrary, Gen};
 
 const DAEMONS: u8 = 3;
-/// The lease guard, in which bytes of a dead process may still arrive.
+/// The guard of the lease: the longest time for which messages of a dead process may still arrive.
 const GUARD_MS: u64 = 2_000;
 
 #[derive(Clone, Debug)]
 enum Command {
-    /// A daemon asks for the lease; the service answers now, and the answer arrives later.
+    /// A daemon requests the lease. The key-value service grants it now, and the answer arrives later.
     Acquire {
         daemon: u8,
     },
-    /// A daemon renews; as above.
+    /// A daemon renews its lease. The service renews it now, and the answer arrives later.
     Renew {
         daemon: u8,
     },
-    /// An answer arrives, or is lost.
-    Arrive {
+    /// An answer arrives or is lost.
+    DeliverAnswer {
         answer: u8,
         lost: bool,
     },
-    /// An acquisition that nothing disturbs.
-    Hold {
+    /// A daemon requests the lease and receives the answer at once.
+    AcquireAtOnce {
         daemon: u8,
     },
-    /// A check and a write with nothing between them.
-    Act {
+    /// A daemon checks its authority and sends an order at once.
+    SendAtOnce {
         daemon: u8,
     },
-    /// A daemon checks its authority before an order, and may then be frozen.
+    /// A daemon checks its authority before an order. Its process may be frozen afterwards.
     Check {
         daemon: u8,
     },
-    /// A daemon writes the order that it checked for, however long ago.
-    Write {
+    /// A daemon sends the order for which it checked its authority, however long ago.
+    Send {
         daemon: u8,
     },
-    /// A daemon learns about the previous holder.
-    Learn {
+    /// A daemon updates its evidence on the previous holders.
+    UpdateEvidence {
         daemon: u8,
     },
-    /// A process ends; what it wrote last may still arrive within the guard.
+    /// A process ends and restarts. The order that it sent last may still arrive within the guard.
     Crash {
         daemon: u8,
     },
@@ -56,49 +56,58 @@
     fn arbitrary(rng: &mut Gen) -> Self {
         let (a, b) = (u8::arbitrary(rng) % DAEMONS, u8::arbitrary(rng));
         match u8::arbitrary(rng) % 20 {
-            16 | 17 => Self::Hold { daemon: a },
-            18 | 19 => Self::Act { daemon: a },
+            16 | 17 => Self::AcquireAtOnce { daemon: a },
+            18 | 19 => Self::SendAtOnce { daemon: a },
             0..=2 => Self::Acquire { daemon: a },
             3 | 4 => Self::Renew { daemon: a },
-            5..=7 => Self::Arrive { answer: b, lost: b % 8 == 0 },
+            5..=7 => Self::DeliverAnswer { answer: b, lost: b % 8 == 0 },
             8 | 9 => Self::Check { daemon: a },
-            10 | 11 => Self::Write { daemon: a },
-            12 => Self::Learn { daemon: a },
+            10 | 11 => Self::Send { daemon: a },
+            12 => Self::UpdateEvidence { daemon: a },
             13 if b % 3 == 0 => Self::Crash { daemon: a },
             _ => Self::Wait { ms: u16::arbitrary(rng) % 4_000 },
         }
     }
 }
 
+/// A daemon with its current process.
 struct Daemon {
+    /// Incarnation of the process.
     process: u32,
     holder: LeaseHolder,
+    /// Fencing number of the last check, until the order is sent.
     checked: Option<u64>,
 }
 
-/// The service's lease: daemon, process, fencing number and end.
+/// The lease as stored in the service: daemon, process, fencing number and end.
 type Lease = (usize, u32, u64, TimePoint);
 
+/// An answer of the service on its way to a daemon.
 enum Answer {
-    Acquired { daemon: usize, process: u32, fencing: u64, asked_at: TimePoint, previous: Vec<(usize, u32)> },
-    Renewed { daemon: usize, process: u32, fencing: u64, asked_at: TimePoint },
+    Acquired { daemon: usize, process: u32, fencing: u64, requested_at: TimePoint, previous: Vec<(usize, u32)> },
+    Renewed { daemon: usize, process: u32, fencing: u64, requested_at: TimePoint },
 }
 
-struct World {
+/// Model of the service, the daemons and the receiver of their orders.
+struct Simulation {
+    /// Whether the receiver checks fencing numbers.
     checks: bool,
     now: TimePoint,
     revision: u64,
     lease: Option<Lease>,
+    /// Previous holders stored in the service: daemon and process.
     previous: Vec<(usize, u32)>,
     daemons: Vec<Daemon>,
-    learned: Vec<Vec<(usize, u32)>>,
+    /// Previous holders that each daemon read when it acquired the lease.
+    observed_holders: Vec<Vec<(usize, u32)>>,
     answers: Vec<Answer>,
-    /// Orders on the wire of dead processes: fencing number and last moment of arrival.
-    late: Vec<(u64, TimePoint)>,
+    /// Orders of dead processes in flight: fencing number and latest time of arrival.
+    in_flight: Vec<(u64, TimePoint)>,
+    /// Fencing numbers of the orders that the receiver accepted.
     received: Vec<u64>,
 }
 
-impl World {
+impl Simulation {
     fn new(checks: bool) -> Self {
         let daemon = || Daemon { process: 0, holder: LeaseHolder::new(checks), checked: None };
         Self {
@@ -108,28 +117,29 @@
             lease: None,
             previous: Vec::new(),
             daemons: (0..DAEMONS).map(|_| daemon()).collect(),
-            learned: vec![Vec::new(); DAEMONS.into()],
+            observed_holders: vec![Vec::new(); DAEMONS.into()],
             answers: Vec::new(),
-            late: Vec::new(),
+            in_flight: Vec::new(),
             received: Vec::new(),
         }
     }
 
+    /// The evidence that `daemon` can have on the holders `previous`.
     fn evidence(&self, daemon: usize, previous: &[(usize, u32)]) -> HolderEvidence {
-        let of = |(other, process): &(usize, u32)| match self.daemons[*other].process {
-            now if *other == daemon && now == *process => HolderEvidence::Clear,
-            now if now > *process => HolderEvidence::Ended,
+        let evidence_of = |(other, process): &(usize, u32)| match self.daemons[*other].process {
+            current if *other == daemon && current == *process => HolderEvidence::Clear,
+            current if current > *process => HolderEvidence::Ended,
             _ => HolderEvidence::Silent,
         };
-        previous.iter().map(of).max().unwrap_or(HolderEvidence::Clear)
+        previous.iter().map(evidence_of).max().unwrap_or(HolderEvidence::Clear)
     }
 
-    /// A holder takes proved former holders off the record, if the lease is still its own.
-    fn trim(&mut self, daemon: usize) {
+    /// Deletes the previous holders, which have been proved to have ended, if `daemon` still holds the lease.
+    fn delete_previous(&mut self, daemon: usize) {
         let process = self.daemons[daemon].process;
-        let held = self.daemons[daemon].holder.authority(self.now).map(|(fencing, _)| fencing);
-        let own = |lease: &Lease| lease.0 == daemon && Some(lease.2) == held && lease.3 > self.now;
-        if self.lease.as_ref().is_some_and(own) {
+        let fencing = self.daemons[daemon].holder.authority(self.now).map(|(fencing, _)| fencing);
+        let is_own = |lease: &Lease| lease.0 == daemon && Some(lease.2) == fencing && lease.3 > self.now;
+        if self.lease.as_ref().is_some_and(is_own) {
             self.previous = vec![(daemon, process)];
         }
     }
@@ -145,7 +155,13 @@
         let previous = self.previous.clone();
         self.previous.retain(|holder| *holder != (daemon, process));
         self.previous.push((daemon, process));
-        self.answers.push(Answer::Acquired { daemon, process, fencing: self.revision, asked_at: self.now, previous });
+        self.answers.push(Answer::Acquired {
+            daemon,
+            process,
+            fencing: self.revision,
+            requested_at: self.now,
+            previous,
+        });
     }
 
     fn renew(&mut self, daemon: usize) {
@@ -156,34 +172,34 @@
         }
         *end = self.now.plus_ms(self.daemons[daemon].holder.ttl_ms());
         let fencing = *fencing;
-        self.answers.push(Answer::Renewed { daemon, process, fencing, asked_at: self.now });
+        self.answers.push(Answer::Renewed { daemon, process, fencing, requested_at: self.now });
     }
 
-    fn arrive(&mut self, at: usize) {
-        match self.answers.remove(at) {
-            Answer::Acquired { daemon, process, fencing, asked_at, previous } => {
+    fn deliver_answer(&mut self, index: usize) {
+        match self.answers.remove(index) {
+            Answer::Acquired { daemon, process, fencing, requested_at, previous } => {
                 if self.daemons[daemon].process == process {
                     let evidence = self.evidence(daemon, &previous);
-                    self.learned[daemon] = previous;
-                    self.daemons[daemon].holder.lease_acquired(fencing, asked_at, evidence, self.now);
+                    self.observed_holders[daemon] = previous;
+                    self.daemons[daemon].holder.lease_acquired(fencing, requested_at, evidence, self.now);
                 }
             }
-            Answer::Renewed { daemon, process, fencing, asked_at } => {
+            Answer::Renewed { daemon, process, fencing, requested_at } => {
                 if self.daemons[daemon].process == process {
-                    self.daemons[daemon].holder.lease_renewed(fencing, asked_at);
+                    self.daemons[daemon].holder.lease_renewed(fencing, requested_at);
                 }
             }
         }
     }
 
-    /// An order arrives. One that was checked and written without a pause is never refused.
-    fn receive(&mut self, fencing: u64, paused: bool) -> Result<(), String> {
+    /// Receives an order. One that was sent immediately after the check (not `delayed`) must never be refused.
+    fn receive_order(&mut self, fencing: u64, delayed: bool) -> Result<(), String> {
         let newest = self.received.iter().copied().max().unwrap_or(0);
         if fencing < newest {
-            if self.checks && paused {
+            if self.checks && delayed {
                 return Ok(());
             }
-            return Err(format!("an order under {fencing} arrived after one under {newest}"));
+            return Err(format!("an order with fencing number {fencing} arrived after one with {newest}"));
         }
         self.received.push(fencing);
         Ok(())
@@ -193,28 +209,28 @@
         match *command {
             Command::Acquire { daemon } => self.acquire(daemon.into()),
             Command::Renew { daemon } => self.renew(daemon.into()),
-            Command::Arrive { answer, lost } if !self.answers.is_empty() => {
-                let at = usize::from(answer) % self.answers.len();
+            Command::DeliverAnswer { answer, lost } if !self.answers.is_empty() => {
+                let index = usize::from(answer) % self.answers.len();
                 if lost {
-                    self.answers.remove(at);
+                    self.answers.remove(index);
                 } else {
-                    self.arrive(at);
+                    self.deliver_answer(index);
                 }
             }
-            Command::Arrive { .. } => {}
-            Command::Hold { daemon } => {
-                let before = self.answers.len();
+            Command::DeliverAnswer { .. } => {}
+            Command::AcquireAtOnce { daemon } => {
+                let answers_before = self.answers.len();
                 self.acquire(daemon.into());
-                if self.answers.len() > before {
-                    self.arrive(before);
+                if self.answers.len() > answers_before {
+                    self.deliver_answer(answers_before);
                 }
             }
-            Command::Act { daemon } => {
-                self.apply(&Command::Learn { daemon })?;
+            Command::SendAtOnce { daemon } => {
+                self.apply(&Command::UpdateEvidence { daemon })?;
                 self.apply(&Command::Check { daemon })?;
-                self.trim(daemon.into());
+                self.delete_previous(daemon.into());
                 if let Some(fencing) = self.daemons[usize::from(daemon)].checked.take() {
-                    self.receive(fencing, false)?;
+                    self.receive_order(fencing, false)?;
                 }
             }
             Command::Check { daemon } => {
@@ -223,32 +239,32 @@
                 daemon.holder.expire(now);
                 daemon.checked = daemon.holder.authority(now).map(|(fencing, _)| fencing);
             }
-            Command::Write { daemon } => {
+            Command::Send { daemon } => {
                 if let Some(fencing) = self.daemons[usize::from(daemon)].checked.take() {
-                    self.receive(fencing, true)?;
+                    self.receive_order(fencing, true)?;
                 }
             }
-            Command::Learn { daemon } => {
-                let at = usize::from(daemon);
-                let evidence = self.evidence(at, &self.learned[at]);
+            Command::UpdateEvidence { daemon } => {
+                let index = usize::from(daemon);
+                let evidence = self.evidence(index, &self.observed_holders[index]);
                 let now = self.now;
-                self.daemons[at].holder.evidence_updated(evidence, now);
+                self.daemons[index].holder.evidence_updated(evidence, now);
             }
             Command::Crash { daemon } => {
-                let at = usize::from(daemon);
-                let old = &mut self.daemons[at];
-                if let Some(fencing) = old.checked.take() {
-                    self.late.push((fencing, self.now.plus_ms(GUARD_MS)));
+                let index = usize::from(daemon);
+                let ended = &mut self.daemons[index];
+                if let Some(fencing) = ended.checked.take() {
+                    self.in_flight.push((fencing, self.now.plus_ms(GUARD_MS)));
                 }
-                *old = Daemon { process: old.process + 1, holder: LeaseHolder::new(self.checks), checked: None };
+                *ended = Daemon { process: ended.process + 1, holder: LeaseHolder::new(self.checks), checked: None };
             }
             Command::Wait { ms } => {
                 self.now = self.now.plus_ms(u64::from(ms));
-                // Bytes of dead processes arrive at the last moment at which they can.
-                let (over, waiting): (Vec<_>, Vec<_>) = self.late.iter().partition(|(_, end)| *end <= self.now);
-                self.late = waiting;
-                for (fencing, _) in over {
-                    self.receive(fencing, true)?;
+                // Orders of dead processes arrive at the latest possible time.
+                let (arrived, waiting): (Vec<_>, Vec<_>) = self.in_flight.iter().partition(|(_, end)| *end <= self.now);
+                self.in_flight = waiting;
+                for (fencing, _) in arrived {
+                    self.receive_order(fencing, true)?;
                 }
             }
         }
@@ -256,101 +272,102 @@
     }
 }
 
+/// Runs `commands`. Fails if orders arrive from two holders in turn.
 fn run(checks: bool, commands: &[Command]) -> Result<(), String> {
-    let mut world = World::new(checks);
-    commands.iter().try_for_each(|command| world.apply(command))
+    let mut simulation = Simulation::new(checks);
+    commands.iter().try_for_each(|command| simulation.apply(command))
 }
 
 #[test]
-fn receivers_that_check_nothing_get_orders_from_one_holder_at_a_time() {
+fn receivers_without_fencing_checks_get_orders_from_one_holder_at_a_time() {
     sequence::check(0xd071, 100, |commands| run(false, &commands));
 }
 
 #[test]
-fn receivers_that_check_get_orders_from_one_holder_at_a_time() {
+fn receivers_with_fencing_checks_get_orders_from_one_holder_at_a_time() {
     sequence::check(0xd072, 100, |commands| run(true, &commands));
 }
 
-/// Without any failure of the service, orders are given at all.
+/// Without failures of the key-value service, both the first holder and its successor can send orders.
 #[test]
-fn a_successor_acts_once_its_predecessor_has_ended() {
+fn a_successor_sends_orders_once_its_predecessor_has_ended() {
     for checks in [false, true] {
-        let mut world = World::new(checks);
+        let mut simulation = Simulation::new(checks);
         let commands = [
             Command::Acquire { daemon: 0 },
-            Command::Arrive { answer: 0, lost: false },
+            Command::DeliverAnswer { answer: 0, lost: false },
             Command::Check { daemon: 0 },
-            Command::Write { daemon: 0 },
+            Command::Send { daemon: 0 },
             Command::Crash { daemon: 0 },
             Command::Wait { ms: 6_000 },
             Command::Acquire { daemon: 1 },
-            Command::Arrive { answer: 0, lost: false },
+            Command::DeliverAnswer { answer: 0, lost: false },
             Command::Wait { ms: 2_000 },
-            Command::Learn { daemon: 1 },
+            Command::UpdateEvidence { daemon: 1 },
             Command::Check { daemon: 1 },
-            Command::Write { daemon: 1 },
+            Command::Send { daemon: 1 },
         ];
-        commands.iter().try_for_each(|command| world.apply(command)).expect("one holder at a time");
-        assert_eq!(world.received.len(), 2, "checks {checks}");
+        commands.iter().try_for_each(|command| simulation.apply(command)).expect("one holder at a time");
+        assert_eq!(simulation.received.len(), 2, "checks {checks}");
     }
 }
 
-/// A holder that never answered any more, but was not proved to have ended, is not succeeded where the
-/// receiver checks nothing.
+/// A holder stops answering but is not proved to have ended, so that it may still send orders. If the receiver doesn't
+/// check fencing numbers, no successor may act.
 #[test]
-fn a_silent_predecessor_is_not_succeeded_without_fencing() {
-    let mut world = World::new(false);
+fn an_unresponsive_predecessor_without_fencing_checks_blocks_its_successor() {
+    let mut simulation = Simulation::new(false);
     for command in [
         Command::Acquire { daemon: 0 },
-        Command::Arrive { answer: 0, lost: false },
+        Command::DeliverAnswer { answer: 0, lost: false },
         Command::Wait { ms: 60_000 },
         Command::Acquire { daemon: 1 },
-        Command::Arrive { answer: 0, lost: false },
-        Command::Learn { daemon: 1 },
+        Command::DeliverAnswer { answer: 0, lost: false },
+        Command::UpdateEvidence { daemon: 1 },
         Command::Check { daemon: 1 },
     ] {
-        world.apply(&command).expect("one holder at a time");
+        simulation.apply(&command).expect("one holder at a time");
     }
-    assert!(world.daemons[1].checked.is_none());
+    assert!(simulation.daemons[1].checked.is_none());
 }
 
-/// A holder checks, is frozen past its lease, writes when it wakes, and dies: its last bytes may arrive
-/// within the guard, so its successor waits that long after the proof of its end.
+/// A holder checks its authority, is frozen past the end of its lease, sends the order when it resumes, and dies. The
+/// order may arrive within the guard, so that the successor must wait that long after the proof of the holder's end.
 #[test]
-fn a_successor_waits_for_the_last_bytes_of_a_thawed_predecessor() {
+fn a_successor_waits_for_the_last_order_of_a_predecessor_that_was_frozen() {
     let commands = [
-        Command::Hold { daemon: 0 },
+        Command::AcquireAtOnce { daemon: 0 },
         Command::Check { daemon: 0 },
         Command::Wait { ms: 10_000 },
-        Command::Hold { daemon: 1 },
+        Command::AcquireAtOnce { daemon: 1 },
         Command::Crash { daemon: 0 },
-        Command::Act { daemon: 1 },
+        Command::SendAtOnce { daemon: 1 },
         Command::Wait { ms: 2_000 },
-        Command::Act { daemon: 1 },
+        Command::SendAtOnce { daemon: 1 },
     ];
-    let mut world = World::new(false);
-    commands.iter().try_for_each(|command| world.apply(command)).expect("one holder at a time");
-    assert_eq!(world.received, [1, 2]);
+    let mut simulation = Simulation::new(false);
+    commands.iter().try_for_each(|command| simulation.apply(command)).expect("one holder at a time");
+    assert_eq!(simulation.received, [1, 2]);
 }
 
-/// A successor that lost its own lease and took it again must still know of the silent holder before it.
+/// A successor that lost its own lease and acquires it again must still wait for the unresponsive holder before it.
 #[test]
-fn a_silent_holder_is_not_forgotten_when_another_came_between() {
+fn an_unresponsive_holder_stays_stored_across_another_holder_in_between() {
     let commands = [
-        Command::Hold { daemon: 2 },
+        Command::AcquireAtOnce { daemon: 2 },
         Command::Check { daemon: 2 },
         Command::Wait { ms: 7_000 },
         Command::Acquire { daemon: 1 },
         Command::Wait { ms: 7_000 },
-        Command::Hold { daemon: 1 },
-        Command::Act { daemon: 1 },
-        Command::Write { daemon: 2 },
+        Command::AcquireAtOnce { daemon: 1 },
+        Command::SendAtOnce { daemon: 1 },
+        Command::Send { daemon: 2 },
     ];
-    let mut world = World::new(false);
-    commands.iter().try_for_each(|command| world.apply(command)).expect("one holder at a time");
+    let mut simulation = Simulation::new(false);
+    commands.iter().try_for_each(|command| simulation.apply(command)).expect("one holder at a time");
 }
 
-/// The late answer of an older grant must not take a newer one's place.
+/// Answers may arrive out of order: that of an older grant must not replace a newer grant.
 #[test]
 fn a_late_answer_of_an_older_grant_is_ignored() {
     let mut holder = LeaseHolder::new(true);
@@ -358,5 +375,9 @@
     holder.lease_acquired(1, TimePoint(7_000), HolderEvidence::Clear, TimePoint(8_100));
     assert_eq!(holder.authority(TimePoint(8_200)), Some((2, TimePoint(12_000))));
     holder.lease_renewed(1, TimePoint(9_000));
-    assert_eq!(holder.authority(TimePoint(8_200)), Some((2, TimePoint(12_000))), "nor its renewal");
+    assert_eq!(
+        holder.authority(TimePoint(8_200)),
+        Some((2, TimePoint(12_000))),
+        "the renewal of the older grant is ignored too"
+    );
 }
--- a/crates/kernel/tests/machines/ownership.rs
+++ b/crates/kernel/tests/machines/ownership.rs
@@ -1,4 +1,5 @@
-//! Owners of batch jobs: the store knows one at a time, each open job gets one again, a live owner keeps its jobs.
+//! Ownership of batch jobs: the store holds one owner at a time, each open job gets an owner again, and a running owner
+//! keeps its jobs.
 
 use crate::sequence;
 use pimentoslip_kernel::{DaemonPresence, OwnerRecord, OwnershipTable, SharedName, TimePoint};
@@ -9,26 +10,26 @@
 
 #[derive(Clone, Debug)]
 enum Command {
-    /// A daemon looks, and claims what it should; the answer may be lost.
-    Look {
+    /// A daemon claims the jobs that are due; the answers may be lost.
+    Claim {
         daemon: u8,
         lost: bool,
     },
-    /// A daemon hears of the next changes in the store.
-    Hear {
+    /// A daemon receives the next changes of the store.
+    Receive {
         daemon: u8,
         count: u8,
     },
-    /// A daemon's process ends, and another one starts at the same VM.
+    /// A daemon's process ends, and a new one starts on the same VM.
     Restart {
         daemon: u8,
     },
-    /// A daemon's lease ends, though its process lives on.
-    Lapse {
+    /// A daemon's lease ends while its process keeps running.
+    EndLease {
         daemon: u8,
     },
-    /// A job's end is put on record.
-    End {
+    /// A job's end is stored.
+    CloseJob {
         job: u8,
     },
     Wait {
@@ -40,46 +41,49 @@
     fn arbitrary(rng: &mut Gen) -> Self {
         let (a, b) = (u8::arbitrary(rng), u8::arbitrary(rng));
         match u8::arbitrary(rng) % 16 {
-            0..=4 => Self::Look { daemon: a, lost: b % 4 == 0 },
-            5..=9 => Self::Hear { daemon: a, count: b % 4 + 1 },
+            0..=4 => Self::Claim { daemon: a, lost: b % 4 == 0 },
+            5..=9 => Self::Receive { daemon: a, count: b % 4 + 1 },
             10 if b % 2 == 0 => Self::Restart { daemon: a },
-            11 if b % 2 == 0 => Self::Lapse { daemon: a },
-            12 if b % 6 == 0 => Self::End { job: a },
+            11 if b % 2 == 0 => Self::EndLease { daemon: a },
+            12 if b % 6 == 0 => Self::CloseJob { job: a },
             _ => Self::Wait { ms: u16::arbitrary(rng) % 900 },
         }
     }
 }
 
+/// A change in the store; jobs and daemons are given by their indexes.
 #[derive(Clone, Debug)]
 enum Change {
-    Owner(usize, OwnerRecord),
-    Gone(usize, u64),
-    Joined(usize),
-    Left(usize),
-    Ended(usize),
+    OwnerWritten(usize, OwnerRecord),
+    OwnerRemoved(usize, u64),
+    DaemonJoined(usize),
+    DaemonLeft(usize),
+    JobClosed(usize),
 }
 
-/// The store: owners with revisions, and the history that daemons follow.
+/// The key-value store: the owner of each job, and the history of changes that daemons watch.
 struct Store {
     revision: u64,
     owners: Vec<Option<OwnerRecord>>,
-    ended: Vec<bool>,
+    closed: Vec<bool>,
     history: Vec<Change>,
 }
 
+/// A daemon's current process.
 struct Daemon {
     table: OwnershipTable,
     incarnation: u64,
-    heard: usize,
-    /// Jobs whose state this process has.
+    /// Number of the store's changes that this process has received.
+    received: usize,
+    /// Jobs whose state this process has in memory.
     held: Vec<usize>,
 }
 
-fn name(daemon: usize) -> SharedName {
+fn daemon_name(daemon: usize) -> SharedName {
     format!("d{daemon}").into()
 }
 
-fn job(job: usize) -> SharedName {
+fn job_id(job: usize) -> SharedName {
     format!("j{job}").into()
 }
 
@@ -94,118 +98,122 @@
 }
 
 impl Daemon {
-    /// Starts, and reads all that is in the store.
+    /// Starts a process, which reads all entries of the store.
     fn start(daemon: usize, incarnation: u64, store: &Store, now: TimePoint) -> Self {
-        let mut table = OwnershipTable::new(name(daemon), incarnation);
+        let mut table = OwnershipTable::new(daemon_name(daemon), incarnation);
         for other in 0..DAEMONS {
-            table.daemon_joined(name(other), presence(1));
+            table.daemon_joined(daemon_name(other), presence(1));
         }
-        for at in 0..JOBS {
-            table.job_accepted(job(at), now);
-            if store.ended[at] {
-                table.job_closed(&job(at));
+        for job in 0..JOBS {
+            table.job_accepted(job_id(job), now);
+            if store.closed[job] {
+                table.job_closed(&job_id(job));
             }
-            if let Some(owner) = &store.owners[at] {
-                table.owner_recorded(job(at), owner.clone(), now);
+            if let Some(owner) = &store.owners[job] {
+                table.owner_recorded(job_id(job), owner.clone(), now);
             }
         }
-        Self { table, incarnation, heard: store.history.len(), held: Vec::new() }
+        Self { table, incarnation, received: store.history.len(), held: Vec::new() }
     }
 
-    fn hear(&mut self, store: &Store, count: usize, now: TimePoint) {
-        let until = store.history.len().min(self.heard + count);
-        for change in &store.history[self.heard..until] {
+    /// Receives the next `count` changes of the store.
+    fn receive(&mut self, store: &Store, count: usize, now: TimePoint) {
+        let until = store.history.len().min(self.received + count);
+        for change in &store.history[self.received..until] {
             match change {
-                Change::Owner(at, owner) => self.table.owner_recorded(job(*at), owner.clone(), now),
-                Change::Gone(at, revision) => self.table.owner_removed(&job(*at), *revision, now),
-                Change::Joined(daemon) => self.table.daemon_joined(name(*daemon), presence(1)),
-                Change::Left(daemon) => self.table.daemon_left(&name(*daemon)),
-                Change::Ended(at) => self.table.job_closed(&job(*at)),
+                Change::OwnerWritten(job, owner) => self.table.owner_recorded(job_id(*job), owner.clone(), now),
+                Change::OwnerRemoved(job, revision) => self.table.owner_removed(&job_id(*job), *revision, now),
+                Change::DaemonJoined(daemon) => self.table.daemon_joined(daemon_name(*daemon), presence(1)),
+                Change::DaemonLeft(daemon) => self.table.daemon_left(&daemon_name(*daemon)),
+                Change::JobClosed(job) => self.table.job_closed(&job_id(*job)),
             }
         }
-        self.heard = until;
+        self.received = until;
     }
 }
 
-struct World {
+/// Model of the store and its daemons, and the current time.
+struct Simulation {
     store: Store,
     daemons: Vec<Daemon>,
     now: TimePoint,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
-        let store = Store { revision: 10, owners: vec![None; JOBS], ended: vec![false; JOBS], history: Vec::new() };
+        let store = Store { revision: 10, owners: vec![None; JOBS], closed: vec![false; JOBS], history: Vec::new() };
         let daemons = (0..DAEMONS).map(|daemon| Daemon::start(daemon, 1, &store, TimePoint(0))).collect();
         Self { store, daemons, now: TimePoint(0) }
     }
 
-    fn look(&mut self, daemon: usize, lost: bool) -> Result<(), String> {
-        let held: Vec<SharedName> = self.daemons[daemon].held.iter().map(|at| job(*at)).collect();
+    /// Writes the claims that are due on `daemon`. Fails if one replaces the entry of a running owner.
+    fn claim(&mut self, daemon: usize, lost: bool) -> Result<(), String> {
+        let held: Vec<SharedName> = self.daemons[daemon].held.iter().map(|job| job_id(*job)).collect();
         let claims =
             self.daemons[daemon].table.due_claims(self.now, None, |job| held.iter().any(|held| **held == *job));
         for claim in claims {
-            let at = (0..JOBS).find(|at| job(*at) == claim.job).ok_or("an unknown job is claimed")?;
-            let stands = self.store.owners[at].as_ref();
-            if stands.map_or(0, |owner| owner.revision) != claim.replaced_revision {
+            let job = (0..JOBS).find(|job| job_id(*job) == claim.job).ok_or("claimed a job that does not exist")?;
+            let stored = self.store.owners[job].as_ref();
+            if stored.map_or(0, |owner| owner.revision) != claim.replaced_revision {
                 continue;
             }
-            if let Some(owner) = stands
-                && (owner.daemon != name(daemon) || owner.incarnation >= self.daemons[daemon].incarnation)
+            if let Some(owner) = stored
+                && (owner.daemon != daemon_name(daemon) || owner.incarnation >= self.daemons[daemon].incarnation)
             {
-                return Err(format!("{} takes {} from {owner:?}", name(daemon), claim.job));
+                return Err(format!("{} claimed {}, which is owned by {owner:?}", daemon_name(daemon), claim.job));
             }
             self.store.revision += 1;
             let incarnation = self.daemons[daemon].incarnation;
-            let owner = OwnerRecord { daemon: name(daemon), incarnation, revision: self.store.revision };
-            self.store.owners[at] = Some(owner.clone());
-            self.store.history.push(Change::Owner(at, owner.clone()));
+            let owner = OwnerRecord { daemon: daemon_name(daemon), incarnation, revision: self.store.revision };
+            self.store.owners[job] = Some(owner.clone());
+            self.store.history.push(Change::OwnerWritten(job, owner.clone()));
             if !lost {
                 self.daemons[daemon].table.owner_recorded(claim.job, owner, self.now);
             }
         }
-        self.take_up(daemon);
+        self.load_states(daemon);
         Ok(())
     }
 
-    /// A daemon that owns a job has its state from then on.
-    fn take_up(&mut self, daemon: usize) {
+    /// Loads the state of the jobs that the daemon owns, and drops that of jobs owned by others.
+    fn load_states(&mut self, daemon: usize) {
         let owner = &mut self.daemons[daemon];
-        owner.held = (0..JOBS).filter(|at| owner.table.is_owned_here(&job(*at)) || owner.held.contains(at)).collect();
-        owner.held.retain(|at| !owner.table.is_owned_elsewhere(&job(*at)));
+        owner.held =
+            (0..JOBS).filter(|job| owner.table.is_owned_here(&job_id(*job)) || owner.held.contains(job)).collect();
+        owner.held.retain(|job| !owner.table.is_owned_elsewhere(&job_id(*job)));
     }
 
-    /// The lease of `daemon` ends, and with it all that hangs on it.
-    fn lapse(&mut self, daemon: usize) {
-        for at in 0..JOBS {
-            if self.store.owners[at].as_ref().is_some_and(|owner| owner.daemon == name(daemon)) {
+    /// Ends the lease of `daemon`, which deletes all entries bound to it.
+    fn end_lease(&mut self, daemon: usize) {
+        for job in 0..JOBS {
+            if self.store.owners[job].as_ref().is_some_and(|owner| owner.daemon == daemon_name(daemon)) {
                 self.store.revision += 1;
-                self.store.owners[at] = None;
-                self.store.history.push(Change::Gone(at, self.store.revision));
+                self.store.owners[job] = None;
+                self.store.history.push(Change::OwnerRemoved(job, self.store.revision));
             }
         }
-        self.store.history.push(Change::Left(daemon));
-        self.store.history.push(Change::Joined(daemon));
+        self.store.history.push(Change::DaemonLeft(daemon));
+        self.store.history.push(Change::DaemonJoined(daemon));
     }
 
     fn step(&mut self, command: &Command) -> Result<(), String> {
         match *command {
-            Command::Look { daemon, lost } => self.look(usize::from(daemon) % DAEMONS, lost)?,
-            Command::Hear { daemon, count } => {
+            Command::Claim { daemon, lost } => self.claim(usize::from(daemon) % DAEMONS, lost)?,
+            Command::Receive { daemon, count } => {
                 let daemon = usize::from(daemon) % DAEMONS;
-                self.daemons[daemon].hear(&self.store, usize::from(count), self.now);
-                self.take_up(daemon);
+                self.daemons[daemon].receive(&self.store, usize::from(count), self.now);
+                self.load_states(daemon);
             }
             Command::Restart { daemon } => {
                 let daemon = usize::from(daemon) % DAEMONS;
                 let incarnation = self.daemons[daemon].incarnation + 1;
                 self.daemons[daemon] = Daemon::start(daemon, incarnation, &self.store, self.now);
             }
-            Command::Lapse { daemon } => self.lapse(usize::from(daemon) % DAEMONS),
-            Command::End { job } => {
-                let at = usize::from(job) % JOBS;
-                self.store.ended[at] = true;
-                self.store.history.push(Change::Ended(at));
+            Command::EndLease { daemon } => self.end_lease(usize::from(daemon) % DAEMONS),
+            Command::CloseJob { job } => {
+                let job = usize::from(job) % JOBS;
+                self.store.closed[job] = true;
+                self.store.history.push(Change::JobClosed(job));
             }
             Command::Wait { ms } => self.now = self.now.plus_ms(u64::from(ms)),
         }
@@ -213,39 +221,41 @@
     }
 }
 
-fn law(commands: Vec<Command>) -> Result<(), String> {
-    let mut world = World::new();
+/// Runs `commands`. Fails if a running owner loses its job, or an open job doesn't end up with exactly one owner.
+fn each_open_job_has_one_owner(commands: Vec<Command>) -> Result<(), String> {
+    let mut simulation = Simulation::new();
     for command in &commands {
-        world.step(command)?;
+        simulation.step(command)?;
     }
-    // Once news arrives again, every open job has just one owner, and that owner knows it.
+    // Once all daemons have received all changes, exactly one daemon's table says that it owns an open job.
     for _ in 0..6 {
-        world.now = world.now.plus_ms(600);
+        simulation.now = simulation.now.plus_ms(600);
         for daemon in 0..DAEMONS {
-            world.daemons[daemon].hear(&world.store, usize::MAX / 2, world.now);
-            world.take_up(daemon);
-            world.look(daemon, false)?;
+            simulation.daemons[daemon].receive(&simulation.store, usize::MAX / 2, simulation.now);
+            simulation.load_states(daemon);
+            simulation.claim(daemon, false)?;
         }
     }
     for daemon in 0..DAEMONS {
-        world.daemons[daemon].hear(&world.store, usize::MAX / 2, world.now);
+        simulation.daemons[daemon].receive(&simulation.store, usize::MAX / 2, simulation.now);
     }
-    for at in (0..JOBS).filter(|at| !world.store.ended[*at]) {
-        let owners = (0..DAEMONS).filter(|daemon| world.daemons[*daemon].table.is_owned_here(&job(at))).count();
+    for job in (0..JOBS).filter(|job| !simulation.store.closed[*job]) {
+        let owners =
+            (0..DAEMONS).filter(|daemon| simulation.daemons[*daemon].table.is_owned_here(&job_id(job))).count();
         if owners != 1 {
-            return Err(format!("job {at} has {owners} owners in the end: {:?}", world.store.owners[at]));
+            return Err(format!("job {job} has {owners} owners at the end: {:?}", simulation.store.owners[job]));
         }
     }
     Ok(())
 }
 
 #[test]
-fn each_open_job_finds_one_owner_again() {
-    sequence::check(0x0e4a, 50, law);
+fn each_open_job_gets_exactly_one_owner_after_failures() {
+    sequence::check(0x0e4a, 50, each_open_job_has_one_owner);
 }
 
 #[test]
-fn a_live_owner_whose_lease_lapsed_claims_before_the_others() {
+fn a_running_owner_whose_lease_ended_claims_its_job_before_the_others() {
     let mut table = OwnershipTable::new("a".into(), 1);
     table.daemon_joined("a".into(), presence(1));
     table.daemon_joined("b".into(), presence(1));
@@ -256,7 +266,7 @@
 }
 
 #[test]
-fn an_ended_job_is_not_claimed_whatever_is_heard_first() {
+fn a_closed_job_is_not_claimed_when_its_acceptance_is_received_again() {
     let mut table = OwnershipTable::new("a".into(), 1);
     table.job_accepted("j".into(), TimePoint(0));
     table.job_closed("j");
@@ -264,8 +274,8 @@
     assert!(table.due_claims(TimePoint(9_000), None, |_| true).is_empty());
 }
 
-/// Daemons of two failure domains of one region, and of another region: name, failure domain, region.
-const PLACES: [(&str, &str, &str); 7] = [
+/// Name, failure domain and region of daemons in two failure domains of one region and in another region.
+const DAEMON_LOCATIONS: [(&str, &str, &str); 7] = [
     ("a0", "a", "land"),
     ("a1", "a", "land"),
     ("a2", "a", "land"),
@@ -275,9 +285,9 @@
     ("c1", "c", "island"),
 ];
 
-/// Whom each daemon asks for news, nearest first, without the daemon `left`.
-fn news_sources(left: &str) -> std::collections::BTreeMap<&'static str, Vec<String>> {
-    let present: Vec<_> = PLACES.iter().filter(|(daemon, ..)| *daemon != left).collect();
+/// The sources from which each daemon receives changes, nearest first, while the daemon `left` is not running.
+fn watch_sources(left: &str) -> std::collections::BTreeMap<&'static str, Vec<String>> {
+    let present: Vec<_> = DAEMON_LOCATIONS.iter().filter(|(daemon, ..)| *daemon != left).collect();
     let sources = |daemon: &'static str, domain: &str, region: &str| {
         let mut table = OwnershipTable::new(daemon.into(), 1);
         for (other, domain, region) in &present {
@@ -292,76 +302,83 @@
     present.iter().map(|(daemon, domain, region)| (*daemon, sources(daemon, domain, region))).collect()
 }
 
-/// The daemon of `region` that asks nobody.
+/// The daemon of `region` without sources, which watches the store itself.
 fn region_watcher(sources: &std::collections::BTreeMap<&'static str, Vec<String>>, region: &str) -> &'static str {
-    let of_region = |daemon: &str| PLACES.iter().any(|(known, _, of)| *known == daemon && *of == region);
-    let alone: Vec<&'static str> = sources
+    let is_in_region =
+        |daemon: &str| DAEMON_LOCATIONS.iter().any(|(name, _, other)| *name == daemon && *other == region);
+    let watchers: Vec<&'static str> = sources
         .iter()
-        .filter(|(daemon, asked)| of_region(daemon) && asked.is_empty())
+        .filter(|(daemon, chain)| is_in_region(daemon) && chain.is_empty())
         .map(|(daemon, _)| *daemon)
         .collect();
-    assert_eq!(alone.len(), 1, "one watches for {region}: {sources:?}");
-    alone[0]
+    assert_eq!(watchers.len(), 1, "one daemon watches for {region}: {sources:?}");
+    watchers[0]
 }
 
-fn check_news_sources(sources: &std::collections::BTreeMap<&'static str, Vec<String>>) {
+/// Checks that each failure domain without the region's watcher has one watcher, and that all daemons agree on both.
+fn check_watch_sources(sources: &std::collections::BTreeMap<&'static str, Vec<String>>) {
     for (domain, region) in [("a", "land"), ("b", "land"), ("c", "island")] {
-        let top = region_watcher(sources, region);
-        let of_domain = |daemon: &str| PLACES.iter().any(|(known, of, _)| *known == daemon && *of == domain);
-        let members: Vec<&&str> = sources.keys().filter(|daemon| of_domain(daemon)).collect();
-        // Where the region's watcher is of this failure domain, it watches for the failure domain or asks nobody.
-        let lower: Vec<&Vec<String>> =
-            members.iter().filter(|daemon| ***daemon != top).map(|daemon| &sources[**daemon]).collect();
-        let long: Vec<&&Vec<String>> = lower.iter().filter(|asked| asked.len() == 2).collect();
-        assert!(lower.iter().all(|asked| asked.last().is_some_and(|last| last == top)), "{domain}: {sources:?}");
-        assert!(lower.len() - long.len() <= 1 || long.is_empty(), "{domain} has one watcher: {sources:?}");
-        assert!(long.iter().all(|asked| asked[0] == long[0][0]), "{domain} agrees on it: {sources:?}");
-        for asked in long {
-            assert_eq!(sources[asked[0].as_str()], [top.to_owned()], "it asks the region's");
+        let watcher = region_watcher(sources, region);
+        let is_in_domain =
+            |daemon: &str| DAEMON_LOCATIONS.iter().any(|(name, other, _)| *name == daemon && *other == domain);
+        let members: Vec<&&str> = sources.keys().filter(|daemon| is_in_domain(daemon)).collect();
+        // If the region's watcher is in this failure domain, no other daemon watches for the failure domain.
+        let chains: Vec<&Vec<String>> =
+            members.iter().filter(|daemon| ***daemon != watcher).map(|daemon| &sources[**daemon]).collect();
+        let long_chains: Vec<&&Vec<String>> = chains.iter().filter(|chain| chain.len() == 2).collect();
+        assert!(chains.iter().all(|chain| chain.last().is_some_and(|last| last == watcher)), "{domain}: {sources:?}");
+        assert!(
+            chains.len() - long_chains.len() <= 1 || long_chains.is_empty(),
+            "{domain} has one watcher: {sources:?}"
+        );
+        assert!(long_chains.iter().all(|chain| chain[0] == long_chains[0][0]), "{domain} agrees on it: {sources:?}");
+        for chain in long_chains {
+            assert_eq!(sources[chain[0].as_str()], [watcher.to_owned()], "its only source is the region's watcher");
         }
     }
 }
 
-/// Daemons that have heard of few others yet, also not of themselves, ask each other in no circle.
+/// Just after a start, daemons have received the presence of only some daemons, perhaps not even their own. For every
+/// such combination, following the nearest sources must not lead back to the same daemon.
 #[test]
-fn no_two_daemons_wait_for_each_other_whatever_they_have_heard_of() {
-    for heard in 0_u32..(1 << 9) {
-        let asked: Vec<Option<usize>> = (0..3)
+fn watch_sources_form_no_circle_while_daemons_see_different_members() {
+    for seen in 0_u32..(1 << 9) {
+        let next_source: Vec<Option<usize>> = (0..3)
             .map(|daemon| {
-                let mut table = OwnershipTable::new(name(daemon), 1);
-                let knows = (0..3).filter(|other| heard >> (daemon * 3 + other) & 1 == 1);
-                knows.for_each(|other| table.daemon_joined(name(other), presence(1)));
+                let mut table = OwnershipTable::new(daemon_name(daemon), 1);
+                let seen_daemons = (0..3).filter(|other| seen >> (daemon * 3 + other) & 1 == 1);
+                seen_daemons.for_each(|other| table.daemon_joined(daemon_name(other), presence(1)));
                 let first = table.watch_sources("north", "land").first().map(|(daemon, _)| (*daemon).clone())?;
-                (0..3).find(|other| name(*other) == first)
+                (0..3).find(|other| daemon_name(*other) == first)
             })
             .collect();
         for start in 0..3 {
-            let steps = std::iter::successors(Some(start), |daemon| asked[*daemon]).take(5).count();
-            assert!(steps <= 3, "daemons that have heard {heard:#x} ask in a circle: {asked:?}");
+            let steps = std::iter::successors(Some(start), |daemon| next_source[*daemon]).take(5).count();
+            assert!(steps <= 3, "daemons that have seen {seen:#x} wait in a circle: {next_source:?}");
         }
     }
 }
 
 #[test]
-fn one_daemon_of_a_region_watches_the_store_and_one_of_each_failure_domain_passes_on() {
-    let all = news_sources("");
-    check_news_sources(&all);
-    for top in [region_watcher(&all, "land"), region_watcher(&all, "island")] {
-        check_news_sources(&news_sources(top));
+fn one_daemon_of_a_region_watches_the_store_and_one_of_each_failure_domain_relays_changes() {
+    let all = watch_sources("");
+    check_watch_sources(&all);
+    for watcher in [region_watcher(&all, "land"), region_watcher(&all, "island")] {
+        check_watch_sources(&watch_sources(watcher));
     }
 }
 
 #[test]
-fn a_given_job_waits_for_what_its_giver_knows_and_a_claimed_one_does_not() {
+fn a_job_handed_over_waits_for_its_pushed_state_and_a_claimed_one_does_not() {
     let owner = |daemon: &str, revision| OwnerRecord { daemon: daemon.into(), incarnation: 1, revision };
     let mut table = OwnershipTable::new("a".into(), 1);
     table.owner_recorded("j".into(), owner("b", 1), TimePoint(0));
-    assert!(!table.may_start("j", true, TimePoint(0)), "it is another's");
+    assert!(!table.may_start("j", true, TimePoint(0)), "another daemon owns the job");
     table.owner_recorded("j".into(), owner("a", 2), TimePoint(100));
     table.owner_recorded("j".into(), owner("a", 2), TimePoint(300));
     assert!(table.may_start("j", true, TimePoint(100)));
     assert!(!table.may_start("j", false, TimePoint(599)));
-    assert!(table.may_start("j", false, TimePoint(600)), "the giver may have died");
+    assert!(table.may_start("j", false, TimePoint(600)), "the previous owner may have failed");
     table.job_claimed("j".into(), owner("a", 3), TimePoint(700));
     table.owner_recorded("j".into(), owner("a", 3), TimePoint(710));
     assert!(table.may_start("j", false, TimePoint(710)));
