--- a/crates/edge/src/client_watch.rs
+++ b/crates/edge/src/client_watch.rs
@@ -21,7 +21,7 @@
         data.insert(Self(Arc::new(Socket::from(handle))));
     }
 
-    /// Whether the client can still receive a response.
+    /// Whether the connection is open; reads ahead without consuming data.
     fn is_open(&self) -> bool {
         let mut buffer = [MaybeUninit::uninit(); 1];
         match self.0.peek(&mut buffer) {
--- a/crates/edge/src/edge_state.rs
+++ b/crates/edge/src/edge_state.rs
@@ -95,6 +95,7 @@
     }
 }
 
+/// Locks `mutex`, even if a thread panicked while holding it.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/edge/src/http/proxy.rs
+++ b/crates/edge/src/http/proxy.rs
@@ -77,7 +77,7 @@
     let attempts = try_upstreams(parts, context, &call, &service, rule);
     let upstream_response = match client_watch {
         // Only idempotent requests are cancelled when the caller disconnects. Others may run at most once and are
-        // finished, because the caller may ask for the outcome later.
+        // finished, because the caller may request the outcome later.
         Some(client_watch) if rule.kind == RouteKind::Idempotent => {
             tokio::select! {
                 upstream_response = attempts => upstream_response?,
