--- a/crates/edge/src/edge_state.rs
+++ b/crates/edge/src/edge_state.rs
@@ -2,10 +2,7 @@
 
 use crate::{edge_metrics::EdgeMetrics, job::JobIndex, steady_time::SteadyTime};
 use pimentoslip_client::OwnerClock;
-use pimentoslip_kernel::{
-    OwnershipTable, PathSelector, RunReports, SamplerTable, SharedName, TimePoint, TrafficConfig, UsageTally,
-    fingerprint,
-};
+use pimentoslip_kernel::{OwnershipTable, PathSelector, RunReports, SamplerTable, SharedName, TimePoint, TrafficConfig, UsageTally, fingerprint};
 use pimentoslip_platform::ProcessSettings;
 use pimentoslip_wire::stored::DaemonEntry;
 use std::{
@@ -96,6 +93,7 @@
     }
 }
 
+/// Locks `mutex`, even if a thread panicked while holding it.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/edge/src/http/proxy.rs
+++ b/crates/edge/src/http/proxy.rs
@@ -15,9 +15,7 @@
 };
 use actix_web::{HttpRequest, HttpResponse, web};
 use bytes::Bytes;
-use pimentoslip_kernel::{
-    CapacityNeed, RouteKind, RouteRule, SamplerOutcome, SamplerQuery, SharedName, TimePoint, fingerprint,
-};
+use pimentoslip_kernel::{CapacityNeed, RouteKind, RouteRule, SamplerOutcome, SamplerQuery, SharedName, TimePoint, fingerprint};
 use pimentoslip_platform::header;
 use pimentoslip_telemetry::LogLine;
 use std::time::Duration;
@@ -77,7 +75,7 @@
     let attempts = try_upstreams(parts, context, &call, &service, rule);
     let upstream_response = match client_watch {
         // Only idempotent requests are cancelled when the caller disconnects. Others may run at most once and are
-        // finished, because the caller may ask for the outcome later.
+        // finished, because the caller may request the outcome later.
         Some(client_watch) if rule.kind == RouteKind::Idempotent => {
             tokio::select! {
                 upstream_response = attempts => upstream_response?,
