--- a/crates/edge/src/edge_state.rs
+++ b/crates/edge/src/edge_state.rs
@@ -2,7 +2,10 @@
 
 use crate::{edge_metrics::EdgeMetrics, job::JobIndex, steady_time::SteadyTime};
 use pimentoslip_client::OwnerClock;
-use pimentoslip_kernel::{OwnershipTable, PathSelector, RunReports, SamplerTable, SharedName, TimePoint, TrafficConfig, UsageTally, fingerprint};
+use pimentoslip_kernel::{
+    OwnershipTable, PathSelector, RunReports, SamplerTable, SharedName, TimePoint, TrafficConfig, UsageTally,
+    fingerprint,
+};
 use pimentoslip_platform::ProcessSettings;
 use pimentoslip_wire::stored::DaemonEntry;
 use std::{
--- a/crates/edge/src/http/proxy.rs
+++ b/crates/edge/src/http/proxy.rs
@@ -15,7 +15,9 @@
 };
 use actix_web::{HttpRequest, HttpResponse, web};
 use bytes::Bytes;
-use pimentoslip_kernel::{CapacityNeed, RouteKind, RouteRule, SamplerOutcome, SamplerQuery, SharedName, TimePoint, fingerprint};
+use pimentoslip_kernel::{
+    CapacityNeed, RouteKind, RouteRule, SamplerOutcome, SamplerQuery, SharedName, TimePoint, fingerprint,
+};
 use pimentoslip_platform::header;
 use pimentoslip_telemetry::LogLine;
 use std::time::Duration;
--- a/crates/kernel/tests/machines/fleet_laws.rs
+++ b/crates/kernel/tests/machines/fleet_laws.rs
@@ -1,6 +1,9 @@
 //! Table tests of upstream selection, detection of slow runs, path selection, usage windows and the wall clock offset.
 
-use pimentoslip_kernel::{CapacityNeed, PathSelector, RunMonitor, SamplerOutcome, SamplerQuery, SamplerRecord, SamplerState, SamplerTable, ServicePath, SharedName, TimePoint, UsageTally, WallClockOffset};
+use pimentoslip_kernel::{
+    CapacityNeed, PathSelector, RunMonitor, SamplerOutcome, SamplerQuery, SamplerRecord, SamplerState, SamplerTable,
+    ServicePath, SharedName, TimePoint, UsageTally, WallClockOffset,
+};
 use std::collections::BTreeMap;
 
 /// A ready upstream with two slots and one model of the given version.
@@ -111,7 +114,11 @@
     }
     assert_eq!(pick(&mut table, 0).as_deref(), Some("fast"));
     assert_eq!(pick(&mut table, 0).as_deref(), Some("fast"));
-    assert_eq!(table.fastest_other_latency_ms(&query(&[]), "slow", TimePoint(0)), None, "the fast upstream has no free slot");
+    assert_eq!(
+        table.fastest_other_latency_ms(&query(&[]), "slow", TimePoint(0)),
+        None,
+        "the fast upstream has no free slot"
+    );
     table.request_ended("fast", SamplerOutcome::Abandoned, TimePoint(0));
     assert_eq!(table.fastest_other_latency_ms(&query(&[]), "slow", TimePoint(0)), Some(10));
 }
