--- a/crates/kernel/src/batch/batch_options.rs
+++ b/crates/kernel/src/batch/batch_options.rs
@@ -53,7 +53,7 @@
 /// Outcome of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// The text is complete.
+    /// The response ended normally, so the text is complete.
     Completed,
     /// The run ended before the text was complete, or the upstream did not respond.
     Interrupted,
--- a/crates/kernel/tests/machines/main.rs
+++ b/crates/kernel/tests/machines/main.rs
@@ -1,8 +1,8 @@
 //! Model-based tests of the kernel's state machines: random command sequences from fixed seeds, checked against simple
 //! reference models.
 
+mod scaling;
 mod sequence;
-mod sizes;
 
 mod batches;
 mod claims;
