--- a/crates/kernel/src/config/config_file.rs
+++ b/crates/kernel/src/config/config_file.rs
@@ -90,6 +90,7 @@
     })
 }
 
+/// Merges `overlay` into `base`, table by table. Other values of the overlay replace those of the base file.
 fn merge(base: &mut Table, overlay: Table) {
     for (key, value) in overlay {
         match (base.get_mut(&key), value) {
@@ -101,6 +102,7 @@
     }
 }
 
+/// Parses and checks the merged table. Returns all faults found.
 fn parse_merged(merged: &Table, origin: &FileOrigin<'_>) -> Result<ConfigFile> {
     let mut faults = Vec::new();
     for key in merged.keys().filter(|key| !SECTIONS.contains(&key.as_str())) {
@@ -151,6 +153,7 @@
     entries
 }
 
+/// Parses the table at the key `path`; adds a fault and returns `None` if that fails.
 fn parse_entry<T: DeserializeOwned>(
     path: &str,
     value: &Value,
@@ -174,6 +177,7 @@
     quoted.map_or_else(|| path.to_owned(), |field| format!("{path}.{field}"))
 }
 
+/// Whether `name` is allowed for a site, service or organisation: 1 to 64 of a-z, 0-9 and -.
 fn is_valid_name(name: &str) -> bool {
     let is_allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
     !name.is_empty() && name.len() <= NAME_CHARS_MAX && name.chars().all(is_allowed)
--- a/crates/kernel/src/lease_holder.rs
+++ b/crates/kernel/src/lease_holder.rs
@@ -22,6 +22,7 @@
 }
 
 /// Evidence on whether a previous holder can still act. With several holders the greatest value applies.
+/// The daemon logs the variant names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum HolderEvidence {
     /// No previous holder is stored, or it is this process.
--- a/crates/kernel/src/ownership_table.rs
+++ b/crates/kernel/src/ownership_table.rs
@@ -56,11 +56,14 @@
 
 #[derive(Clone, Debug, Default)]
 struct OwnershipEntry {
+    /// Whether the job is stored.
     accepted: bool,
+    /// Whether the job needs no owner any more.
     closed: bool,
     owner: Option<OwnerRecord>,
     /// When this process received an ownership record that names it as the owner, unless it claimed the job itself.
     handed_over_at: Option<TimePoint>,
+    /// When this process first observed the job, or last observed that its ownership record was removed.
     vacant_since: TimePoint,
 }
 
--- a/crates/kernel/src/path_selector.rs
+++ b/crates/kernel/src/path_selector.rs
@@ -49,8 +49,11 @@
     direct_retry_at: TimePoint,
     /// When the direct path is probed if no peer reaches the service.
     unreachable_retry_at: TimePoint,
+    /// Whether a probe of the direct path is in flight.
     is_probing: bool,
+    /// Relayed calls that failed in a row.
     peer_failures: u32,
+    /// When peers are tried again after [`PEERS_MAX`] failed in a row.
     peers_retry_at: TimePoint,
     /// Peers that failed, with the end of their backoff.
     failed_peers: BTreeMap<SharedName, TimePoint>,
@@ -119,6 +122,7 @@
         }
     }
 
+    /// Starts the backoff of the direct path. Returns true if the path was available before.
     fn direct_failed(&mut self, now: TimePoint) -> bool {
         // Calls that were in flight together count as one failure.
         if self.direct_failures > 0 && !self.is_probing {
@@ -135,6 +139,7 @@
         self.backoff_ms(UNREACHABLE_BACKOFF_MS, UNREACHABLE_BACKOFF_MAX_MS)
     }
 
+    /// `first_ms`, doubled for each failure after the first up to `max_ms`, and shortened by the jitter of the seed.
     fn backoff_ms(&self, first_ms: u64, max_ms: u64) -> u64 {
         let doublings = self.direct_failures.saturating_sub(1).min(8);
         let backoff_ms = (first_ms << doublings).min(max_ms);
