--- a/crates/kernel/src/ownership_table.rs
+++ b/crates/kernel/src/ownership_table.rs
@@ -12,8 +12,8 @@
 /// reconnect one after the other.
 const OUTAGE_RECLAIM_MS: u64 = 1_300;
 
-/// Time to wait for the state of a job that another daemon handed over to this one. The previous owner pushes the
-/// state; if it doesn't arrive within this time, the job is read from the store.
+/// Time to wait for the state of a job that another daemon handed over to this one. That daemon pushes the state; if it
+/// does not arrive within this time, the job is read from the store.
 const PUSH_WAIT_MS: u64 = 500;
 
 /// Rendezvous key that selects the daemons which watch the store on behalf of others.
@@ -166,7 +166,7 @@
     }
 
     /// Whether this process owns `job` and should start to work on it. Without the submission in memory (`has_state`)
-    /// it first waits a short time for the previous owner to push it.
+    /// it first waits a short time for the daemon that handed the job over to push it.
     #[must_use]
     pub fn may_start(&self, job: &str, has_state: bool, now: TimePoint) -> bool {
         let handed_over_at = self.entries.get(job).and_then(|entry| entry.handed_over_at);
--- a/crates/kernel/tests/machines/ownership.rs
+++ b/crates/kernel/tests/machines/ownership.rs
@@ -378,7 +378,7 @@
     table.owner_recorded("j".into(), owner("a", 2), TimePoint(300));
     assert!(table.may_start("j", true, TimePoint(100)));
     assert!(!table.may_start("j", false, TimePoint(599)));
-    assert!(table.may_start("j", false, TimePoint(600)), "the previous owner may have failed");
+    assert!(table.may_start("j", false, TimePoint(600)), "the daemon that handed it over may have failed");
     table.job_claimed("j".into(), owner("a", 3), TimePoint(700));
     table.owner_recorded("j".into(), owner("a", 3), TimePoint(710));
     assert!(table.may_start("j", false, TimePoint(710)));
