--- a/crates/daemon/src/admission_gate.rs
+++ b/crates/daemon/src/admission_controller.rs
@@ -16,7 +16,7 @@
 
 /// One fair queue a service.
 #[derive(Debug, Default)]
-pub struct AdmissionGate {
+pub struct AdmissionController {
     services: Mutex<HashMap<SharedName, ServiceGate>>,
 }
 
@@ -30,21 +30,21 @@
     /// Service.
     pub service: SharedName,
     /// Expected tokens.
-    pub tokens: u64,
+    pub expected_tokens: u64,
     /// Most requests of the organisation that may wait.
     pub depth_max: usize,
     /// Most requests of one daemon on one upstream.
     pub inflight_max: u64,
 }
 
-impl AdmissionGate {
+impl AdmissionController {
     fn with<R>(&self, service: &SharedName, act: impl FnOnce(&mut ServiceGate) -> R) -> R {
         let mut services = self.services.lock().unwrap_or_else(PoisonError::into_inner);
         act(services.entry(service.clone()).or_default())
     }
 
     /// Admits as many waiting requests as `running_max` allows.
-    pub fn pump(&self, service: &SharedName, running_max: usize) {
+    pub fn admit_waiting(&self, service: &SharedName, running_max: usize) {
         self.with(service, |gate| {
             while let Some(ticket) = gate.queue.admit(running_max) {
                 let admitted = gate.waiting.remove(&ticket).is_some_and(|sender| sender.send(()).is_ok());
@@ -56,11 +56,15 @@
     }
 
     /// Waits for the request's turn. None when its organisation's queue is full.
-    pub async fn enter(shared: &Arc<SharedState>, request: AdmissionRequest) -> Option<AdmissionGuard> {
+    pub async fn wait_for_admission(shared: &Arc<SharedState>, request: AdmissionRequest) -> Option<AdmissionGuard> {
         let (sender, receiver) = oneshot::channel();
         let ticket = shared.gate.with(&request.service, |gate| {
-            let ticket =
-                gate.queue.enqueue(&request.organisation, request.weight, request.tokens, request.depth_max)?;
+            let ticket = gate.queue.enqueue(
+                &request.organisation,
+                request.weight,
+                request.expected_tokens,
+                request.depth_max,
+            )?;
             gate.waiting.insert(ticket, sender);
             Some(ticket)
         })?;
@@ -81,16 +85,16 @@
 
 impl AdmissionGuard {
     /// Corrects the organisation's account by the true number of tokens.
-    pub fn settle(&self, tokens: u64) {
+    pub fn record_actual_tokens(&self, tokens: u64) {
         let request = &self.request;
         self.shared.gate.with(&request.service, |gate| {
-            gate.queue.adjust_cost(&request.organisation, request.weight, request.tokens, tokens);
+            gate.queue.adjust_cost(&request.organisation, request.weight, request.expected_tokens, tokens);
         });
     }
 
     fn pump(&self) {
         let running_max = self.shared.routes().capacity(&self.request.service, self.request.inflight_max);
-        self.shared.gate.pump(&self.request.service, running_max);
+        self.shared.gate.admit_waiting(&self.request.service, running_max);
     }
 }
 
--- a/crates/daemon/src/claim/claim_actor.rs
+++ b/crates/daemon/src/claim/claim_actor.rs
@@ -2,7 +2,7 @@
 
 use super::{
     CLAIM_SHARDS,
-    claim_store::{ClaimBody, ClaimStore},
+    claim_store::{ClaimStore, StoredClaim},
     shard_of, shard_owner,
 };
 use crate::shared_state::SharedState;
@@ -139,7 +139,7 @@
                 continue;
             }
             let claims =
-                batch.iter().map(|(key, _, fingerprint)| ClaimBody { key: key.0.clone(), fingerprint: *fingerprint });
+                batch.iter().map(|(key, _, fingerprint)| StoredClaim { key: key.0.clone(), fingerprint: *fingerprint });
             groups.push((shard as u64, epoch, claims.collect::<Vec<_>>()));
             grants.extend(batch.into_iter().map(|(key, grant, _)| (shard, key, grant)));
         }
--- a/crates/daemon/src/claim/claim_gate.rs
+++ b/crates/daemon/src/claim/claim_client.rs
@@ -21,7 +21,7 @@
 
 /// Asks owners for claims. Not shared between threads.
 #[derive(Clone)]
-pub struct ClaimGate {
+pub struct ClaimClient {
     shared: Arc<SharedState>,
     actor: Addr<ClaimActor<EtcdClient>>,
     peers: PeerClient,
@@ -29,7 +29,7 @@
 
 /// A granted claim: its request may run once.
 #[derive(Clone, Debug)]
-pub struct ClaimTicket {
+pub struct ClaimGrant {
     key: SharedName,
     grant: u64,
 }
@@ -39,7 +39,7 @@
     ApiError { reason, run_state: RunState::MayHaveRun, request_id: id.clone() }
 }
 
-impl ClaimGate {
+impl ClaimClient {
     /// Creates a gate; `actor` is this daemon's own owner of claims.
     pub fn new(shared: Arc<SharedState>, actor: Addr<ClaimActor<EtcdClient>>, peers: PeerClient) -> Self {
         Self { shared, actor, peers }
@@ -52,9 +52,9 @@
         fingerprint: u64,
         within_ms: u64,
         id: &RequestId,
-    ) -> Result<std::result::Result<ClaimTicket, StoredAnswer>> {
+    ) -> Result<std::result::Result<ClaimGrant, StoredAnswer>> {
         let request = ClaimRequest { key: key.clone(), grant: self.shared.draw(), fingerprint, within_ms };
-        let ticket = ClaimTicket { key, grant: request.grant };
+        let ticket = ClaimGrant { key, grant: request.grant };
         let refuse = |reason| Err(ApiError::not_run(reason, id));
         for _ in 0..CLAIM_ATTEMPTS {
             match self.ask(&request).await {
@@ -72,7 +72,7 @@
     }
 
     /// Tells the owner how the request of `ticket` ended.
-    pub async fn settle(&self, ticket: &ClaimTicket, state: SettleState) {
+    pub async fn settle(&self, ticket: &ClaimGrant, state: SettleState) {
         let request = SettleRequest { key: ticket.key.clone(), grant: ticket.grant, state };
         for _ in 0..SETTLE_ATTEMPTS {
             if self.settle_once(&request).await {
--- a/crates/daemon/src/claim/claim_store.rs
+++ b/crates/daemon/src/claim/claim_store.rs
@@ -14,7 +14,7 @@
 
 /// One claim of a batch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ClaimBody {
+pub struct StoredClaim {
     /// Organisation, service and idempotency key.
     pub key: SharedName,
     /// Fingerprint of the request.
@@ -67,7 +67,7 @@
         };
         let mut recorded = Vec::new();
         for entry in self.kv.range(&self.batch_prefix(shard), 0).await?.kvs {
-            let batch: Vec<ClaimBody> = serde_json::from_slice(&entry.value).map_err(|error| {
+            let batch: Vec<StoredClaim> = serde_json::from_slice(&entry.value).map_err(|error| {
                 PlatformError::Malformed { endpoint: "claims".to_owned(), problem: error.to_string() }
             })?;
             recorded.extend(batch.into_iter().map(|claim| (ClaimKey(claim.key), claim.fingerprint)));
@@ -89,7 +89,7 @@
     }
 
     /// Puts batches of several shards on record in one write, if this daemon still owns all of them.
-    pub async fn commit(&mut self, batches: &[(u64, u64, Vec<ClaimBody>)]) -> Result<bool> {
+    pub async fn commit(&mut self, batches: &[(u64, u64, Vec<StoredClaim>)]) -> Result<bool> {
         let lease = self.lease().await?;
         self.batches += 1;
         let mut txn = TxnRequest::default();
--- a/crates/daemon/src/claim/mod.rs
+++ b/crates/daemon/src/claim/mod.rs
@@ -1,11 +1,11 @@
 //! Idempotency claims: the owner's actor, and the way to it.
 
 mod claim_actor;
-mod claim_gate;
+mod claim_client;
 mod claim_store;
 
 pub use claim_actor::{ClaimActor, ClaimMessage, SettleMessage};
-pub use claim_gate::{ClaimGate, ClaimTicket};
+pub use claim_client::{ClaimClient, ClaimGrant};
 
 use pimentoslip_kernel::{SharedName, fingerprint};
 
--- a/crates/daemon/src/http/admin_api.rs
+++ b/crates/daemon/src/http/admin_api.rs
@@ -3,7 +3,7 @@
 use super::WorkerState;
 use crate::{
     config_writer::{ConfigWriter, WriteError},
-    step::StepListMessage,
+    step::ListStepsMessage,
     task::push_records,
 };
 use actix_web::{HttpResponse, web};
@@ -131,7 +131,7 @@
 
 /// Handles `GET /status`.
 pub async fn status(worker: web::Data<WorkerState>) -> HttpResponse {
-    let steps = worker.step_actor.send(StepListMessage).await.unwrap_or_default();
+    let steps = worker.step_actor.send(ListStepsMessage).await.unwrap_or_default();
     let shared = &worker.shared;
     let fresh = shared.fresh();
     let config = shared.config();
--- a/crates/daemon/src/http/engine_api.rs
+++ b/crates/daemon/src/http/engine_api.rs
@@ -6,11 +6,11 @@
     request_body::read_body,
 };
 use crate::{
-    admission_gate::{AdmissionGate, AdmissionGuard, AdmissionRequest},
+    admission_controller::{AdmissionController, AdmissionGuard, AdmissionRequest},
     api_error::{ApiError, Result},
     request_id::RequestId,
     shared_state::InflightGuard,
-    upstream::{Dispatched, StreamBody, StreamOwner, UpstreamRequest, dispatch},
+    upstream::{StreamBody, StreamContext, UpstreamRequest, UpstreamResponse, dispatch},
 };
 use actix_web::{HttpRequest, HttpResponse, http::header::CONTENT_TYPE, web};
 use bytes::Bytes;
@@ -62,19 +62,19 @@
     let admission = admit(worker, &upstream, &caller, &service, &question, id).await?;
     let dispatched = dispatch(shared, &worker.client, &upstream).await?;
     if dispatched
-        .answer
+        .response
         .headers()
         .get(CONTENT_TYPE)
         .is_some_and(|value| value.as_bytes().starts_with(EVENT_STREAM.as_bytes()))
     {
-        let owner = StreamOwner {
+        let owner = StreamContext {
             shared: shared.clone(),
             organisation: caller.organisation,
-            key: caller.key,
+            key_id: caller.key,
             service: question.model,
             id: id.clone(),
         };
-        let body = StreamBody::new(owner, dispatched.answer, dispatched.guard, admission, inflight);
+        let body = StreamBody::new(owner, dispatched.response, dispatched.guard, admission, inflight);
         return Ok(HttpResponse::Ok()
             .insert_header((REQUEST_ID_HEADER, &**id))
             .content_type(EVENT_STREAM)
@@ -114,7 +114,7 @@
         content_type: Some("application/json".to_owned()),
         accept: question.stream.then(|| EVENT_STREAM.to_owned()),
         fingerprint: fingerprint(&[caller.organisation.as_bytes(), &body]),
-        prefix: Some(fingerprint(&[head])),
+        prefix_hash: Some(fingerprint(&[head])),
         body,
         class: RequestClass::Idempotent,
         priority: CUSTOMER_PRIORITY,
@@ -141,12 +141,12 @@
         organisation: if fair { caller.organisation.clone() } else { "".into() },
         weight: caller.weight,
         service: upstream.service.clone(),
-        tokens: u64::from(question.max_tokens.unwrap_or(EXPECTED_TOKENS)),
+        expected_tokens: u64::from(question.max_tokens.unwrap_or(EXPECTED_TOKENS)),
         depth_max: if fair { service.queue_depth } else { usize::MAX },
         inflight_max: service.inflight_per_upstream,
     };
     let left_ms = upstream.deadline.since_ms(shared.now());
-    let entered = AdmissionGate::enter(shared, admission);
+    let entered = AdmissionController::wait_for_admission(shared, admission);
     match actix_rt::time::timeout(std::time::Duration::from_millis(left_ms), entered).await {
         Ok(Some(guard)) => Ok(guard),
         Ok(None) => Err(ApiError::not_run(RefusalReason::QueueFull, id)),
@@ -156,7 +156,7 @@
 
 async fn whole_answer<S>(
     worker: &WorkerState,
-    mut dispatched: Dispatched<S>,
+    mut dispatched: UpstreamResponse<S>,
     upstream: &UpstreamRequest,
     admission: &AdmissionGuard,
     id: &RequestId,
@@ -169,16 +169,16 @@
         #[serde(default)]
         usage: TokenUsage,
     }
-    let Ok(body) = dispatched.answer.body().limit(ANSWER_BYTES_MAX).await else {
-        dispatched.guard.lost().await;
+    let Ok(body) = dispatched.response.body().limit(ANSWER_BYTES_MAX).await else {
+        dispatched.guard.connection_lost().await;
         return Err(ApiError { reason: RefusalReason::UpstreamLost, run_state: RunState::Ran, request_id: id.clone() });
     };
-    dispatched.guard.ran_clean();
+    dispatched.guard.request_completed();
     let tokens = serde_json::from_slice::<Answer>(&body).map_or(0, |answer| answer.usage.completion_tokens);
-    admission.settle(tokens);
+    admission.record_actual_tokens(tokens);
     worker.shared.record_usage(&upstream.organisation, &upstream.service, tokens);
-    let mut answer = HttpResponse::build(dispatched.answer.status());
-    if let Some(content_type) = dispatched.answer.headers().get(CONTENT_TYPE) {
+    let mut answer = HttpResponse::build(dispatched.response.status());
+    if let Some(content_type) = dispatched.response.headers().get(CONTENT_TYPE) {
         answer.insert_header((CONTENT_TYPE, content_type.clone()));
     }
     Ok(answer.insert_header((REQUEST_ID_HEADER, &**id)).body(body))
--- a/crates/daemon/src/http/peer_api.rs
+++ b/crates/daemon/src/http/peer_api.rs
@@ -64,7 +64,7 @@
     match decode::<ForwardRequest>(&body) {
         Ok(request) => {
             let _inflight = worker.shared.enter();
-            answer(&worker.steps.serve(request).await)
+            answer(&worker.steps.serve_locally(request).await)
         }
         Err(error) => malformed(&error),
     }
--- a/crates/daemon/src/http/plain_api.rs
+++ b/crates/daemon/src/http/plain_api.rs
@@ -7,7 +7,7 @@
 };
 use crate::{
     api_error::{ApiError, Result},
-    claim::ClaimTicket,
+    claim::ClaimGrant,
     request_id::RequestId,
     upstream::{UpstreamRequest, dispatch},
 };
@@ -114,7 +114,7 @@
         class,
         priority: PLAIN_PRIORITY,
         deadline: deadline(request.headers(), service.timeout_ms, shared.now()),
-        prefix: None,
+        prefix_hash: None,
         inflight_max: service.inflight_per_upstream,
     })
 }
@@ -159,7 +159,7 @@
     Ok((outcome?, false))
 }
 
-async fn settle(worker: &WorkerState, ticket: &ClaimTicket, outcome: &Result<StoredAnswer>) {
+async fn settle(worker: &WorkerState, ticket: &ClaimGrant, outcome: &Result<StoredAnswer>) {
     let state = match outcome {
         Ok(answer) if answer.body.len() <= STORED_BYTES_MAX => SettleState::Ran(answer.clone()),
         Ok(_) => SettleState::Lost,
@@ -174,12 +174,12 @@
     let client = if request.class == RequestClass::Idempotent { &worker.client } else { &worker.once_client };
     let mut dispatched = dispatch(&worker.shared, client, request).await?;
     let content_type =
-        dispatched.answer.headers().get(CONTENT_TYPE).and_then(|value| value.to_str().ok()).unwrap_or("");
+        dispatched.response.headers().get(CONTENT_TYPE).and_then(|value| value.to_str().ok()).unwrap_or("");
     let content_type = SharedName::from(content_type);
-    let body: Bytes = match dispatched.answer.body().limit(ANSWER_BYTES_MAX).await {
+    let body: Bytes = match dispatched.response.body().limit(ANSWER_BYTES_MAX).await {
         Ok(body) => body,
         Err(_) => {
-            dispatched.guard.lost().await;
+            dispatched.guard.connection_lost().await;
             return Err(ApiError {
                 reason: RefusalReason::UpstreamLost,
                 run_state: RunState::Ran,
@@ -187,7 +187,7 @@
             });
         }
     };
-    dispatched.guard.ran_clean();
+    dispatched.guard.request_completed();
     worker.shared.record_usage(&request.organisation, &request.service, 0);
-    Ok(StoredAnswer { status: dispatched.answer.status().as_u16(), content_type, body: body.to_vec() })
+    Ok(StoredAnswer { status: dispatched.response.status().as_u16(), content_type, body: body.to_vec() })
 }
--- a/crates/daemon/src/http/trainer_api.rs
+++ b/crates/daemon/src/http/trainer_api.rs
@@ -78,7 +78,7 @@
     let name = RecordName::Weights(publish.service.clone());
     let writer = ConfigWriter::new(&worker.kv, &worker.shared);
     let written = writer
-        .update(&name, &id.shared(), |stored| {
+        .update(&name, &id.to_arc(), |stored| {
             let known = match stored {
                 Some(ConfigRecord::Weights(version)) => *version,
                 _ => 0,
--- a/crates/daemon/src/http/worker_state.rs
+++ b/crates/daemon/src/http/worker_state.rs
@@ -2,11 +2,11 @@
 
 use crate::{
     api_error::Result,
-    claim::{ClaimActor, ClaimGate},
+    claim::{ClaimActor, ClaimClient},
     peer_client::PeerClient,
     request_id::RequestId,
     shared_state::SharedState,
-    step::{StepActor, StepGate},
+    step::{StepActor, StepClient},
 };
 use actix::Addr;
 use actix_web::HttpResponse;
@@ -29,11 +29,11 @@
     /// Client for the key-value service.
     pub kv: EtcdClient,
     /// Way to claims.
-    pub claims: ClaimGate,
+    pub claims: ClaimClient,
     /// This daemon's own claims.
     pub claim_actor: Addr<ClaimActor<EtcdClient>>,
     /// Way to steps.
-    pub steps: StepGate,
+    pub steps: StepClient,
     /// This daemon's own steps.
     pub step_actor: Addr<StepActor>,
 }
@@ -51,8 +51,8 @@
             client: plain_client(),
             once_client: plain_client(),
             kv: EtcdClient::new(shared.settings.kv.clone(), shared.kv_calls.clone()),
-            claims: ClaimGate::new(shared.clone(), claim_actor.clone(), peers.clone()),
-            steps: StepGate::new(shared.clone(), step_actor.clone(), peers.clone()),
+            claims: ClaimClient::new(shared.clone(), claim_actor.clone(), peers.clone()),
+            steps: StepClient::new(shared.clone(), step_actor.clone(), peers.clone()),
             claim_actor,
             step_actor,
             peers,
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,6 +1,6 @@
 //! The daemon: one on each entry VM, all alike.
 
-mod admission_gate;
+mod admission_controller;
 mod api_error;
 mod claim;
 mod config_writer;
--- a/crates/daemon/src/peer_client.rs
+++ b/crates/daemon/src/peer_client.rs
@@ -18,13 +18,13 @@
 pub enum PeerError {
     /// Nothing listens there: the process has ended.
     #[error("the peer's port refuses connections; its process has ended")]
-    Ended,
+    ProcessEnded,
     /// No connection could be opened, so nothing was asked.
     #[error("the peer cannot be connected: {0}; check the network between the VMs")]
-    Unconnected(String),
+    ConnectFailed(String),
     /// No whole answer came; the peer may have acted.
     #[error("the peer did not answer: {0}; check its VM")]
-    Unreachable(String),
+    Unresponsive(String),
     /// It refused.
     #[error("the peer answered with status {0}; check that the cluster secret is the same")]
     Refused(u16),
@@ -70,14 +70,14 @@
         if !answer.status().is_success() {
             return Err(PeerError::Refused(answer.status().as_u16()));
         }
-        answer.body().limit(ANSWER_BYTES_MAX).await.map_err(|error| PeerError::Unreachable(error.to_string()))
+        answer.body().limit(ANSWER_BYTES_MAX).await.map_err(|error| PeerError::Unresponsive(error.to_string()))
     }
 }
 
 fn classify(error: &SendRequestError) -> PeerError {
-    let SendRequestError::Connect(connect) = error else { return PeerError::Unreachable(error.to_string()) };
+    let SendRequestError::Connect(connect) = error else { return PeerError::Unresponsive(error.to_string()) };
     match connect {
-        awc::error::ConnectError::Io(io) if io.kind() == io::ErrorKind::ConnectionRefused => PeerError::Ended,
-        _ => PeerError::Unconnected(error.to_string()),
+        awc::error::ConnectError::Io(io) if io.kind() == io::ErrorKind::ConnectionRefused => PeerError::ProcessEnded,
+        _ => PeerError::ConnectFailed(error.to_string()),
     }
 }
--- a/crates/daemon/src/request_id.rs
+++ b/crates/daemon/src/request_id.rs
@@ -15,13 +15,13 @@
 
     /// The id of a part of this request.
     #[must_use]
-    pub fn part(&self, part: impl std::fmt::Display) -> Self {
+    pub fn with_suffix(&self, part: impl std::fmt::Display) -> Self {
         Self(format!("{}.{part}", self.0).into())
     }
 
     /// The shared text.
     #[must_use]
-    pub fn shared(&self) -> Arc<str> {
+    pub fn to_arc(&self) -> Arc<str> {
         self.0.clone()
     }
 }
--- a/crates/daemon/src/shared_state.rs
+++ b/crates/daemon/src/shared_state.rs
@@ -1,7 +1,8 @@
 //! What all parts of a daemon share.
 
 use crate::{
-    DaemonSettings, admission_gate::AdmissionGate, metric_set::MetricSet, request_id::RequestId, upstream::RunningTable,
+    DaemonSettings, admission_controller::AdmissionController, metric_set::MetricSet, request_id::RequestId,
+    upstream::InflightTable,
 };
 use pimentoslip_client::OwnerClock;
 use pimentoslip_kernel::{
@@ -32,9 +33,9 @@
     /// Metrics.
     pub metrics: MetricSet,
     /// Requests waiting for their turn.
-    pub gate: AdmissionGate,
+    pub gate: AdmissionController,
     /// Requests in flight on upstreams.
-    pub running: RunningTable,
+    pub running: InflightTable,
     /// Calls to the key-value service.
     pub kv_calls: Arc<AtomicU64>,
     /// A request has come under suspicion, which peers should know at once.
@@ -81,8 +82,8 @@
             incarnation: clock.unix_ms(),
             clock,
             metrics: MetricSet::default(),
-            gate: AdmissionGate::default(),
-            running: RunningTable::default(),
+            gate: AdmissionController::default(),
+            running: InflightTable::default(),
             kv_calls: Arc::default(),
             suspicion: tokio::sync::Notify::new(),
             draining: AtomicBool::new(false),
--- a/crates/daemon/src/step/mod.rs
+++ b/crates/daemon/src/step/mod.rs
@@ -1,12 +1,12 @@
 //! Trainers' steps: the home's actor, and the way to it.
 
-mod sample_run;
+mod sample_attempt;
 mod step_actor;
-mod step_gate;
+mod step_client;
 mod step_state;
 
-pub use step_actor::{FetchMessage, OpenMessage, StepActor, StepListMessage};
-pub use step_gate::StepGate;
+pub use step_actor::{FetchSamplesMessage, ListStepsMessage, OpenStepMessage, StepActor};
+pub use step_client::StepClient;
 
 use pimentoslip_kernel::SharedName;
 
--- a/crates/daemon/src/step/sample_run.rs
+++ b/crates/daemon/src/step/sample_attempt.rs
@@ -21,10 +21,10 @@
 pub enum SampleError {
     /// No engine answered.
     #[error("no engine answered; the sample is run again")]
-    NoAnswer,
+    NoResponse,
     /// The answer ended without its terminal marker.
     #[error("the answer was cut; the sample is run again")]
-    Cut,
+    Truncated,
     /// A chunk named no weight version.
     #[error("a chunk named no weight version; check the engine's release")]
     VersionMissing,
@@ -32,7 +32,7 @@
 
 /// What to run.
 #[derive(Clone, Debug)]
-pub struct SampleRun {
+pub struct SampleAttempt {
     /// Organisation.
     pub organisation: SharedName,
     /// Step.
@@ -47,7 +47,7 @@
     pub timeout_ms: u64,
 }
 
-impl SampleRun {
+impl SampleAttempt {
     /// Streams the sample from an engine and keeps which version produced which tokens.
     pub async fn run(
         self,
@@ -56,22 +56,22 @@
         spec: Arc<StepSpec>,
     ) -> Result<SampleResult, SampleError> {
         let request = self.request(&shared, &spec);
-        let mut dispatched = dispatch(&shared, &client, &request).await.map_err(|_| SampleError::NoAnswer)?;
+        let mut dispatched = dispatch(&shared, &client, &request).await.map_err(|_| SampleError::NoResponse)?;
         let mut scanner = StreamScanner::default();
         let mut sample = SampleResult { sample: self.sample, text: String::new(), segments: Vec::new() };
         let mut versions_known = true;
-        while let Some(chunk) = dispatched.answer.next().await {
+        while let Some(chunk) = dispatched.response.next().await {
             let Ok(chunk) = chunk else {
-                dispatched.guard.lost().await;
-                return Err(SampleError::Cut);
+                dispatched.guard.connection_lost().await;
+                return Err(SampleError::Truncated);
             };
             scanner.feed(&chunk, |data| versions_known &= take_chunk(&mut sample, data));
         }
         if !scanner.is_finished() {
-            dispatched.guard.lost().await;
-            return Err(SampleError::Cut);
+            dispatched.guard.connection_lost().await;
+            return Err(SampleError::Truncated);
         }
-        dispatched.guard.ran_clean();
+        dispatched.guard.request_completed();
         let tokens = sample.segments.last().map_or(0, |segment| u64::from(segment.end));
         shared.record_usage(&self.organisation, &spec.service, tokens);
         if !versions_known || sample.segments.is_empty() {
@@ -103,7 +103,7 @@
             content_type: Some("application/json".to_owned()),
             accept: Some("text/event-stream".to_owned()),
             fingerprint: fingerprint(&[self.organisation.as_bytes(), prompt.as_bytes()]),
-            prefix: Some(fingerprint(&[head])),
+            prefix_hash: Some(fingerprint(&[head])),
             body: body.into(),
             class: RequestClass::Idempotent,
             priority: SAMPLE_PRIORITY,
--- a/crates/daemon/src/step/step_actor.rs
+++ b/crates/daemon/src/step/step_actor.rs
@@ -1,7 +1,7 @@
 //! The home of steps: runs their samples and hands them over.
 
 use super::{
-    sample_run::{SampleError, SampleRun},
+    sample_attempt::{SampleAttempt, SampleError},
     step_key,
     step_state::{StepState, WaitingFetch},
 };
@@ -39,7 +39,7 @@
 /// Opens a step.
 #[derive(Message)]
 #[rtype(result = "StepOutcome<OpenAnswer>")]
-pub struct OpenMessage {
+pub struct OpenStepMessage {
     /// Organisation.
     pub organisation: SharedName,
     /// Body.
@@ -49,7 +49,7 @@
 /// Fetches samples.
 #[derive(Message)]
 #[rtype(result = "StepOutcome<FetchAnswer>")]
-pub struct FetchMessage {
+pub struct FetchSamplesMessage {
     /// Organisation.
     pub organisation: SharedName,
     /// Body.
@@ -59,7 +59,7 @@
 /// Lists the steps at home here.
 #[derive(Message)]
 #[rtype(result = "Vec<StepStatus>")]
-pub struct StepListMessage;
+pub struct ListStepsMessage;
 
 /// An attempt ended.
 #[derive(Message)]
@@ -208,7 +208,7 @@
         let hedge_after_ms = if self.shared.settings.hedging { state.ledger.hedge_after_ms() } else { None };
         let Some(order) = state.ledger.dispatch(now, hedge_after_ms) else { return false };
         *count += 1;
-        let run = SampleRun {
+        let run = SampleAttempt {
             organisation: state.organisation.clone(),
             step: key.clone(),
             sample: order.sample,
@@ -235,28 +235,28 @@
     }
 }
 
-impl Handler<OpenMessage> for StepActor {
-    type Result = MessageResult<OpenMessage>;
+impl Handler<OpenStepMessage> for StepActor {
+    type Result = MessageResult<OpenStepMessage>;
 
-    fn handle(&mut self, message: OpenMessage, _context: &mut Context<Self>) -> Self::Result {
+    fn handle(&mut self, message: OpenStepMessage, _context: &mut Context<Self>) -> Self::Result {
         MessageResult(self.open(message.organisation, message.open))
     }
 }
 
-impl Handler<FetchMessage> for StepActor {
+impl Handler<FetchSamplesMessage> for StepActor {
     type Result = ResponseFuture<StepOutcome<FetchAnswer>>;
 
-    fn handle(&mut self, message: FetchMessage, _context: &mut Context<Self>) -> Self::Result {
+    fn handle(&mut self, message: FetchSamplesMessage, _context: &mut Context<Self>) -> Self::Result {
         let (sender, receiver) = oneshot::channel();
         self.fetch(&message.organisation, message.fetch, sender);
         Box::pin(async move { receiver.await.unwrap_or(Err(RefusalReason::StepUnknown)) })
     }
 }
 
-impl Handler<StepListMessage> for StepActor {
-    type Result = MessageResult<StepListMessage>;
+impl Handler<ListStepsMessage> for StepActor {
+    type Result = MessageResult<ListStepsMessage>;
 
-    fn handle(&mut self, _message: StepListMessage, _context: &mut Context<Self>) -> Self::Result {
+    fn handle(&mut self, _message: ListStepsMessage, _context: &mut Context<Self>) -> Self::Result {
         let steps = self.steps.iter().map(|(key, state)| StepStatus {
             step: key.clone(),
             confirmed: state.ledger.confirmed_count(),
--- a/crates/daemon/src/step/step_gate.rs
+++ b/crates/daemon/src/step/step_client.rs
@@ -1,6 +1,6 @@
 //! The way from an entry daemon to the home of a step.
 
-use super::{FetchMessage, OpenMessage, StepActor, step_actor::StepOutcome, step_key};
+use super::{FetchSamplesMessage, OpenStepMessage, StepActor, step_actor::StepOutcome, step_key};
 use crate::{
     api_error::{ApiError, Result},
     peer_client::PeerClient,
@@ -20,13 +20,13 @@
 
 /// Passes trainers' calls to the home of their step. Not shared between threads.
 #[derive(Clone)]
-pub struct StepGate {
+pub struct StepClient {
     shared: Arc<SharedState>,
     actor: Addr<StepActor>,
     peers: PeerClient,
 }
 
-impl StepGate {
+impl StepClient {
     /// Creates a gate; `actor` is this daemon's own.
     #[must_use]
     pub fn new(shared: Arc<SharedState>, actor: Addr<StepActor>, peers: PeerClient) -> Self {
@@ -36,7 +36,7 @@
     /// Opens a step at its home.
     pub async fn open(&self, organisation: SharedName, open: OpenRequest, id: &RequestId) -> Result<OpenAnswer> {
         let key = step_key(&organisation, &open.trainer, open.step);
-        let request = ForwardRequest::Open { organisation, request_id: id.shared(), open };
+        let request = ForwardRequest::Open { organisation, request_id: id.to_arc(), open };
         match self.forward(&key, request, FORWARD_MARGIN_MS, id).await? {
             ForwardAnswer::Opened(answer) => Ok(answer),
             answer => Err(unexpected(answer, id)),
@@ -47,7 +47,7 @@
     pub async fn fetch(&self, organisation: SharedName, fetch: FetchRequest, id: &RequestId) -> Result<FetchAnswer> {
         let key = step_key(&organisation, &fetch.trainer, fetch.step);
         let timeout_ms = fetch.wait_ms + FORWARD_MARGIN_MS;
-        let request = ForwardRequest::Fetch { organisation, request_id: id.shared(), fetch };
+        let request = ForwardRequest::Fetch { organisation, request_id: id.to_arc(), fetch };
         match self.forward(&key, request, timeout_ms, id).await? {
             ForwardAnswer::Fetched(answer) => Ok(answer),
             answer => Err(unexpected(answer, id)),
@@ -55,16 +55,16 @@
     }
 
     /// Serves a call whose home is this daemon.
-    pub async fn serve(&self, request: ForwardRequest) -> ForwardAnswer {
+    pub async fn serve_locally(&self, request: ForwardRequest) -> ForwardAnswer {
         match request {
             ForwardRequest::Open { organisation, request_id, open } => {
                 LogLine::new("step_open").field("request_id", &request_id).info();
-                let outcome = self.actor.send(OpenMessage { organisation, open }).await;
+                let outcome = self.actor.send(OpenStepMessage { organisation, open }).await;
                 answer(outcome.unwrap_or(Err(RefusalReason::StepUnknown)), &request_id, ForwardAnswer::Opened)
             }
             ForwardRequest::Fetch { organisation, request_id, fetch } => {
                 LogLine::new("step_fetch").field("request_id", &request_id).info();
-                let outcome = self.actor.send(FetchMessage { organisation, fetch }).await;
+                let outcome = self.actor.send(FetchSamplesMessage { organisation, fetch }).await;
                 answer(outcome.unwrap_or(Err(RefusalReason::StepUnknown)), &request_id, ForwardAnswer::Fetched)
             }
         }
@@ -82,7 +82,7 @@
             let home = pimentoslip_kernel::highest_ranked(&format!("step/{key}"), &members.active_names()).cloned();
             home.and_then(|home| members.get(&home).map(|member| member.control.clone()))
         };
-        let Some(control) = control else { return Ok(self.serve(request).await) };
+        let Some(control) = control else { return Ok(self.serve_locally(request).await) };
         self.peers.call(&control, "/peer/forward", &request, timeout_ms).await.map_err(|error| {
             LogLine::new("forward_failed").field("request_id", &**id).field("error", error).warn();
             ApiError::not_run(RefusalReason::PeerUnreachable, id)
--- a/crates/daemon/src/task/exchange_task.rs
+++ b/crates/daemon/src/task/exchange_task.rs
@@ -156,7 +156,7 @@
     let answer = peers.call_raw(control, EXCHANGE_PATH, body, EXCHANGE_TIMEOUT_MS).await;
     let answer = match answer {
         Ok(answer) => answer,
-        Err(PeerError::Ended) => {
+        Err(PeerError::ProcessEnded) => {
             let now = shared.now();
             shared.members().process_ended(name, now);
             return false;
--- a/crates/daemon/src/task/listing_task.rs
+++ b/crates/daemon/src/task/listing_task.rs
@@ -104,7 +104,7 @@
         };
         for (name, inflight_max) in services {
             let capacity = self.shared.routes().capacity(&name, inflight_max);
-            self.shared.gate.pump(&name, capacity);
+            self.shared.gate.admit_waiting(&name, capacity);
         }
     }
 }
--- a/crates/daemon/src/upstream/attempt.rs
+++ b/crates/daemon/src/upstream/attempt.rs
@@ -63,7 +63,7 @@
 }
 
 /// Sends `request` to the guard's upstream and checks that the answer is its own.
-pub async fn send_once(
+pub async fn start_attempt(
     shared: &SharedState,
     client: &Client,
     request: &UpstreamRequest,
@@ -99,30 +99,30 @@
     let answer = match outgoing.send_body(request.body.clone()).await {
         Ok(answer) => answer,
         Err(SendRequestError::Connect(error)) if never_connected(&error) => {
-            guard.unreachable();
+            guard.connect_failed();
             return Err(AttemptError { failure: AttemptFailure::Unreachable, progress });
         }
         Err(SendRequestError::Timeout) => {
             progress.connection_opened();
-            guard.failed();
+            guard.attempt_failed();
             return Err(AttemptError { failure: AttemptFailure::TimedOut, progress });
         }
         Err(_) => {
             progress.connection_opened();
-            guard.lost().await;
+            guard.connection_lost().await;
             return Err(AttemptError { failure: AttemptFailure::Lost, progress });
         }
     };
     progress.connection_opened();
     let echoed = answer.headers().get(REQUEST_ID_HEADER).and_then(|value| value.to_str().ok());
     if echoed != Some(&**attempt_id) {
-        guard.failed();
+        guard.attempt_failed();
         return Err(AttemptError { failure: AttemptFailure::Mismatch, progress });
     }
     let refused = answer.headers().get(RUN_STATE_HEADER).is_some_and(|value| value.as_bytes() == NOT_RUN.as_bytes());
     if refused {
         progress.refusal_received();
-        guard.failed();
+        guard.attempt_failed();
         return Err(AttemptError { failure: AttemptFailure::Refused, progress });
     }
     Ok(answer)
--- a/crates/daemon/src/upstream/dispatcher.rs
+++ b/crates/daemon/src/upstream/dispatcher.rs
@@ -1,6 +1,6 @@
 //! Chooses upstreams and repeats attempts by the retry policy.
 
-use super::{AttemptError, AttemptFailure, UpstreamGuard, UpstreamRequest, send_once};
+use super::{AttemptError, AttemptFailure, UpstreamGuard, UpstreamRequest, start_attempt};
 use crate::{
     api_error::{ApiError, Result},
     shared_state::SharedState,
@@ -12,9 +12,9 @@
 use std::{sync::Arc, time::Duration};
 
 /// A begun answer, with the count on its upstream.
-pub struct Dispatched<S> {
+pub struct UpstreamResponse<S> {
     /// The answer, of which the header has arrived.
-    pub answer: ClientResponse<S>,
+    pub response: ClientResponse<S>,
     /// Keeps the request counted while its body arrives.
     pub guard: UpstreamGuard,
 }
@@ -24,8 +24,9 @@
     shared: &Arc<SharedState>,
     client: &Client,
     request: &UpstreamRequest,
-) -> Result<Dispatched<impl Stream<Item = std::result::Result<bytes::Bytes, awc::error::PayloadError>> + Unpin + use<>>>
-{
+) -> Result<
+    UpstreamResponse<impl Stream<Item = std::result::Result<bytes::Bytes, awc::error::PayloadError>> + Unpin + use<>>,
+> {
     let mut tried: Vec<SharedName> = Vec::new();
     let mut attempt = 0;
     let mut run_state = RunState::NotRun;
@@ -43,14 +44,14 @@
         let Some(mut guard) = pick(shared, request, &tried).await else {
             return refuse(RefusalReason::NoUpstream);
         };
-        let attempt_id = request.id.part(attempt);
+        let attempt_id = request.id.with_suffix(attempt);
         LogLine::new("attempt")
             .field("request_id", &*request.id)
             .field("upstream_request_id", &*attempt_id)
             .field("upstream", &guard.entry.name)
             .info();
-        let error = match send_once(shared, client, request, &attempt_id, &mut guard).await {
-            Ok(answer) => return Ok(Dispatched { answer, guard }),
+        let error = match start_attempt(shared, client, request, &attempt_id, &mut guard).await {
+            Ok(response) => return Ok(UpstreamResponse { response, guard }),
             Err(error) => error,
         };
         tried.push(guard.entry.name.clone());
@@ -71,7 +72,7 @@
         let query = RouteQuery {
             service: &request.service,
             failure_domain: &shared.settings.failure_domain,
-            prefix_hash: request.prefix,
+            prefix_hash: request.prefix_hash,
             excluded: tried,
             exclusive: alone,
             inflight_max: request.inflight_max,
--- a/crates/daemon/src/upstream/running_table.rs
+++ b/crates/daemon/src/upstream/inflight_table.rs
@@ -8,19 +8,19 @@
 
 /// Fingerprints by the upstream's address, to find out which requests were running when it died.
 #[derive(Debug, Default)]
-pub struct RunningTable {
+pub struct InflightTable {
     running: Mutex<HashMap<SharedName, Vec<u64>>>,
 }
 
-impl RunningTable {
+impl InflightTable {
     /// A request begins.
-    pub fn begin(&self, address: &SharedName, fingerprint: u64) {
+    pub fn request_started(&self, address: &SharedName, fingerprint: u64) {
         let mut running = self.running.lock().unwrap_or_else(PoisonError::into_inner);
         running.entry(address.clone()).or_default().push(fingerprint);
     }
 
     /// A request ended.
-    pub fn end(&self, address: &SharedName, fingerprint: u64) {
+    pub fn request_ended(&self, address: &SharedName, fingerprint: u64) {
         let mut running = self.running.lock().unwrap_or_else(PoisonError::into_inner);
         let Some(fingerprints) = running.get_mut(address) else { return };
         if let Some(at) = fingerprints.iter().position(|known| *known == fingerprint) {
@@ -33,7 +33,7 @@
 
     /// Different requests in flight.
     #[must_use]
-    pub fn distinct(&self, address: &SharedName) -> Vec<u64> {
+    pub fn distinct_fingerprints(&self, address: &SharedName) -> Vec<u64> {
         let running = self.running.lock().unwrap_or_else(PoisonError::into_inner);
         let mut fingerprints = running.get(address).cloned().unwrap_or_default();
         fingerprints.sort_unstable();
--- a/crates/daemon/src/upstream/stream_body.rs
+++ b/crates/daemon/src/upstream/stream_body.rs
@@ -2,7 +2,7 @@
 
 use super::UpstreamGuard;
 use crate::{
-    admission_gate::AdmissionGuard,
+    admission_controller::AdmissionGuard,
     api_error::ApiError,
     request_id::RequestId,
     shared_state::{InflightGuard, SharedState},
@@ -27,13 +27,13 @@
 const KEY_CHECK_MS: u64 = 500;
 
 /// Who reads the stream.
-pub struct StreamOwner {
+pub struct StreamContext {
     /// State.
     pub shared: Arc<SharedState>,
     /// Organisation.
     pub organisation: SharedName,
     /// Id of the key.
-    pub key: SharedName,
+    pub key_id: SharedName,
     /// Service.
     pub service: SharedName,
     /// Id of the request.
@@ -43,7 +43,7 @@
 /// Passes chunks on. The stream counts as whole only with its terminal marker; without it the caller
 /// gets an error event and a connection that ends early.
 pub struct StreamBody<S> {
-    owner: StreamOwner,
+    owner: StreamContext,
     inner: S,
     scanner: StreamScanner,
     tokens: u64,
@@ -58,7 +58,7 @@
 impl<S> StreamBody<S> {
     /// Wraps the body of an answer.
     pub fn new(
-        owner: StreamOwner,
+        owner: StreamContext,
         inner: S,
         upstream: UpstreamGuard,
         admission: AdmissionGuard,
@@ -98,7 +98,7 @@
             return true;
         }
         self.next_key_check = now.plus_ms(KEY_CHECK_MS);
-        shared.fresh() && shared.config().is_key_valid(&self.owner.organisation, &self.owner.key)
+        shared.fresh() && shared.config().is_key_valid(&self.owner.organisation, &self.owner.key_id)
     }
 
     /// Ends the stream with an error event.
@@ -114,7 +114,7 @@
 
     fn finish(&mut self) {
         self.done = true;
-        self.upstream.ran_clean();
+        self.upstream.request_completed();
         LogLine::new("stream_done").field("request_id", &*self.owner.id).field("tokens", self.tokens).info();
     }
 }
@@ -156,7 +156,7 @@
                 Poll::Ready(None)
             }
             Some(Err(_)) | None => {
-                this.upstream.lost_later();
+                this.upstream.connection_lost_in_background();
                 Poll::Ready(Some(Ok(this.fail(RefusalReason::UpstreamLost))))
             }
         }
@@ -165,7 +165,7 @@
 
 impl<S> Drop for StreamBody<S> {
     fn drop(&mut self) {
-        self.admission.settle(self.tokens);
+        self.admission.record_actual_tokens(self.tokens);
         self.owner.shared.record_usage(&self.owner.organisation, &self.owner.service, self.tokens);
     }
 }
--- a/crates/daemon/src/upstream/upstream_guard.rs
+++ b/crates/daemon/src/upstream/upstream_guard.rs
@@ -24,18 +24,18 @@
     /// Counts a request with `fingerprint`, already picked, on `entry`.
     #[must_use]
     pub fn new(shared: Arc<SharedState>, entry: UpstreamEntry, fingerprint: u64) -> Self {
-        shared.running.begin(&entry.address, fingerprint);
+        shared.running.request_started(&entry.address, fingerprint);
         let began = shared.now();
         Self { shared, entry, fingerprint, began, failed: false }
     }
 
     /// The upstream could not be reached, refused, or was slow.
-    pub fn failed(&mut self) {
+    pub fn attempt_failed(&mut self) {
         self.failed = true;
     }
 
     /// No connection could be opened.
-    pub fn unreachable(&mut self) {
+    pub fn connect_failed(&mut self) {
         self.failed = true;
         let now = self.shared.now();
         self.shared.routes().connection_refused(&self.entry.name, now);
@@ -43,22 +43,22 @@
 
     /// The connection was lost while the upstream ran the request. If the upstream has died, what was
     /// in flight on it comes under suspicion.
-    pub async fn lost(&mut self) {
+    pub async fn connection_lost(&mut self) {
         self.failed = true;
-        let running = self.shared.running.distinct(&self.entry.address);
+        let running = self.shared.running.distinct_fingerprints(&self.entry.address);
         blame_if_dead(&self.shared, &self.entry, &running).await;
     }
 
-    /// As [`lost`](Self::lost), where nothing can wait.
-    pub fn lost_later(&mut self) {
+    /// As [`connection_lost`](Self::connection_lost), where nothing can wait.
+    pub fn connection_lost_in_background(&mut self) {
         self.failed = true;
-        let running = self.shared.running.distinct(&self.entry.address);
+        let running = self.shared.running.distinct_fingerprints(&self.entry.address);
         let (shared, entry) = (self.shared.clone(), self.entry.clone());
         actix_rt::spawn(async move { blame_if_dead(&shared, &entry, &running).await });
     }
 
     /// The upstream ran the request to its end, which clears it of suspicion.
-    pub fn ran_clean(&self) {
+    pub fn request_completed(&self) {
         self.shared.suspects().clear(self.fingerprint);
         let took_ms = self.shared.now().since_ms(self.began);
         self.shared.routes().duration_observed(&self.entry.name, took_ms);
@@ -95,7 +95,7 @@
 
 impl Drop for UpstreamGuard {
     fn drop(&mut self) {
-        self.shared.running.end(&self.entry.address, self.fingerprint);
+        self.shared.running.request_ended(&self.entry.address, self.fingerprint);
         let now = self.shared.now();
         self.shared.routes().request_ended(&self.entry.name, self.failed, now);
     }
--- a/crates/daemon/src/upstream/upstream_request.rs
+++ b/crates/daemon/src/upstream/upstream_request.rs
@@ -33,7 +33,7 @@
     /// Fingerprint over organisation, service, path and body.
     pub fingerprint: u64,
     /// Hash of the prompt's beginning.
-    pub prefix: Option<u64>,
+    pub prefix_hash: Option<u64>,
     /// Most requests of this daemon on one upstream.
     pub inflight_max: u64,
 }
