--- a/crates/daemon/src/claim/mod.rs
+++ b/crates/daemon/src/claim/mod.rs
@@ -1,11 +1,11 @@
 //! Idempotency claims: the owner's actor, and the way to it.
 
 mod claim_actor;
-mod claim_gate;
+mod claim_client;
 mod claim_store;
 
 pub use claim_actor::{ClaimActor, ClaimMessage, SettleMessage};
-pub use claim_gate::{ClaimGate, ClaimTicket};
+pub use claim_client::{ClaimClient, ClaimGrant};
 
 use pimentoslip_kernel::{SharedName, fingerprint};
 
@@ -21,5 +21,5 @@
 /// The daemon among `active` that should own `shard`.
 #[must_use]
 pub fn shard_owner(shard: u64, active: &[SharedName]) -> Option<SharedName> {
-    pimentoslip_kernel::owner(&format!("claim/{shard}"), active).cloned()
+    pimentoslip_kernel::highest_ranked(&format!("claim/{shard}"), active).cloned()
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,6 +1,6 @@
 //! The daemon: one on each entry VM, all alike.
 
-mod admission_gate;
+mod admission_controller;
 mod api_error;
 mod claim;
 mod config_writer;
@@ -16,5 +16,5 @@
 mod upstream;
 
 pub use daemon_settings::{DaemonSettings, SettingFault, command};
-pub use pimentoslip_telemetry::{LogLine, init_logs, silence_logs};
+pub use pimentoslip_telemetry::{LogLine, disable_logs, init_stderr_logs};
 pub use running_daemon::{Result, RunningDaemon, start};
--- a/crates/daemon/src/shared_state.rs
+++ b/crates/daemon/src/shared_state.rs
@@ -1,7 +1,8 @@
 //! What all parts of a daemon share.
 
 use crate::{
-    DaemonSettings, admission_gate::AdmissionGate, metric_set::MetricSet, request_id::RequestId, upstream::RunningTable,
+    DaemonSettings, admission_controller::AdmissionController, metric_set::MetricSet, request_id::RequestId,
+    upstream::InflightTable,
 };
 use pimentoslip_client::OwnerClock;
 use pimentoslip_kernel::{
@@ -32,9 +33,9 @@
     /// Metrics.
     pub metrics: MetricSet,
     /// Requests waiting for their turn.
-    pub gate: AdmissionGate,
+    pub gate: AdmissionController,
     /// Requests in flight on upstreams.
-    pub running: RunningTable,
+    pub running: InflightTable,
     /// Calls to the key-value service.
     pub kv_calls: Arc<AtomicU64>,
     /// A request has come under suspicion, which peers should know at once.
@@ -81,8 +82,8 @@
             incarnation: clock.unix_ms(),
             clock,
             metrics: MetricSet::default(),
-            gate: AdmissionGate::default(),
-            running: RunningTable::default(),
+            gate: AdmissionController::default(),
+            running: InflightTable::default(),
             kv_calls: Arc::default(),
             suspicion: tokio::sync::Notify::new(),
             draining: AtomicBool::new(false),
@@ -154,8 +155,8 @@
     pub fn apply(&self, entries: Vec<RecordEntry>, complete: u64) -> Vec<RecordEntry> {
         let mut view = self.config.write().unwrap_or_else(PoisonError::into_inner);
         let new = entries.into_iter().filter(|entry| view.apply(entry.clone())).collect();
-        view.completed(complete);
-        self.metrics.revision.set(i64::try_from(view.newest()).unwrap_or(i64::MAX));
+        view.revision_completed(complete);
+        self.metrics.revision.set(i64::try_from(view.newest_revision()).unwrap_or(i64::MAX));
         new
     }
 
@@ -168,7 +169,7 @@
     #[must_use]
     pub fn fresh(&self) -> bool {
         let now = self.now();
-        self.freshness().fresh(now)
+        self.freshness().is_fresh(now)
     }
 
     /// Other daemons.
--- a/crates/daemon/src/step/step_actor.rs
+++ b/crates/daemon/src/step/step_actor.rs
@@ -1,7 +1,7 @@
 //! The home of steps: runs their samples and hands them over.
 
 use super::{
-    sample_run::{SampleError, SampleRun},
+    sample_attempt::{SampleAttempt, SampleError},
     step_key,
     step_state::{StepState, WaitingFetch},
 };
@@ -39,7 +39,7 @@
 /// Opens a step.
 #[derive(Message)]
 #[rtype(result = "StepOutcome<OpenAnswer>")]
-pub struct OpenMessage {
+pub struct OpenStepMessage {
     /// Organisation.
     pub organisation: SharedName,
     /// Body.
@@ -49,7 +49,7 @@
 /// Fetches samples.
 #[derive(Message)]
 #[rtype(result = "StepOutcome<FetchAnswer>")]
-pub struct FetchMessage {
+pub struct FetchSamplesMessage {
     /// Organisation.
     pub organisation: SharedName,
     /// Body.
@@ -59,7 +59,7 @@
 /// Lists the steps at home here.
 #[derive(Message)]
 #[rtype(result = "Vec<StepStatus>")]
-pub struct StepListMessage;
+pub struct ListStepsMessage;
 
 /// An attempt ended.
 #[derive(Message)]
@@ -87,16 +87,20 @@
     fn open(&mut self, organisation: SharedName, open: OpenRequest) -> StepOutcome<OpenAnswer> {
         let key = step_key(&organisation, &open.trainer, open.step);
         let spec = StepSpec::from(open);
-        if spec.group_size == 0 || spec.max_tokens == 0 || spec.samples() == 0 || spec.samples() > STEP_SAMPLES_MAX {
+        if spec.group_size == 0
+            || spec.max_tokens == 0
+            || spec.sample_count() == 0
+            || spec.sample_count() > STEP_SAMPLES_MAX
+        {
             return Err(RefusalReason::BodyMalformed);
         }
-        let samples = spec.samples();
+        let samples = spec.sample_count();
         if let Some(state) = self.steps.get(&key) {
             return if *state.spec == spec { Ok(OpenAnswer { samples }) } else { Err(RefusalReason::StepConflict) };
         }
         let (bound, published) = {
             let config = self.shared.config();
-            (config.site().map_or(0, |site| site.staleness_bound), config.published(&spec.service))
+            (config.site().map_or(0, |site| site.staleness_bound), config.published_version(&spec.service))
         };
         let idle_at = self.shared.now().plus_ms(STEP_IDLE_MS);
         let state = StepState::new(organisation, spec, bound, published, idle_at);
@@ -125,15 +129,15 @@
         state.runs.remove(&message.order.attempt);
         match message.outcome {
             Ok(sample) => {
-                let outcome = state.ledger.finished(message.order, sample, now);
-                for loser in outcome.losers {
+                let outcome = state.ledger.attempt_finished(message.order, sample, now);
+                for loser in outcome.superseded_attempts {
                     if let Some(run) = state.runs.remove(&loser) {
                         run.abort();
                     }
                 }
             }
             Err(error) => {
-                state.ledger.failed(message.order);
+                state.ledger.attempt_failed(message.order);
                 LogLine::new("sample_failed")
                     .field("step", &message.step)
                     .field("sample", message.order.sample)
@@ -147,8 +151,8 @@
     fn tick(&mut self, context: &mut Context<Self>) {
         let now = self.shared.now();
         for state in self.steps.values_mut() {
-            let published = self.shared.config().published(&state.spec.service);
-            state.ledger.publish(published);
+            let published = self.shared.config().published_version(&state.spec.service);
+            state.ledger.version_published(published);
             state.answer(&self.shared, now);
         }
         self.steps.retain(|_, state| {
@@ -166,10 +170,10 @@
     /// Starts samples while engines have room, the step with the fewest running ones first.
     fn dispatch(&mut self, now: TimePoint, context: &mut Context<Self>) {
         let mut keys: Vec<(usize, SharedName)> =
-            self.steps.iter().map(|(key, state)| (state.ledger.running(), key.clone())).collect();
+            self.steps.iter().map(|(key, state)| (state.ledger.running_attempts(), key.clone())).collect();
         let mut running: HashMap<SharedName, usize> = HashMap::new();
         for state in self.steps.values() {
-            *running.entry(state.spec.service.clone()).or_default() += state.ledger.running();
+            *running.entry(state.spec.service.clone()).or_default() += state.ledger.running_attempts();
         }
         while !keys.is_empty() {
             keys.sort();
@@ -204,7 +208,7 @@
         let hedge_after_ms = if self.shared.settings.hedging { state.ledger.hedge_after_ms() } else { None };
         let Some(order) = state.ledger.dispatch(now, hedge_after_ms) else { return false };
         *count += 1;
-        let run = SampleRun {
+        let run = SampleAttempt {
             organisation: state.organisation.clone(),
             step: key.clone(),
             sample: order.sample,
@@ -231,34 +235,34 @@
     }
 }
 
-impl Handler<OpenMessage> for StepActor {
-    type Result = MessageResult<OpenMessage>;
+impl Handler<OpenStepMessage> for StepActor {
+    type Result = MessageResult<OpenStepMessage>;
 
-    fn handle(&mut self, message: OpenMessage, _context: &mut Context<Self>) -> Self::Result {
+    fn handle(&mut self, message: OpenStepMessage, _context: &mut Context<Self>) -> Self::Result {
         MessageResult(self.open(message.organisation, message.open))
     }
 }
 
-impl Handler<FetchMessage> for StepActor {
+impl Handler<FetchSamplesMessage> for StepActor {
     type Result = ResponseFuture<StepOutcome<FetchAnswer>>;
 
-    fn handle(&mut self, message: FetchMessage, _context: &mut Context<Self>) -> Self::Result {
+    fn handle(&mut self, message: FetchSamplesMessage, _context: &mut Context<Self>) -> Self::Result {
         let (sender, receiver) = oneshot::channel();
         self.fetch(&message.organisation, message.fetch, sender);
         Box::pin(async move { receiver.await.unwrap_or(Err(RefusalReason::StepUnknown)) })
     }
 }
 
-impl Handler<StepListMessage> for StepActor {
-    type Result = MessageResult<StepListMessage>;
+impl Handler<ListStepsMessage> for StepActor {
+    type Result = MessageResult<ListStepsMessage>;
 
-    fn handle(&mut self, _message: StepListMessage, _context: &mut Context<Self>) -> Self::Result {
+    fn handle(&mut self, _message: ListStepsMessage, _context: &mut Context<Self>) -> Self::Result {
         let steps = self.steps.iter().map(|(key, state)| StepStatus {
             step: key.clone(),
-            confirmed: state.ledger.confirmed(),
-            ready: state.ledger.ready(),
-            running: state.ledger.running(),
-            total: state.spec.samples(),
+            confirmed: state.ledger.confirmed_count(),
+            ready: state.ledger.ready_count(),
+            running: state.ledger.running_attempts(),
+            total: state.spec.sample_count(),
             wasted_tokens: state.ledger.wasted_tokens(),
         });
         MessageResult(steps.collect())
--- a/crates/daemon/src/task/listing_task.rs
+++ b/crates/daemon/src/task/listing_task.rs
@@ -40,10 +40,10 @@
         let upstreams = upstreams.into_iter().filter_map(|vm| {
             let mut entry =
                 UpstreamEntry::new(vm.name, vm.service?, vm.failure_domain, vm.address, vm.reclaimable, now);
-            entry.state = if vm.state == VmState::Live { UpstreamState::Live } else { UpstreamState::Leaving };
+            entry.state = if vm.state == VmState::Live { UpstreamState::Live } else { UpstreamState::Draining };
             Some(entry)
         });
-        self.shared.routes().sync(upstreams.collect());
+        self.shared.routes().apply_list(upstreams.collect());
         self.pump();
     }
 
@@ -65,7 +65,7 @@
             gone
         };
         let mut members = self.shared.members();
-        gone.iter().for_each(|name| members.ended(name, now));
+        gone.iter().for_each(|name| members.process_ended(name, now));
     }
 
     async fn read_reports(&self) {
@@ -86,12 +86,12 @@
         for ((name, _), report) in engines.iter().zip(reports) {
             match report {
                 Ok(report) => {
-                    routes.reported(name, report.running + report.waiting, report.version);
+                    routes.load_reported(name, report.running + report.waiting, report.version);
                     if report.leaving {
-                        routes.leaving(name);
+                        routes.draining_reported(name);
                     }
                 }
-                Err(_) => routes.report_missed(name, now),
+                Err(_) => routes.load_report_missed(name, now),
             }
         }
     }
@@ -104,7 +104,7 @@
         };
         for (name, inflight_max) in services {
             let capacity = self.shared.routes().capacity(&name, inflight_max);
-            self.shared.gate.pump(&name, capacity);
+            self.shared.gate.admit_waiting(&name, capacity);
         }
     }
 }
--- a/crates/edge/src/duty/load_duty.rs
+++ b/crates/edge/src/duty/load_duty.rs
@@ -1,11 +1,13 @@
-//! Moves model engines to the versions that trainers name.
+//! Orders upstreams to load the versions of weights that trainers have named.
 
 use super::duty_task::SharedTerm;
 use crate::edge_state::EdgeState;
 use awc::Client;
 use bytes::Bytes;
 use pimentoslip_client::DeadlineBody;
-use pimentoslip_kernel::{LoadOrder, LoadView, ModelDemand, OrderOutcome, SamplerRecord, SharedName, VersionPlanner};
+use pimentoslip_kernel::{
+    LoadOrder, LoadOutcome, ModelDemand, SamplerRecord, ServiceSnapshot, SharedName, VersionPlanner,
+};
 use pimentoslip_platform::{ORDER_PATH, OrderMessage, REPORT_PATH, decode_report, encode_order, header};
 use pimentoslip_telemetry::LogLine;
 use pimentoslip_wire::stored::JobEntry;
@@ -17,48 +19,49 @@
     time::Duration,
 };
 
-/// Longest wait for an order's answer, in milliseconds.
-const ORDER_MS: u64 = 800;
-/// Steps of a model whose work is averaged; a trainer's steps are alike.
+/// Longest wait for the response to an order or to a request for a report.
+const ORDER_TIMEOUT_MS: u64 = 800;
+/// Number of a model's latest steps whose work is averaged; the steps of a trainer are of similar size.
 const RECENT_STEPS: usize = 4;
-/// Largest answer that is read.
-const ANSWER_BYTES_MAX: usize = 64 << 10;
+/// Largest report that is accepted from an upstream.
+const REPORT_BYTES_MAX: usize = 64 << 10;
 
-/// Plans loads and orders them.
+/// Plans the loads of weights, and sends the orders for them to the upstreams.
 pub struct LoadDuty {
     state: Arc<EdgeState>,
     upstreams: Client,
     term: SharedTerm,
+    /// Computes the due orders; shared with the tasks that send them.
     planner: Rc<RefCell<VersionPlanner>>,
 }
 
 impl LoadDuty {
-    /// Orders under `term`.
+    /// Creates the duty, which sends orders while `term` allows it.
     #[must_use]
     pub fn new(state: Arc<EdgeState>, upstreams: Client, term: SharedTerm) -> Self {
         Self { state, upstreams, term, planner: Rc::default() }
     }
 
-    /// Gives the orders that are due.
-    pub fn round(&mut self) {
+    /// Plans the loads of all services with models, and sends the due orders in the background.
+    pub fn tick(&mut self) {
         let now = self.state.now();
-        let may_act = self.term.borrow().is_some_and(|term| term.may_act(now, ORDER_MS));
+        let may_act = self.term.borrow().is_some_and(|term| term.may_act(now, ORDER_TIMEOUT_MS));
         let Some(config) = self.state.config().filter(|_| may_act) else { return };
         let runs = {
-            let own = self.state.samplers().model_runs();
+            let own_runs = self.state.upstreams().model_requests();
             let mut board = self.state.run_board();
-            board.reported(self.state.settings.vm.clone(), own, now);
-            board.runs(now)
+            board.runs_reported(self.state.settings.vm.clone(), own_runs, now);
+            board.runs_by_upstream(now)
         };
         for service in config.services.values().filter(|service| !service.models.is_empty()) {
             let upstreams: Vec<SamplerRecord> =
-                self.state.samplers().records().filter(|record| record.service == service.name).cloned().collect();
+                self.state.upstreams().records().filter(|record| record.service == service.name).cloned().collect();
             let models = model_demands(&self.state, &service.models);
-            let view = LoadView { upstreams: &upstreams, models: &models, runs: &runs };
+            let view = ServiceSnapshot { upstreams: &upstreams, models: &models, runs: &runs };
             let orders = self.planner.borrow_mut().plan(&view, now);
             for order in orders {
-                let keep_runs = !single_version(&config, &service.name);
-                actix_rt::spawn(carry_out(
+                let keep_runs = !requires_single_version(&config, &service.name);
+                actix_rt::spawn(execute_order(
                     self.state.clone(),
                     self.upstreams.clone(),
                     self.term.clone(),
@@ -71,9 +74,9 @@
     }
 }
 
-/// What the named versions and the newest steps ask of each model.
+/// Demand for each model, from its newest named version and its latest steps.
 fn model_demands(state: &EdgeState, models: &[SharedName]) -> BTreeMap<SharedName, ModelDemand> {
-    let named = state.named_versions().clone();
+    let named_versions = state.newest_versions().clone();
     let jobs = state.jobs();
     let demand = |model: &SharedName| {
         let mut steps: Vec<&JobEntry> =
@@ -82,25 +85,27 @@
         steps.truncate(RECENT_STEPS);
         let tokens: u64 = steps.iter().map(|entry| entry.tokens).sum();
         ModelDemand {
-            named: named.get(model).copied().unwrap_or(0),
-            oldest_usable: steps.first().map_or(0, |entry| entry.oldest_version),
+            newest_version: named_versions.get(model).copied().unwrap_or(0),
+            oldest_usable_version: steps.first().map_or(0, |entry| entry.oldest_version),
             work: tokens / (steps.len().max(1) as u64),
         }
     };
     models.iter().map(|model| (model.clone(), demand(model))).collect()
 }
 
-/// Whether texts of `service` must come from one version, so that runs finish before a load.
-fn single_version(config: &pimentoslip_kernel::TrafficConfig, service: &str) -> bool {
-    let names: BTreeSet<&SharedName> = config
-        .rules()
-        .filter(|rule| rule.batch().is_some_and(|batch| batch.single_version))
+/// Whether a route to `service` requires that each text is generated by a single version, so that runs finish before a
+/// load instead of continuing with the new version.
+fn requires_single_version(config: &pimentoslip_kernel::TrafficConfig, service: &str) -> bool {
+    let services: BTreeSet<&SharedName> = config
+        .routes()
+        .filter(|rule| rule.batch_rule().is_some_and(|batch| batch.single_version))
         .flat_map(|rule| rule.targets.iter().map(|target| &target.service))
         .collect();
-    names.iter().any(|name| ***name == *service)
+    services.iter().any(|name| ***name == *service)
 }
 
-async fn carry_out(
+/// Sends an order, logs the result and reports it to the planner.
+async fn execute_order(
     state: Arc<EdgeState>,
     upstreams: Client,
     term: SharedTerm,
@@ -108,7 +113,7 @@
     mut order: LoadOrder,
     keep_runs: bool,
 ) {
-    let (outcome, reason) = give(&state, &upstreams, &term, &mut order, keep_runs).await;
+    let (outcome, reason) = send_order(&state, &upstreams, &term, &mut order, keep_runs).await;
     LogLine::new("load_order")
         .field("upstream", &order.upstream)
         .field("model", &order.model)
@@ -117,70 +122,72 @@
         .field("accepted_before", order.accepted_before.map_or_else(|| "unknown".to_owned(), |count| count.to_string()))
         .field("result", reason)
         .info();
-    planner.borrow_mut().ordered(&order, outcome, state.now());
+    planner.borrow_mut().order_answered(&order, outcome, state.now());
 }
 
-async fn give(
+/// Sends an order to its upstream, after a request for the number of accepted orders if that is not recorded. Returns
+/// the outcome, and the status or the reason for the log.
+async fn send_order(
     state: &Arc<EdgeState>,
     upstreams: &Client,
     term: &SharedTerm,
     order: &mut LoadOrder,
     keep_runs: bool,
-) -> (OrderOutcome, String) {
+) -> (LoadOutcome, String) {
     if order.accepted_before.is_none() {
-        match accepted(upstreams, order).await {
+        match orders_accepted(upstreams, order).await {
             Ok(count) => order.accepted_before = Some(count),
-            Err(reason) => return (OrderOutcome::Conflict, reason),
+            Err(reason) => return (LoadOutcome::Conflict, reason),
         }
     }
     let now = state.now();
-    let Some(held) = term.borrow().filter(|term| term.may_act(now, ORDER_MS)) else {
-        return (OrderOutcome::Conflict, "duty_lost".to_owned());
+    let Some(active_term) = term.borrow().filter(|term| term.may_act(now, ORDER_TIMEOUT_MS)) else {
+        return (LoadOutcome::Conflict, "duty_lost".to_owned());
     };
-    let _counted = state.begin_duty_call();
+    let _call_guard = state.track_duty_call();
     let message = OrderMessage {
         model: &order.model,
         version: order.version,
         keep_runs,
         holder: &state.settings.vm,
-        fencing_token: held.fencing_token,
+        fencing_token: active_term.fencing_token,
         accepted_before: order.accepted_before,
     };
-    let Ok(body) = encode_order(&message) else { return (OrderOutcome::Refused, "unencodable".to_owned()) };
-    // A process that is frozen here must not deliver the order when it wakes.
-    let last = state.clock.now().plus_ms(ORDER_MS);
-    let body = DeadlineBody::new(state.clock.clone(), last, Bytes::from(body));
+    let Ok(body) = encode_order(&message) else { return (LoadOutcome::Refused, "unencodable".to_owned()) };
+    // A process that is suspended here must not send the order after it resumes, so the body fails at this time.
+    let send_deadline = state.clock.now().plus_ms(ORDER_TIMEOUT_MS);
+    let body = DeadlineBody::new(state.clock.clone(), send_deadline, Bytes::from(body));
     let request = upstreams
         .post(format!("http://{}{ORDER_PATH}", order.address))
-        .timeout(Duration::from_millis(ORDER_MS))
+        .timeout(Duration::from_millis(ORDER_TIMEOUT_MS))
         .insert_header((header::EXPECTED_UPSTREAM, &*order.upstream))
         .insert_header(("content-type", "application/json"));
     match request.send_body(body).await {
-        Ok(answer) => {
-            let status = answer.status().as_u16();
+        Ok(response) => {
+            let status = response.status().as_u16();
             let outcome = match status {
-                202 => OrderOutcome::Accepted,
-                200 => OrderOutcome::Held,
-                409 => OrderOutcome::Conflict,
-                _ => OrderOutcome::Refused,
+                202 => LoadOutcome::Accepted,
+                200 => LoadOutcome::AlreadyLoaded,
+                409 => LoadOutcome::Conflict,
+                _ => LoadOutcome::Refused,
             };
             (outcome, status.to_string())
         }
-        Err(error) => (OrderOutcome::Unanswered, error.to_string()),
+        Err(error) => (LoadOutcome::Unanswered, error.to_string()),
     }
 }
 
-/// Orders that the upstream has accepted since its start.
-async fn accepted(upstreams: &Client, order: &LoadOrder) -> Result<u64, String> {
+/// Number of orders that the upstream has accepted since its start, from its report. Fails with the reason for the log.
+async fn orders_accepted(upstreams: &Client, order: &LoadOrder) -> Result<u64, String> {
     let request = upstreams
         .get(format!("http://{}{REPORT_PATH}", order.address))
-        .timeout(Duration::from_millis(ORDER_MS))
+        .timeout(Duration::from_millis(ORDER_TIMEOUT_MS))
         .insert_header((header::EXPECTED_UPSTREAM, &*order.upstream));
-    let mut answer = request.send().await.map_err(|error| error.to_string())?;
-    if !answer.status().is_success() {
-        return Err(format!("report_{}", answer.status().as_u16()));
+    let mut response = request.send().await.map_err(|error| error.to_string())?;
+    if !response.status().is_success() {
+        return Err(format!("report_{}", response.status().as_u16()));
     }
-    let body = answer.body().limit(ANSWER_BYTES_MAX).await.map_err(|error| error.to_string())?;
+    let body = response.body().limit(REPORT_BYTES_MAX).await.map_err(|error| error.to_string())?;
     let report = decode_report(&body).map_err(|error| error.to_string())?;
     if report.order_in_progress {
         return Err("order_in_progress".to_owned());
--- a/crates/edge/src/http/api_refusal.rs
+++ b/crates/edge/src/http/api_refusal.rs
@@ -1,95 +1,96 @@
-//! Answers of the daemon's own.
+//! Error responses that the daemon creates itself, without a response from an upstream.
 
 use crate::edge_metrics::EdgeMetrics;
 use actix_web::{HttpResponse, http::StatusCode};
 use pimentoslip_platform::header;
 
-/// Why the daemon answers a request itself.
+/// Reason why a request is refused or fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApiRefusal {
-    /// No configuration is known yet.
-    ConfigUnknown,
+    /// No configuration has been read from the store yet.
+    ConfigNotLoaded,
     /// No route matches.
-    RouteUnknown,
-    /// The key is missing or unknown.
-    KeyUnknown,
+    RouteNotFound,
+    /// The API key is missing or does not exist.
+    KeyInvalid,
     /// The request or its body is malformed.
     Malformed,
-    /// The header is too large.
+    /// The request header exceeds the configured limit.
     HeaderTooLarge,
-    /// The body is too large.
+    /// The request body exceeds the configured limit.
     BodyTooLarge,
-    /// The body did not arrive in time.
-    BodyLate,
-    /// No upstream has room or can be reached; nothing ran.
+    /// The request body was not received before the deadline.
+    BodyTimeout,
+    /// No upstream has capacity or can be reached; the request did not run.
     NoUpstream,
-    /// Time is up; nothing ran.
+    /// The deadline has passed; the request did not run.
     DeadlinePassed,
-    /// Time is up; it may have run.
-    AnswerLate,
-    /// An upstream broke off; it may have run.
+    /// The deadline has passed without a response, or the caller has disconnected; the request may have run.
+    ResponseTimeout,
+    /// An upstream failed without a complete response; the request may have run.
     UpstreamLost,
-    /// The store cannot be asked; nothing ran.
-    StoreAway,
-    /// The store did not say whether a batch job is on record.
+    /// The store is unreachable; nothing was done.
+    StoreUnreachable,
+    /// The store did not confirm whether a batch job was stored.
     OutcomeUnknown,
     /// No such batch job or item exists.
-    JobUnknown,
+    JobNotFound,
 }
 
 impl ApiRefusal {
-    /// Spelling in metrics and logs.
+    /// Code in metrics, logs and the response body.
     #[must_use]
     pub fn code(self) -> &'static str {
         match self {
-            Self::ConfigUnknown => "config_unknown",
-            Self::RouteUnknown => "route_unknown",
-            Self::KeyUnknown => "key_unknown",
+            Self::ConfigNotLoaded => "config_unknown",
+            Self::RouteNotFound => "route_unknown",
+            Self::KeyInvalid => "key_unknown",
             Self::Malformed => "malformed",
             Self::HeaderTooLarge => "header_too_large",
             Self::BodyTooLarge => "body_too_large",
-            Self::BodyLate => "body_late",
+            Self::BodyTimeout => "body_late",
             Self::NoUpstream => "no_upstream",
             Self::DeadlinePassed => "deadline_passed",
-            Self::AnswerLate => "answer_late",
+            Self::ResponseTimeout => "answer_late",
             Self::UpstreamLost => "upstream_lost",
-            Self::StoreAway => "store_away",
+            Self::StoreUnreachable => "store_away",
             Self::OutcomeUnknown => "outcome_unknown",
-            Self::JobUnknown => "job_unknown",
+            Self::JobNotFound => "job_unknown",
         }
     }
 
-    /// Status; 408, 429 and 503 promise that the request has not run and never will.
+    /// HTTP status. The statuses 408, 429 and 503 guarantee that the request has not run and never will.
     #[must_use]
     pub fn status(self) -> StatusCode {
         match self {
-            Self::RouteUnknown | Self::JobUnknown => StatusCode::NOT_FOUND,
-            Self::KeyUnknown => StatusCode::UNAUTHORIZED,
+            Self::RouteNotFound | Self::JobNotFound => StatusCode::NOT_FOUND,
+            Self::KeyInvalid => StatusCode::UNAUTHORIZED,
             Self::Malformed => StatusCode::BAD_REQUEST,
             Self::HeaderTooLarge => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
             Self::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            Self::BodyLate => StatusCode::REQUEST_TIMEOUT,
-            Self::ConfigUnknown | Self::NoUpstream | Self::DeadlinePassed | Self::StoreAway => {
+            Self::BodyTimeout => StatusCode::REQUEST_TIMEOUT,
+            Self::ConfigNotLoaded | Self::NoUpstream | Self::DeadlinePassed | Self::StoreUnreachable => {
                 StatusCode::SERVICE_UNAVAILABLE
             }
-            Self::AnswerLate | Self::OutcomeUnknown => StatusCode::GATEWAY_TIMEOUT,
+            Self::ResponseTimeout | Self::OutcomeUnknown => StatusCode::GATEWAY_TIMEOUT,
             Self::UpstreamLost => StatusCode::BAD_GATEWAY,
         }
     }
 
-    /// Seconds after which a caller may come again: about the time in which the cause passes.
+    /// Value of the `Retry-After` header in seconds: about the time after which the cause has passed. `None` if the
+    /// response has no such header.
     fn retry_after(self) -> Option<&'static str> {
         match self {
-            Self::ConfigUnknown | Self::StoreAway => Some("0.5"),
+            Self::ConfigNotLoaded | Self::StoreUnreachable => Some("0.5"),
             Self::NoUpstream | Self::DeadlinePassed => Some("0.1"),
             _ => None,
         }
     }
 
-    /// The answer.
+    /// The error response. Counts the refusal in the metrics.
     #[must_use]
     pub fn response(self) -> HttpResponse {
-        EdgeMetrics::count(&EdgeMetrics::global().refusals, self.code());
+        EdgeMetrics::increment(&EdgeMetrics::global().refusals, self.code());
         let mut response = HttpResponse::build(self.status());
         if let Some(seconds) = self.retry_after() {
             response.insert_header((header::RETRY_AFTER, seconds));
--- a/crates/edge/src/http/batch_api.rs
+++ b/crates/edge/src/http/batch_api.rs
@@ -1,12 +1,12 @@
-//! Batch jobs: submissions, reads and ends.
+//! Public API for batch jobs: submits a job, reads its results and item bodies, and ends it.
 
 use super::{
     api_refusal::ApiRefusal,
     proxy::read_body,
-    request_context::{RequestContext, text},
+    request_context::{RequestContext, header_text},
 };
 use crate::{
-    job::{self, BoundedRead, JobView, NewJob, SubmitOutcome},
+    job::{self, JobView, ResultsQuery, SubmitOutcome, SubmittedJob},
     worker_parts::WorkerParts,
 };
 use actix_web::{HttpRequest, HttpResponse, http::Method, web};
@@ -19,15 +19,15 @@
 use pimentoslip_wire::stored::{JobEntry, ResultEntry};
 use std::sync::Arc;
 
-/// Largest page of results, in bytes of text; the interface allows 1 MB of results.
+/// Largest page of results in bytes of text; the API allows pages of 1 MB.
 const PAGE_BYTES_MAX: usize = 900_000;
-/// Longest wait of a read in milliseconds, as the interface allows.
+/// Longest time for which a read waits for new results; the limit is part of the API.
 const READ_WAIT_MS_MAX: u64 = 1_000;
-/// A write is tried for this long; callers wait longer and come again otherwise.
-const WRITE_MS_MAX: u64 = 2_000;
+/// Time for which a write to the store is retried; callers wait longer than this and retry after a failure.
+const WRITE_TIMEOUT_MS: u64 = 2_000;
 
-/// Accepts a batch job.
-pub async fn submit(
+/// Stores a submitted batch job. Submitting the same job again is accepted too.
+pub async fn submit_job(
     parts: &WorkerParts,
     context: &RequestContext,
     request: &HttpRequest,
@@ -37,7 +37,7 @@
     if request.method() != Method::POST || context.id.is_empty() {
         return Err(ApiRefusal::Malformed);
     }
-    let grant = if rule.open { None } else { context.grant(request)? };
+    let grant = if rule.allows_anonymous { None } else { context.key_grant(request)? };
     let organisation = grant.map_or_else(|| "".into(), |grant| grant.organisation);
     let body = read_body(parts, context, payload).await?;
     let submission = decode_submission(&body).map_err(|error| {
@@ -55,10 +55,10 @@
         submitted_unix_ms: parts.state.unix_ms(),
     };
     let (step, items) = (submission.step, submission.items.len());
-    let deadline = context.deadline.min(parts.state.now().plus_ms(WRITE_MS_MAX));
+    let deadline = context.deadline.min(parts.state.now().plus_ms(WRITE_TIMEOUT_MS));
     let submission = Arc::new(submission);
-    let new = NewJob { id: context.id.clone(), entry, kind: rule.name.clone(), body, submission };
-    let outcome = job::submit(parts, &new, deadline).await;
+    let new_job = SubmittedJob { id: context.id.clone(), entry, placement_key: rule.name.clone(), body, submission };
+    let outcome = job::submit_job(parts, &new_job, deadline).await;
     LogLine::new("job_submitted")
         .field("job", &context.id)
         .field("route", &rule.name)
@@ -68,62 +68,65 @@
         .info();
     match outcome {
         SubmitOutcome::Accepted => Ok(HttpResponse::Accepted().finish()),
-        SubmitOutcome::Foreign => Err(ApiRefusal::JobUnknown),
-        SubmitOutcome::NotDone => Err(ApiRefusal::StoreAway),
+        SubmitOutcome::Foreign => Err(ApiRefusal::JobNotFound),
+        SubmitOutcome::NotDone => Err(ApiRefusal::StoreUnreachable),
         SubmitOutcome::Unknown => Err(ApiRefusal::OutcomeUnknown),
     }
 }
 
-/// The job that a call names, if its key is one of the job's organisation.
-async fn find(
+/// The job `id`; fails with `JobNotFound` unless the request's key belongs to the organisation that submitted the job.
+async fn find_job(
     parts: &WorkerParts,
     context: &RequestContext,
     request: &HttpRequest,
     id: &str,
 ) -> Result<JobView, ApiRefusal> {
-    let grant = context.grant(request)?;
-    let view = job::view(&parts.state, &parts.store, id).await.map_err(|error| {
-        LogLine::new("job_unread").field("job", id).field("reason", error).warn();
-        ApiRefusal::StoreAway
+    let grant = context.key_grant(request)?;
+    let view = job::read_job(&parts.state, &parts.store, id).await.map_err(|error| {
+        LogLine::new("job_read_failed").field("job", id).field("reason", error).warn();
+        ApiRefusal::StoreUnreachable
     })?;
-    let view = view.ok_or(ApiRefusal::JobUnknown)?;
+    let view = view.ok_or(ApiRefusal::JobNotFound)?;
     let organisation = grant.map_or_else(|| "".into(), |grant| grant.organisation);
     if view.entry.organisation != organisation {
-        return Err(ApiRefusal::JobUnknown);
+        return Err(ApiRefusal::JobNotFound);
     }
     Ok(view)
 }
 
-fn parameter(request: &HttpRequest, name: &str) -> Option<String> {
+/// The decoded value of the query parameter `name`; `None` if it is missing.
+fn query_parameter(request: &HttpRequest, name: &str) -> Option<String> {
     parse(request.query_string().as_bytes()).find(|(key, _)| key == name).map(|(_, value)| value.into_owned())
 }
 
-/// Reads results.
-pub async fn read(
+/// Responds with a page of the job's results from a position on, and waits for the first one if the caller requests it.
+pub async fn read_results(
     parts: &WorkerParts,
     context: &RequestContext,
     request: &HttpRequest,
     id: &str,
 ) -> Result<HttpResponse, ApiRefusal> {
-    let view = find(parts, context, request, id).await?;
-    let position = parameter(request, POSITION_PARAMETER).map_or(Ok(0), |text| text.parse::<usize>());
+    let view = find_job(parts, context, request, id).await?;
+    let position = query_parameter(request, POSITION_PARAMETER).map_or(Ok(0), |text| text.parse::<usize>());
     let position = position.map_err(|_| ApiRefusal::Malformed)?;
-    let wait_ms = text(request.headers(), header::WAIT_MS).and_then(|text| text.trim().parse().ok()).unwrap_or(0);
+    let wait_ms =
+        header_text(request.headers(), header::WAIT_MS).and_then(|text| text.trim().parse().ok()).unwrap_or(0);
     let wait_ms = if position >= view.entry.items { 0 } else { READ_WAIT_MS_MAX.min(wait_ms) };
-    let until = context.arrived.plus_ms(wait_ms).min(context.deadline);
-    let read = BoundedRead { position, bytes_max: PAGE_BYTES_MAX, until };
-    let results = job::read_page(&parts.state, &parts.store, &parts.peers, &id.into(), &read).await;
+    let wait_until = context.arrived_at.plus_ms(wait_ms).min(context.deadline);
+    let read = ResultsQuery { position, bytes_max: PAGE_BYTES_MAX, wait_until };
+    let results = job::read_results(&parts.state, &parts.store, &parts.peer_client, &id.into(), &read).await;
     let results = results.map_err(|error| {
-        LogLine::new("results_unread").field("job", id).field("position", position).field("reason", error).warn();
-        ApiRefusal::StoreAway
+        LogLine::new("results_read_failed").field("job", id).field("position", position).field("reason", error).warn();
+        ApiRefusal::StoreUnreachable
     })?;
-    let results: Vec<ListedResult<'_>> = results.iter().map(|result| listed(result)).collect();
+    let results: Vec<ListedResult<'_>> = results.iter().map(|result| listed_result(result)).collect();
     let page = ResultPage { total: view.entry.items, next: position + results.len(), results };
-    let body = encode_page(&page).map_err(|_| ApiRefusal::StoreAway)?;
+    let body = encode_page(&page).map_err(|_| ApiRefusal::StoreUnreachable)?;
     Ok(HttpResponse::Ok().content_type("application/json").body(body))
 }
 
-fn listed(result: &ResultEntry) -> ListedResult<'_> {
+/// The representation of a stored result in the API.
+fn listed_result(result: &ResultEntry) -> ListedResult<'_> {
     ListedResult {
         id: &result.id,
         state: if result.completed { "completed" } else { "terminated" },
@@ -133,33 +136,35 @@
     }
 }
 
-/// Reads the body of an item.
-pub async fn item(
+/// Responds with the request body of one item of the job.
+pub async fn read_item(
     parts: &WorkerParts,
     context: &RequestContext,
     request: &HttpRequest,
     id: &str,
 ) -> Result<HttpResponse, ApiRefusal> {
-    find(parts, context, request, id).await?;
-    let item = parameter(request, ITEM_PARAMETER).ok_or(ApiRefusal::Malformed)?;
-    let body = job::read_body(&parts.state, &parts.store, &parts.peers, &id.into(), &item).await.map_err(|error| {
-        LogLine::new("item_unread").field("job", id).field("item", &item).field("reason", error).warn();
-        ApiRefusal::StoreAway
-    })?;
-    let body = body.ok_or(ApiRefusal::JobUnknown)?;
+    find_job(parts, context, request, id).await?;
+    let item = query_parameter(request, ITEM_PARAMETER).ok_or(ApiRefusal::Malformed)?;
+    let body = job::read_item_body(&parts.state, &parts.store, &parts.peer_client, &id.into(), &item).await.map_err(
+        |error| {
+            LogLine::new("item_read_failed").field("job", id).field("item", &item).field("reason", error).warn();
+            ApiRefusal::StoreUnreachable
+        },
+    )?;
+    let body = body.ok_or(ApiRefusal::JobNotFound)?;
     Ok(HttpResponse::Ok().content_type("application/octet-stream").body(body))
 }
 
-/// Ends a batch job.
-pub async fn end(
+/// Ends a batch job before all its results are complete.
+pub async fn end_job(
     parts: &WorkerParts,
     context: &RequestContext,
     request: &HttpRequest,
     id: &str,
 ) -> Result<HttpResponse, ApiRefusal> {
-    find(parts, context, request, id).await?;
-    let deadline = context.deadline.min(parts.state.now().plus_ms(WRITE_MS_MAX));
-    let ended = job::end(&parts.state, &parts.store, id, deadline).await;
+    find_job(parts, context, request, id).await?;
+    let deadline = context.deadline.min(parts.state.now().plus_ms(WRITE_TIMEOUT_MS));
+    let ended = job::end_job(&parts.state, &parts.store, id, deadline).await;
     LogLine::new("job_end").field("job", id).field("request_id", &context.id).field("done", ended).info();
-    if ended { Ok(HttpResponse::Ok().finish()) } else { Err(ApiRefusal::StoreAway) }
+    if ended { Ok(HttpResponse::Ok().finish()) } else { Err(ApiRefusal::StoreUnreachable) }
 }
--- a/crates/edge/src/http/front_app.rs
+++ b/crates/edge/src/http/front_app.rs
@@ -1,4 +1,4 @@
-//! The address for callers.
+//! Entry point of the public listener, to which callers connect.
 
 use super::{api_refusal::ApiRefusal, batch_api, proxy, request_context::RequestContext};
 use crate::{edge_metrics::EdgeMetrics, worker_parts::WorkerParts};
@@ -12,30 +12,32 @@
 
 const MS_PER_SECOND: f64 = 1_000.0;
 
-/// Routes of the address for callers: everything goes through one handler.
+/// Configures the public listener: one handler serves all paths.
 pub fn configure_front(app: &mut web::ServiceConfig) {
     app.default_service(web::to(serve));
 }
 
+/// Serves one request and records its latency.
 async fn serve(parts: web::Data<WorkerParts>, request: HttpRequest, payload: web::Payload) -> HttpResponse {
-    let _counted = parts.state.begin_request();
-    let began = parts.state.now();
-    let outcome = match RequestContext::read(&parts, &request) {
-        Ok(context) => route(&parts, &context, &request, payload).await,
+    let _request_guard = parts.state.track_request();
+    let started_at = parts.state.now();
+    let outcome = match RequestContext::from_request(&parts, &request) {
+        Ok(context) => dispatch(&parts, &context, &request, payload).await,
         Err(refusal) => Err(refusal),
     };
     let mut response = match outcome {
         Ok(response) => response,
-        Err(refusal) => refuse(&request, refusal),
+        Err(refusal) => refusal_response(&request, refusal),
     };
-    EdgeMetrics::global().latency.observe(parts.state.now().since_ms(began) as f64 / MS_PER_SECOND);
+    EdgeMetrics::global().request_latency.observe(parts.state.now().since_ms(started_at) as f64 / MS_PER_SECOND);
     if parts.state.is_draining() {
         response.headers_mut().insert(header::CONNECTION, header::HeaderValue::from_static("close"));
     }
     response
 }
 
-fn refuse(request: &HttpRequest, refusal: ApiRefusal) -> HttpResponse {
+/// Logs a refusal and creates its response.
+fn refusal_response(request: &HttpRequest, refusal: ApiRefusal) -> HttpResponse {
     let id = request.headers().get(pimentoslip_platform::header::REQUEST_ID);
     LogLine::new("refused")
         .field("request_id", id.and_then(|id| id.to_str().ok()).unwrap_or_default())
@@ -46,7 +48,8 @@
     refusal.response()
 }
 
-async fn route(
+/// Passes a request to the batch API or to the proxy, depending on its path and route.
+async fn dispatch(
     parts: &WorkerParts,
     context: &RequestContext,
     request: &HttpRequest,
@@ -54,17 +57,17 @@
 ) -> Result<HttpResponse, ApiRefusal> {
     if let Some(job) = context.path.strip_prefix(BATCH_PATH) {
         return match *request.method() {
-            Method::GET => batch_api::read(parts, context, request, job).await,
-            Method::DELETE => batch_api::end(parts, context, request, job).await,
-            _ => Err(ApiRefusal::RouteUnknown),
+            Method::GET => batch_api::read_results(parts, context, request, job).await,
+            Method::DELETE => batch_api::end_job(parts, context, request, job).await,
+            _ => Err(ApiRefusal::RouteNotFound),
         };
     }
     if let Some(job) = context.path.strip_prefix(ITEM_PATH) {
-        return batch_api::item(parts, context, request, job).await;
+        return batch_api::read_item(parts, context, request, job).await;
     }
-    let rule = context.config.route(&context.host, &context.path).ok_or(ApiRefusal::RouteUnknown)?.clone();
-    if rule.batch().is_some() {
-        return batch_api::submit(parts, context, request, payload, &rule).await;
+    let rule = context.config.route(&context.host, &context.path).ok_or(ApiRefusal::RouteNotFound)?.clone();
+    if rule.batch_rule().is_some() {
+        return batch_api::submit_job(parts, context, request, payload, &rule).await;
     }
-    proxy::proxy(parts, context, request, payload, &rule).await
+    proxy::forward_request(parts, context, request, payload, &rule).await
 }
--- a/crates/edge/src/job/claim_task.rs
+++ b/crates/edge/src/job/claim_task.rs
@@ -1,26 +1,26 @@
-//! Claims jobs without an owner, and starts work on jobs that this daemon owns.
+//! Claims batch jobs that have no owner, and starts the tasks that run the jobs owned by this daemon.
 
 use super::job_runner::run_job;
 use crate::{edge_metrics::EdgeMetrics, edge_state::EdgeState, store::StoreAccess};
 use awc::Client;
-use pimentoslip_kernel::{ClaimOrder, OwnerRecord, SharedName};
+use pimentoslip_kernel::{DueClaim, OwnerRecord, SharedName};
 use pimentoslip_platform::{CommitOutcome, StoreCommit};
 use pimentoslip_telemetry::LogLine;
 use pimentoslip_wire::{encode, stored::KeyLayout};
 use std::{sync::Arc, time::Duration};
 
-/// Longest time between two looks at the table of owners.
-const LOOK_PERIOD: Duration = Duration::from_millis(200);
+/// Longest time between two checks for jobs to claim or to start; a change of the jobs triggers one at once.
+const CHECK_PERIOD: Duration = Duration::from_millis(200);
 
-/// Runs until the daemon drains.
+/// Claims and starts jobs until the daemon drains.
 pub async fn claim_jobs(state: Arc<EdgeState>, upstreams: Client, store: StoreAccess) {
     while !state.is_draining() {
-        let _ = actix_rt::time::timeout(LOOK_PERIOD, state.job_changed.notified()).await;
+        let _ = actix_rt::time::timeout(CHECK_PERIOD, state.job_changed.notified()).await;
         let now = state.now();
         let claims = {
-            let regained_at = state.store_regained_at();
+            let reconnected_at = state.store_reconnected_at();
             let jobs = state.jobs();
-            state.ownership().claims(now, regained_at, |job| jobs.is_held(job))
+            state.ownership().due_claims(now, reconnected_at, |job| jobs.has_state(job))
         };
         let lease = state.lease().lease;
         if let Some(lease) = lease {
@@ -28,45 +28,50 @@
                 claim_job(&state, &store, &claim, lease).await;
             }
         }
-        start_owned(&state, &upstreams, &store);
+        start_owned_jobs(&state, &upstreams, &store);
     }
 }
 
-async fn claim_job(state: &EdgeState, store: &StoreAccess, claim: &ClaimOrder, lease: u64) {
-    let entry = match encode(&state.signature()) {
+/// Writes this daemon as the owner of a job under its lease, unless another daemon was faster.
+async fn claim_job(state: &EdgeState, store: &StoreAccess, claim: &DueClaim, lease: u64) {
+    let entry = match encode(&state.daemon_entry()) {
         Ok(entry) => entry,
         Err(error) => return LogLine::new("job_claim_failed").field("job", &claim.job).field("reason", error).warn(),
     };
     let key = KeyLayout::owner(&claim.job);
-    let commit = StoreCommit::default().expect(key.clone(), claim.replaces).put(key, entry, lease);
+    let commit = StoreCommit::default().expect(key.clone(), claim.replaced_revision).put(key, entry, lease);
     match store.commit(&commit).await {
         Ok(CommitOutcome::Done(revision)) => {
             LogLine::new("job_claimed")
                 .field("job", &claim.job)
-                .field("replaces", claim.replaces)
+                .field("replaces", claim.replaced_revision)
                 .field("revision", revision)
                 .info();
             let daemon = state.settings.vm.clone();
             let owner = OwnerRecord { daemon, incarnation: state.incarnation, revision };
             let now = state.now();
-            state.ownership().claimed(claim.job.clone(), owner, now);
+            state.ownership().job_claimed(claim.job.clone(), owner, now);
         }
         Ok(CommitOutcome::Conflict(_)) => {
-            LogLine::new("job_claim_lost").field("job", &claim.job).field("replaces", claim.replaces).info();
+            LogLine::new("job_claim_lost").field("job", &claim.job).field("replaces", claim.replaced_revision).info();
         }
         Err(error) => LogLine::new("job_claim_failed").field("job", &claim.job).field("reason", error).warn(),
     }
 }
 
-fn start_owned(state: &Arc<EdgeState>, upstreams: &Client, store: &StoreAccess) {
+/// Starts a task for each owned job that is unfinished and not running yet.
+fn start_owned_jobs(state: &Arc<EdgeState>, upstreams: &Client, store: &StoreAccess) {
     let now = state.now();
-    let owned: Vec<SharedName> = {
+    let owned_jobs: Vec<SharedName> = {
         let (jobs, ownership) = (state.jobs(), state.ownership());
-        let open = jobs.iter().filter(|(_, view)| !view.ended && !view.settled);
-        open.map(|(job, _)| job.clone()).filter(|job| ownership.may_begin(job, jobs.has_submission(job), now)).collect()
+        let unfinished = jobs.iter().filter(|(_, view)| !view.ended && !view.settled);
+        unfinished
+            .map(|(job, _)| job.clone())
+            .filter(|job| ownership.may_start(job, jobs.is_pending(job), now))
+            .collect()
     };
-    for job in owned {
-        if state.jobs().hold(job.clone()) {
+    for job in owned_jobs {
+        if state.jobs().try_mark_running(job.clone()) {
             EdgeMetrics::global().jobs_owned.inc();
             actix_rt::spawn(run_job(state.clone(), upstreams.clone(), store.clone(), job));
         }
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,5 +1,6 @@
-//! The daemon on the users' platform: one on each entry VM, all alike. What must last stands in the
-//! platform's store; everything else may be lost with the process.
+//! The daemon that runs on each entry VM. It forwards requests to upstreams and runs the batch jobs that it owns. All
+//! daemons run the same code; one at a time holds the duty. Durable state is kept in the platform's key-value store, and
+//! a process may lose everything else.
 
 mod client_watch;
 mod duty;
--- /dev/null
+++ b/crates/edge/src/store/upstream_keys.rs
@@ -0,0 +1,121 @@
+//! Keeps the table of upstreams up to date with the upstreams listed in the store.
+
+use super::PrefixHandler;
+use crate::edge_state::EdgeState;
+use pimentoslip_kernel::{SharedName, TimePoint};
+use pimentoslip_platform::{RangePage, StoreChange, StoreItem, UPSTREAM_PREFIX, decode_record, upstream_id};
+use pimentoslip_telemetry::LogLine;
+use std::{collections::BTreeMap, sync::Arc};
+
+/// Time after an outage of the store for which a missing entry does not prove that its upstream has stopped: entries
+/// that expired during the outage are written again within two seconds of its end.
+const RELIST_GRACE_MS: u64 = 2_300;
+
+/// Handler for the keys at which the running upstreams are listed.
+#[derive(Debug)]
+pub struct UpstreamKeys {
+    state: Arc<EdgeState>,
+    /// Upstreams whose entries went missing around an outage of the store, and until when they stay in the table.
+    missing: BTreeMap<SharedName, TimePoint>,
+}
+
+impl UpstreamKeys {
+    /// Creates a handler that updates `state`.
+    #[must_use]
+    pub fn new(state: Arc<EdgeState>) -> Self {
+        Self { state, missing: BTreeMap::new() }
+    }
+
+    /// Applies the entry of an upstream that is in the snapshot or was written after it.
+    fn entry_written(&mut self, item: &StoreItem) {
+        let Some(id) = upstream_id(&item.key) else { return };
+        self.missing.remove(id);
+        match decode_record(id, &item.value) {
+            Ok(record) => {
+                let mut upstreams = self.state.upstreams();
+                let previous = upstreams.get(id);
+                if previous.is_none_or(|previous| previous.state != record.state || previous.address != record.address)
+                {
+                    LogLine::new("upstream_listed")
+                        .field("upstream", id)
+                        .field("service", &record.service)
+                        .field("address", &record.address)
+                        .field("failure_domain", &record.failure_domain)
+                        .field("state", format!("{:?}", record.state).to_lowercase())
+                        .field("revision", item.revision)
+                        .info();
+                }
+                upstreams.upsert(record);
+            }
+            Err(error) => {
+                LogLine::new("upstream_unreadable").field("upstream", id).field("reason", error).warn();
+                self.state.upstreams().remove(id);
+            }
+        }
+    }
+
+    /// Removes an upstream whose entry is gone, or postpones that around an outage of the store.
+    fn entry_removed(&mut self, id: &str, now: TimePoint) {
+        let keep_until = self.relist_deadline(now);
+        if now < keep_until {
+            self.missing.insert(id.into(), keep_until);
+            return;
+        }
+        LogLine::new("upstream_delisted").field("upstream", id).info();
+        self.state.upstreams().remove(id);
+    }
+}
+
+impl UpstreamKeys {
+    /// Time until which an entry that is missing now may be written again because of an outage of the store.
+    fn relist_deadline(&self, now: TimePoint) -> TimePoint {
+        if !self.state.store_path().is_direct_available() {
+            return now.plus_ms(RELIST_GRACE_MS);
+        }
+        self.state.store_reconnected_at().map_or(TimePoint(0), |at| at.plus_ms(RELIST_GRACE_MS))
+    }
+}
+
+impl PrefixHandler for UpstreamKeys {
+    const PREFIX: &'static str = UPSTREAM_PREFIX;
+    const BATCH_DELAY_MS: u64 = 0;
+
+    fn apply_snapshot(&mut self, page: RangePage, now: TimePoint) {
+        for item in &page.items {
+            self.entry_written(item);
+        }
+        let is_listed = |id: &str| page.items.iter().any(|item| upstream_id(&item.key) == Some(id));
+        let delisted: Vec<SharedName> =
+            self.state.upstreams().records().map(|record| record.id.clone()).filter(|id| !is_listed(id)).collect();
+        for id in delisted {
+            self.entry_removed(&id, now);
+        }
+        self.state.job_changed.notify_waiters();
+    }
+
+    fn apply_change(&mut self, change: StoreChange, now: TimePoint) {
+        match change {
+            StoreChange::Written(item) => self.entry_written(&item),
+            StoreChange::Removed { key, .. } => {
+                if let Some(id) = upstream_id(&key) {
+                    self.entry_removed(id, now);
+                }
+            }
+        }
+        self.state.job_changed.notify_waiters();
+        self.state.upstreams_changed.notify_waiters();
+    }
+
+    fn after_poll(&mut self, now: TimePoint) {
+        let expired: Vec<SharedName> =
+            self.missing.iter().filter(|(_, until)| **until <= now).map(|(id, _)| id.clone()).collect();
+        for id in expired {
+            self.missing.remove(&id);
+            LogLine::new("upstream_delisted")
+                .field("upstream", &id)
+                .field("reason", "not listed again after an outage of the store")
+                .info();
+            self.state.upstreams().remove(&id);
+        }
+    }
+}
--- a/crates/edge/src/worker_parts.rs
+++ b/crates/edge/src/worker_parts.rs
@@ -1,39 +1,40 @@
-//! State and clients of one thread.
+//! The shared state and the clients that one thread uses.
 
 use crate::{
     duty::UsageCollector,
     edge_metrics::EdgeMetrics,
     edge_state::EdgeState,
     peer_client::PeerClient,
-    store::{NewsFeed, NewsHub, StoreAccess},
+    store::{ChangeFeed, ChangeHub, StoreAccess},
 };
 use awc::Client;
 use pimentoslip_client::client_with_user_timeout;
 use pimentoslip_platform::StoreClient;
 use std::{sync::Arc, time::Duration};
 
-/// Unacknowledged bytes towards an upstream are given up after this; round trips take milliseconds.
+/// TCP user timeout of connections to upstreams: a connection is closed when sent bytes stay unacknowledged for this
+/// long. Round trips take milliseconds.
 const UPSTREAM_USER_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// State and clients of a worker.
+/// Shared state and clients of a worker thread; passed to the HTTP handlers.
 #[derive(Clone)]
 pub struct WorkerParts {
-    /// State.
+    /// State shared with all other threads.
     pub state: Arc<EdgeState>,
-    /// Client for upstreams.
-    pub upstreams: Client,
-    /// Client for other daemons.
-    pub peers: PeerClient,
-    /// Client for the store.
+    /// HTTP client for upstreams.
+    pub upstream_client: Client,
+    /// HTTP client for other daemons.
+    pub peer_client: PeerClient,
+    /// Access to the store, direct or relayed through a peer.
     pub store: StoreAccess,
-    /// Client for the store that passes peers' calls on.
-    pub relay: StoreClient,
-    /// Changes in the store, for this daemon.
-    pub feed: NewsFeed,
-    /// Changes in the store, for other daemons.
-    pub news: NewsHub,
-    /// Usage counts of other daemons.
-    pub collector: UsageCollector,
+    /// Direct client for the store, used to relay calls of peers that cannot reach it.
+    pub relay_client: StoreClient,
+    /// Source of store changes for this daemon.
+    pub change_feed: ChangeFeed,
+    /// Shared store watches that serve changes to other daemons.
+    pub change_hub: ChangeHub,
+    /// Collects usage counts of other daemons and stores them together.
+    pub usage_collector: UsageCollector,
 }
 
 impl std::fmt::Debug for WorkerParts {
@@ -43,21 +44,21 @@
 }
 
 impl WorkerParts {
-    /// Creates the parts of the current thread.
+    /// Creates the clients of the current thread.
     #[must_use]
     pub fn new(state: Arc<EdgeState>) -> Self {
-        let direct = StoreClient::new(state.settings.store, EdgeMetrics::store_called);
-        let store = StoreAccess::new(state.clone(), direct.purposed("serve_batches"));
-        let peers = PeerClient::default();
-        let feed = NewsFeed::new(state.clone(), store.clone(), peers.clone());
+        let direct_client = StoreClient::new(state.settings.store, EdgeMetrics::count_store_call);
+        let store = StoreAccess::new(state.clone(), direct_client.purposed("serve_batches"));
+        let peer_client = PeerClient::default();
+        let change_feed = ChangeFeed::new(state.clone(), store.clone(), peer_client.clone());
         Self {
-            upstreams: client_with_user_timeout(UPSTREAM_USER_TIMEOUT),
-            news: NewsHub::new(feed.purposed("news")),
-            collector: UsageCollector::new(state.clone(), store.purposed("usage")),
-            relay: direct.purposed("relay"),
-            peers,
+            upstream_client: client_with_user_timeout(UPSTREAM_USER_TIMEOUT),
+            change_hub: ChangeHub::new(change_feed.with_purpose("news")),
+            usage_collector: UsageCollector::new(state.clone(), store.with_purpose("usage")),
+            relay_client: direct_client.purposed("relay"),
+            peer_client,
             store,
-            feed,
+            change_feed,
             state,
         }
     }
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -1,7 +1,7 @@
-//! Decisions of the rollout service as pure state machines.
+//! Pure state machines that make the decisions of the rollout service.
 //!
-//! Every type here takes an event and the current [`TimePoint`] and returns what to do. Nothing in
-//! this crate performs I/O, reads a clock, or draws unseeded random numbers.
+//! Every type takes events and the current [`TimePoint`], and returns the actions to perform. Nothing in this crate
+//! performs I/O, reads a clock, or draws unseeded random numbers.
 
 mod admission_policy;
 mod batch;
@@ -15,7 +15,7 @@
 mod lease_holder;
 mod member_table;
 mod ownership_table;
-mod path_choice;
+mod path_selector;
 mod refusal_reason;
 mod rendezvous;
 mod request_class;
@@ -34,11 +34,11 @@
 mod traffic;
 mod usage_meter;
 mod usage_window;
-mod wall_offset;
+mod wall_clock_offset;
 
 pub use admission_policy::{AdmissionPlugin, AdmissionPolicy};
 pub use batch::*;
-pub use claim_table::{ClaimAnswer, ClaimKey, ClaimTable, Result as ClaimResult, StaleOwner};
+pub use claim_table::{ClaimAnswer, ClaimKey, ClaimTable, NotShardOwner, Result as ClaimResult};
 pub use config::*;
 pub use duty::*;
 pub use fair_queue::{FairQueue, QueueTicket};
@@ -47,15 +47,15 @@
 pub use freshness_table::FreshnessTable;
 pub use lease_holder::{HolderEvidence, LeaseHolder, LeaseState, PreviousHolder};
 pub use member_table::{MemberEntry, MemberState, MemberTable};
-pub use ownership_table::{ClaimOrder, DaemonPresence, OwnerRecord, OwnershipTable};
-pub use path_choice::{PathChoice, ServicePath};
+pub use ownership_table::{DaemonPresence, DueClaim, OwnerRecord, OwnershipTable};
+pub use path_selector::{PathSelector, ServicePath};
 pub use refusal_reason::{RefusalReason, RunState};
-pub use rendezvous::{owner, rank};
+pub use rendezvous::{highest_ranked, rank};
 pub use request_class::RequestClass;
 pub use request_progress::RequestProgress;
 pub use retry_budget::RetryBudget;
 pub use retry_policy::{FailedAttempt, RetryDecision, RetryPolicy, RetryReason};
-pub use route_policy::{RoutePlugin, RoutePolicy, policy_names};
+pub use route_policy::{RoutePlugin, RoutePolicy, route_policy_names};
 pub use route_table::{RouteQuery, RouteTable, UpstreamEntry, UpstreamState};
 pub use sampler::*;
 pub use spend_planner::{SpendAction, SpendInput, SpendPlanner};
@@ -67,7 +67,7 @@
 pub use traffic::*;
 pub use usage_meter::{UsageCount, UsageKey, UsageMeter};
 pub use usage_window::{UsageLine, UsageWindow};
-pub use wall_offset::WallOffset;
+pub use wall_clock_offset::WallClockOffset;
 
-/// A shared immutable name, cheap to clone.
+/// A shared, immutable name that is cheap to clone.
 pub type SharedName = std::sync::Arc<str>;
--- a/crates/kernel/tests/machines/main.rs
+++ b/crates/kernel/tests/machines/main.rs
@@ -1,7 +1,8 @@
-//! Stateful fuzzing of the kernel's state machines against simple oracles, with fixed seeds.
+//! Model-based tests of the kernel's state machines: random command sequences from fixed seeds, checked against simple
+//! reference models.
 
+mod scaling;
 mod sequence;
-mod sizes;
 
 mod batches;
 mod claims;
@@ -11,7 +12,7 @@
 mod fleet_laws;
 mod ownership;
 mod routes;
-mod small_laws;
+mod small_machines;
 mod steps;
 mod terms;
 mod usage;
