--- a/crates/daemon/src/claim/claim_actor.rs
+++ b/crates/daemon/src/claim/claim_actor.rs
@@ -1,4 +1,4 @@
-//! The owner of claim shards: grants claims after a group commit.
+//! Grants the claims of the shards that this daemon owns, after storing them in group commits.
 
 use super::{
     CLAIM_SHARDS,
@@ -16,44 +16,57 @@
 use std::{collections::HashMap, sync::Arc, time::Duration};
 use tokio::sync::oneshot;
 
-/// Asks for a claim.
+/// Requests a claim from this daemon, as the owner of the claim's shard.
 #[derive(Message)]
 #[rtype(result = "ClaimResponse")]
 pub struct ClaimMessage(pub ClaimRequest);
 
-/// Settles a grant.
+/// Reports how the request of a granted claim ended.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct SettleMessage(pub SettleRequest);
 
+/// State of one claim shard, whether or not this daemon owns it.
 struct ShardState {
     table: ClaimTable<StoredAnswer>,
+    /// Whether this daemon is taking the shard over.
     loading: bool,
-    /// Claims that came while the shard was being taken over.
-    parked: Vec<(ClaimRequest, oneshot::Sender<ClaimResponse>)>,
+    /// Claims that were requested while the shard was being taken over, with the channels for their responses.
+    deferred: Vec<(ClaimRequest, oneshot::Sender<ClaimResponse>)>,
 }
 
-/// Owns claim tables. Commits one group at a time; what arrives meanwhile forms the next group.
+/// Holds the claim tables of all shards. One group commit runs at a time; claims that are requested during it form the
+/// next group.
 pub struct ClaimActor<K> {
     shared: Arc<SharedState>,
+    /// Store for the commits; `None` while a commit is running.
     store: Option<ClaimStore<K>>,
     kv: K,
+    /// States of the shards, by shard index.
     shards: Vec<ShardState>,
-    waiting: HashMap<(ClaimKey, u64), Vec<oneshot::Sender<ClaimResponse>>>,
-    flush_planned: bool,
+    /// Response channels of the queued claims, by claim key and grant number.
+    waiters: HashMap<(ClaimKey, u64), Vec<oneshot::Sender<ClaimResponse>>>,
+    /// Whether a group commit is scheduled or running.
+    flush_pending: bool,
 }
 
 impl<K: KeyValueClient + Unpin> ClaimActor<K> {
-    /// Creates the actor.
+    /// Creates an actor that has not loaded any shard.
     pub fn new(shared: Arc<SharedState>, kv: K) -> Self {
         let shards = (0..CLAIM_SHARDS)
-            .map(|_| ShardState { table: ClaimTable::default(), loading: false, parked: Vec::new() })
+            .map(|_| ShardState { table: ClaimTable::default(), loading: false, deferred: Vec::new() })
             .collect();
         let store = Some(ClaimStore::new(kv.clone(), shared.clone()));
-        Self { shared, store, kv, shards, waiting: HashMap::new(), flush_planned: false }
+        Self { shared, store, kv, shards, waiters: HashMap::new(), flush_pending: false }
     }
 
-    fn claim(&mut self, request: ClaimRequest, sender: oneshot::Sender<ClaimResponse>, context: &mut Context<Self>) {
+    /// Sends the response to `request` to `sender`: at once, after the next group commit, or once the shard is loaded.
+    fn handle_claim(
+        &mut self,
+        request: ClaimRequest,
+        sender: oneshot::Sender<ClaimResponse>,
+        context: &mut Context<Self>,
+    ) {
         let shard = shard_of(&request.key);
         if shard_owner(shard, &self.shared.members().active_names()).as_deref() != Some(&*self.shared.settings.name) {
             let _ = sender.send(ClaimResponse::NotOwner);
@@ -61,7 +74,7 @@
         }
         let state = &mut self.shards[shard as usize];
         if state.table.epoch().is_none() {
-            state.parked.push((request, sender));
+            state.deferred.push((request, sender));
             self.take_over(shard, context);
             return;
         }
@@ -70,8 +83,8 @@
         let deadline = now.plus_ms(request.within_ms);
         let response = match state.table.claim(&key, request.grant, request.fingerprint, deadline, now) {
             Ok(ClaimAnswer::Queued) => {
-                self.waiting.entry((key, request.grant)).or_default().push(sender);
-                self.plan_flush(context);
+                self.waiters.entry((key, request.grant)).or_default().push(sender);
+                self.schedule_flush(context);
                 return;
             }
             Ok(ClaimAnswer::Granted) => ClaimResponse::Granted,
@@ -81,10 +94,11 @@
             Ok(ClaimAnswer::Reused) => ClaimResponse::Reused,
             Err(_) => ClaimResponse::NotOwner,
         };
-        // The asker may have gone; its claim then runs into its deadline.
+        // The requester may have stopped waiting. Its claim then stays in progress until its deadline.
         let _ = sender.send(response);
     }
 
+    /// Starts to take `shard` over, unless that is already running. The deferred claims are handled at the end.
     fn take_over(&mut self, shard: u64, context: &mut Context<Self>) {
         let state = &mut self.shards[shard as usize];
         if state.loading {
@@ -95,22 +109,22 @@
         let load = async move { store.take_over(shard).await }.into_actor(self).map(move |loaded, actor, context| {
             let state = &mut actor.shards[shard as usize];
             state.loading = false;
-            let parked = std::mem::take(&mut state.parked);
+            let deferred = std::mem::take(&mut state.deferred);
             match loaded {
-                Ok((epoch, recorded)) => {
+                Ok((epoch, stored)) => {
                     LogLine::new("claim_shard_taken")
                         .field("shard", shard)
                         .field("epoch", epoch)
-                        .field("claims", recorded.len())
+                        .field("claims", stored.len())
                         .info();
-                    state.table.load(epoch, recorded);
-                    for (request, sender) in parked {
-                        actor.claim(request, sender, context);
+                    state.table.load(epoch, stored);
+                    for (request, sender) in deferred {
+                        actor.handle_claim(request, sender, context);
                     }
                 }
                 Err(error) => {
                     LogLine::new("claim_shard_failed").field("shard", shard).field("error", error).warn();
-                    for (_, sender) in parked {
+                    for (_, sender) in deferred {
                         let _ = sender.send(ClaimResponse::Unavailable);
                     }
                 }
@@ -119,18 +133,20 @@
         context.spawn(load);
     }
 
-    fn plan_flush(&mut self, context: &mut Context<Self>) {
-        if self.flush_planned {
+    /// Schedules a group commit, unless one is scheduled or running.
+    fn schedule_flush(&mut self, context: &mut Context<Self>) {
+        if self.flush_pending {
             return;
         }
-        self.flush_planned = true;
+        self.flush_pending = true;
         let interval = Duration::from_millis(self.shared.settings.claim_interval_ms);
         context.run_later(interval, Self::flush);
     }
 
+    /// Commits the queued claims of all shards in one transaction, and responds to their requesters.
     fn flush(&mut self, context: &mut Context<Self>) {
         let Some(mut store) = self.store.take() else { return };
-        let mut groups = Vec::new();
+        let mut batches = Vec::new();
         let mut grants = Vec::new();
         for (shard, state) in self.shards.iter_mut().enumerate() {
             let Some(epoch) = state.table.epoch() else { continue };
@@ -138,38 +154,40 @@
             if batch.is_empty() {
                 continue;
             }
-            let claims =
+            let stored_claims =
                 batch.iter().map(|(key, _, fingerprint)| StoredClaim { key: key.0.clone(), fingerprint: *fingerprint });
-            groups.push((shard as u64, epoch, claims.collect::<Vec<_>>()));
+            batches.push((shard as u64, epoch, stored_claims.collect::<Vec<_>>()));
             grants.extend(batch.into_iter().map(|(key, grant, _)| (shard, key, grant)));
         }
         self.shared.metrics.claim_commits.inc();
         self.shared.metrics.claims.inc_by(grants.len() as u64);
         let commit = async move {
-            let outcome = if groups.is_empty() { Ok(true) } else { store.commit(&groups).await };
+            let outcome = if batches.is_empty() { Ok(true) } else { store.commit(&batches).await };
             (store, outcome)
         };
         let commit = commit.into_actor(self).map(move |(store, outcome), actor, context| {
             actor.store = Some(store);
-            actor.flush_planned = false;
+            actor.flush_pending = false;
             if let Err(error) = &outcome {
                 LogLine::new("claim_commit_failed").field("error", error).warn();
             }
             for (shard, key, grant) in grants {
-                let response = actor.committed(shard, &key, grant, outcome.as_ref().ok().copied());
-                actor.answer(key, grant, &response);
+                let response = actor.finish_commit(shard, &key, grant, outcome.as_ref().ok().copied());
+                actor.respond(key, grant, &response);
             }
             if outcome.as_ref().is_ok_and(|owned| !owned) {
-                actor.depose_all();
+                actor.drop_all_ownership();
             }
-            if !actor.waiting.is_empty() {
-                actor.plan_flush(context);
+            if !actor.waiters.is_empty() {
+                actor.schedule_flush(context);
             }
         });
         context.spawn(commit);
     }
 
-    fn committed(&mut self, shard: usize, key: &ClaimKey, grant: u64, owned: Option<bool>) -> ClaimResponse {
+    /// Applies the outcome of a group commit to one of its claims, and returns the response to the claim. `owned` is
+    /// whether this daemon owned all shards of the commit; `None` if the outcome of the commit is unknown.
+    fn finish_commit(&mut self, shard: usize, key: &ClaimKey, grant: u64, owned: Option<bool>) -> ClaimResponse {
         let table = &mut self.shards[shard].table;
         match owned {
             Some(true) if table.claim_committed(key, grant) => ClaimResponse::Granted,
@@ -184,19 +202,21 @@
         }
     }
 
-    fn answer(&mut self, key: ClaimKey, grant: u64, response: &ClaimResponse) {
-        for sender in self.waiting.remove(&(key, grant)).unwrap_or_default() {
+    /// Sends `response` to all requesters that wait for the claim of `key` with the number `grant`.
+    fn respond(&mut self, key: ClaimKey, grant: u64, response: &ClaimResponse) {
+        for sender in self.waiters.remove(&(key, grant)).unwrap_or_default() {
             let _ = sender.send(response.clone());
         }
     }
 
-    /// One of the shards has another owner. Each is loaded again before it grants anything.
-    fn depose_all(&mut self) {
+    /// Drops the ownership of all shards after a commit failed because another daemon owns one of them. The commit does
+    /// not report which one, so each shard is loaded again before it grants claims.
+    fn drop_all_ownership(&mut self) {
         for state in &mut self.shards {
             state.table.drop_ownership();
         }
-        for ((_, _), senders) in self.waiting.drain() {
-            for sender in senders {
+        for ((_, _), waiters) in self.waiters.drain() {
+            for sender in waiters {
                 let _ = sender.send(ClaimResponse::NotOwner);
             }
         }
@@ -213,7 +233,7 @@
 
     fn handle(&mut self, message: ClaimMessage, context: &mut Context<Self>) -> Self::Result {
         let (sender, receiver) = oneshot::channel();
-        self.claim(message.0, sender, context);
+        self.handle_claim(message.0, sender, context);
         Box::pin(async move { receiver.await.unwrap_or(ClaimResponse::Unavailable) })
     }
 }
--- a/crates/daemon/src/claim/claim_client.rs
+++ b/crates/daemon/src/claim/claim_client.rs
@@ -1,4 +1,4 @@
-//! The way from an entry daemon to the owner of a claim.
+//! Requests claims from the daemons that own their shards, and reports the outcomes of the claimed requests to them.
 
 use super::{ClaimActor, ClaimMessage, SettleMessage, shard_of, shard_owner};
 use crate::{
@@ -14,12 +14,16 @@
 use pimentoslip_wire::peer::{ClaimRequest, ClaimResponse, SettleRequest, SettleState, StoredAnswer};
 use std::{sync::Arc, time::Duration};
 
+/// Timeout of a call to the shard's owner, including the wait for its group commit.
 const CLAIM_TIMEOUT_MS: u64 = 2_500;
+/// Number of attempts at a claim before it is refused as unavailable.
 const CLAIM_ATTEMPTS: u32 = 3;
-const CLAIM_PAUSE: Duration = Duration::from_millis(100);
+/// Delay after a failed attempt at a claim or at reporting an outcome.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Number of attempts at reporting an outcome.
 const SETTLE_ATTEMPTS: u32 = 3;
 
-/// Asks owners for claims. Not shared between threads.
+/// Client for the owners of claim shards, which may be this daemon. Each thread has its own.
 #[derive(Clone)]
 pub struct ClaimClient {
     shared: Arc<SharedState>,
@@ -27,25 +31,29 @@
     peers: PeerClient,
 }
 
-/// A granted claim: its request may run once.
+/// A granted claim, which allows its request to run once.
 #[derive(Clone, Debug)]
 pub struct ClaimGrant {
     key: SharedName,
-    grant: u64,
+    /// Unique number of the attempt that was granted the claim.
+    number: u64,
 }
 
-/// This call did not run, but an earlier one under the same key may have, and the caller means the order.
-fn doubtful(reason: RefusalReason, id: &RequestId) -> ApiError {
+/// Refusal of a call that was not run itself, while an earlier call with the same idempotency key may have run. The run
+/// state is that of the earlier call, because the caller needs to know whether its order was carried out by any call.
+fn may_have_run(reason: RefusalReason, id: &RequestId) -> ApiError {
     ApiError { reason, run_state: RunState::MayHaveRun, request_id: id.clone() }
 }
 
 impl ClaimClient {
-    /// Creates a gate; `actor` is this daemon's own owner of claims.
+    /// Creates a client; `actor` holds the shards that this daemon owns.
     pub fn new(shared: Arc<SharedState>, actor: Addr<ClaimActor<EtcdClient>>, peers: PeerClient) -> Self {
         Self { shared, actor, peers }
     }
 
-    /// Claims `key` for a request with `fingerprint`. Either a ticket, or the answer of an earlier run.
+    /// Claims `key` for the request with `fingerprint`, which will have ended in `within_ms` milliseconds. Returns a
+    /// grant if the request may run, or the stored response if an earlier request with the same key has run. Returns
+    /// an error if the earlier request may have run, if it was a different request, or if no owner grants the claim.
     pub async fn claim(
         &self,
         key: SharedName,
@@ -54,36 +62,38 @@
         id: &RequestId,
     ) -> Result<std::result::Result<ClaimGrant, StoredAnswer>> {
         let request = ClaimRequest { key: key.clone(), grant: self.shared.draw(), fingerprint, within_ms };
-        let ticket = ClaimGrant { key, grant: request.grant };
+        let grant = ClaimGrant { key, number: request.grant };
         let refuse = |reason| Err(ApiError::not_run(reason, id));
         for _ in 0..CLAIM_ATTEMPTS {
-            match self.ask(&request).await {
-                ClaimResponse::Granted => return Ok(Ok(ticket)),
-                ClaimResponse::Replay(answer) => return Ok(Err(answer)),
-                ClaimResponse::InProgress => return Err(doubtful(RefusalReason::ClaimInProgress, id)),
-                ClaimResponse::Unknown => return Err(doubtful(RefusalReason::OutcomeUnknown, id)),
+            match self.request_claim(&request).await {
+                ClaimResponse::Granted => return Ok(Ok(grant)),
+                ClaimResponse::Replay(response) => return Ok(Err(response)),
+                ClaimResponse::InProgress => return Err(may_have_run(RefusalReason::ClaimInProgress, id)),
+                ClaimResponse::Unknown => return Err(may_have_run(RefusalReason::OutcomeUnknown, id)),
                 ClaimResponse::Reused => return refuse(RefusalReason::IdempotencyKeyReused),
-                ClaimResponse::Unavailable | ClaimResponse::NotOwner => actix_rt::time::sleep(CLAIM_PAUSE).await,
+                ClaimResponse::Unavailable | ClaimResponse::NotOwner => actix_rt::time::sleep(RETRY_DELAY).await,
             }
         }
-        // The claim may be on record without our knowing, and nothing was run under it.
-        self.settle(&ticket, SettleState::NotRun).await;
+        // The claim may be stored although no response was received. Its request was not run, so it is released.
+        self.settle(&grant, SettleState::NotRun).await;
         refuse(RefusalReason::ClaimUnavailable)
     }
 
-    /// Tells the owner how the request of `ticket` ended.
-    pub async fn settle(&self, ticket: &ClaimGrant, state: SettleState) {
-        let request = SettleRequest { key: ticket.key.clone(), grant: ticket.grant, state };
+    /// Reports to the shard's owner how the request of `grant` ended. If that fails, the claim stays stored and later
+    /// requests with its key are refused, because their outcome is unknown.
+    pub async fn settle(&self, grant: &ClaimGrant, state: SettleState) {
+        let request = SettleRequest { key: grant.key.clone(), grant: grant.number, state };
         for _ in 0..SETTLE_ATTEMPTS {
             if self.settle_once(&request).await {
                 return;
             }
-            actix_rt::time::sleep(CLAIM_PAUSE).await;
+            actix_rt::time::sleep(RETRY_DELAY).await;
         }
-        LogLine::new("claim_unsettled").field("claim", &ticket.key).warn();
+        LogLine::new("claim_unsettled").field("claim", &grant.key).warn();
     }
 
-    /// Name and control address of the shard's owner; no address when it is this daemon.
+    /// Name and control address of the daemon that should own the shard of `key`; no address if it is this daemon.
+    /// `None` if no daemon is active.
     fn owner(&self, key: &str) -> Option<(SharedName, Option<SharedName>)> {
         let members = self.shared.members();
         let name = shard_owner(shard_of(key), &members.active_names())?;
@@ -91,7 +101,8 @@
         Some((name, control))
     }
 
-    async fn ask(&self, request: &ClaimRequest) -> ClaimResponse {
+    /// Requests the claim from the shard's owner once.
+    async fn request_claim(&self, request: &ClaimRequest) -> ClaimResponse {
         let Some((name, control)) = self.owner(&request.key) else { return ClaimResponse::Unavailable };
         let Some(control) = control else {
             return self.actor.send(ClaimMessage(request.clone())).await.unwrap_or(ClaimResponse::Unavailable);
@@ -105,6 +116,7 @@
         }
     }
 
+    /// Reports the outcome to the shard's owner once. Returns whether the owner received it.
     async fn settle_once(&self, request: &SettleRequest) -> bool {
         match self.owner(&request.key) {
             None => false,
--- a/crates/daemon/src/claim/claim_store.rs
+++ b/crates/daemon/src/claim/claim_store.rs
@@ -1,4 +1,4 @@
-//! Claims on record in the platform's service.
+//! Stores claims and the owners of their shards in the platform's key-value service.
 
 use crate::shared_state::SharedState;
 use pimentoslip_client::{KeyValueClient, PlatformError, Result};
@@ -7,94 +7,105 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// How long a claim is remembered.
+/// Minimum time for which a claim is stored.
 const RETENTION_MS: u64 = 24 * 3_600 * 1_000;
-/// A lease serves the batches of this span, so that claims end no earlier than their retention.
+/// Time for which a lease is used for new batches. The lease outlives it by the retention time, so that no claim
+/// expires early.
 const LEASE_SPAN_MS: u64 = 3_600 * 1_000;
 
-/// One claim of a batch.
+/// A claim as stored in a batch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredClaim {
-    /// Organisation, service and idempotency key.
+    /// `ORGANISATION/SERVICE/KEY`, where `KEY` is the caller's idempotency key.
     pub key: SharedName,
-    /// Fingerprint of the request.
+    /// Fingerprint of the request, which detects that a key is reused for a different request.
     pub fingerprint: u64,
 }
 
-/// Reads and writes claim records of a site.
+/// Reads and writes the stored claims of a site.
 pub struct ClaimStore<K> {
     kv: K,
     shared: Arc<SharedState>,
+    /// Lease of the current batches, and the time at which the next one is granted.
     lease: Option<(u64, pimentoslip_kernel::TimePoint)>,
-    batches: u64,
+    /// Number of commits so far, which makes the keys of the batches unique.
+    commit_count: u64,
 }
 
-/// A shard's owner record as it was read back.
+/// Owner record of a shard, with its revision.
 enum OwnerRecord {
-    Mine(u64),
-    Others(u64),
+    /// Written by this process.
+    OwnProcess(u64),
+    /// Written by another process, or missing if the revision is 0.
+    OtherProcess(u64),
 }
 
 impl<K: KeyValueClient> ClaimStore<K> {
-    /// Creates a store through `kv`.
+    /// Creates a store that uses the key-value service through `kv`.
     pub fn new(kv: K, shared: Arc<SharedState>) -> Self {
-        Self { kv, shared, lease: None, batches: 0 }
+        Self { kv, shared, lease: None, commit_count: 0 }
     }
 
+    /// Key of the owner record of `shard`.
     fn owner_key(&self, shard: u64) -> String {
         format!("pimentoslip/{}/claim-owner/{shard}", self.shared.settings.site)
     }
 
+    /// Prefix of the keys under which the batches of `shard` are stored.
     fn batch_prefix(&self, shard: u64) -> String {
         format!("pimentoslip/{}/claims/{shard}/", self.shared.settings.site)
     }
 
+    /// Reads the owner record of `shard`.
     async fn owner_record(&self, shard: u64) -> Result<OwnerRecord> {
-        let answer = self.kv.get(&self.owner_key(shard)).await?;
-        let Some(entry) = answer.kvs.first() else { return Ok(OwnerRecord::Others(0)) };
+        let response = self.kv.get(&self.owner_key(shard)).await?;
+        let Some(entry) = response.kvs.first() else { return Ok(OwnerRecord::OtherProcess(0)) };
         if entry.value == self.shared.process().as_bytes() {
-            return Ok(OwnerRecord::Mine(entry.mod_revision));
+            return Ok(OwnerRecord::OwnProcess(entry.mod_revision));
         }
-        Ok(OwnerRecord::Others(entry.mod_revision))
+        Ok(OwnerRecord::OtherProcess(entry.mod_revision))
     }
 
-    /// Becomes the owner of `shard`: writes the owner record first, so that the former owner can commit
-    /// nothing more, and then reads all that is on record.
+    /// Makes this process the owner of `shard`. The owner record is written first, so that the previous owner cannot
+    /// commit any more claims; then the stored claims are read. Returns the revision of the owner record, and the keys
+    /// and request fingerprints of the stored claims. Returns an error if another process became the owner first.
     pub async fn take_over(&self, shard: u64) -> Result<(u64, Vec<(ClaimKey, u64)>)> {
         let epoch = match self.owner_record(shard).await? {
-            OwnerRecord::Mine(epoch) => epoch,
-            OwnerRecord::Others(revision) => self.write_owner(shard, revision).await?,
+            OwnerRecord::OwnProcess(epoch) => epoch,
+            OwnerRecord::OtherProcess(revision) => self.write_owner(shard, revision).await?,
         };
-        let mut recorded = Vec::new();
+        let mut stored = Vec::new();
         for entry in self.kv.range(&self.batch_prefix(shard), 0).await?.kvs {
             let batch: Vec<StoredClaim> = serde_json::from_slice(&entry.value).map_err(|error| {
                 PlatformError::Malformed { endpoint: "claims".to_owned(), problem: error.to_string() }
             })?;
-            recorded.extend(batch.into_iter().map(|claim| (ClaimKey(claim.key), claim.fingerprint)));
+            stored.extend(batch.into_iter().map(|claim| (ClaimKey(claim.key), claim.fingerprint)));
         }
-        Ok((epoch, recorded))
+        Ok((epoch, stored))
     }
 
+    /// Writes the owner record of `shard` if its revision is still `revision`, and returns its new revision.
     async fn write_owner(&self, shard: u64, revision: u64) -> Result<u64> {
         let key = self.owner_key(shard);
         let txn = TxnRequest::default().expect(&key, revision).put(&key, self.shared.process().as_bytes().to_vec(), 0);
         match self.kv.commit(&txn).await {
-            Ok(answer) if answer.succeeded => Ok(answer.header.revision),
-            // Another one was faster, or the answer was lost: the record itself tells.
+            Ok(response) if response.succeeded => Ok(response.header.revision),
+            // Another process wrote the record first, or the response was lost. Read the record to find out.
             Ok(_) | Err(_) => match self.owner_record(shard).await? {
-                OwnerRecord::Mine(epoch) => Ok(epoch),
-                OwnerRecord::Others(_) => Err(PlatformError::LeaseGone),
+                OwnerRecord::OwnProcess(epoch) => Ok(epoch),
+                OwnerRecord::OtherProcess(_) => Err(PlatformError::LeaseGone),
             },
         }
     }
 
-    /// Puts batches of several shards on record in one write, if this daemon still owns all of them.
+    /// Stores batches of claims in one transaction. Each batch has its shard, the revision of this process's owner
+    /// record and the claims. Returns false, and stores nothing, if another process owns one of the shards.
     pub async fn commit(&mut self, batches: &[(u64, u64, Vec<StoredClaim>)]) -> Result<bool> {
         let lease = self.lease().await?;
-        self.batches += 1;
+        self.commit_count += 1;
         let mut txn = TxnRequest::default();
         for (shard, epoch, claims) in batches {
-            let key = format!("{}{epoch:016x}-{:08x}", self.batch_prefix(*shard), self.batches);
+            let key = format!("{}{epoch:016x}-{:08x}", self.batch_prefix(*shard), self.commit_count);
             let value = serde_json::to_vec(claims).map_err(|error| PlatformError::Malformed {
                 endpoint: "claims".to_owned(),
                 problem: error.to_string(),
@@ -104,10 +115,11 @@
         Ok(self.kv.commit(&txn).await?.succeeded)
     }
 
+    /// Lease for a new batch. A new one is granted once the current one has been used for [`LEASE_SPAN_MS`].
     async fn lease(&mut self) -> Result<u64> {
         let now = self.shared.now();
-        if let Some((lease, until)) = self.lease
-            && now < until
+        if let Some((lease, used_until)) = self.lease
+            && now < used_until
         {
             return Ok(lease);
         }
--- a/crates/daemon/src/claim/mod.rs
+++ b/crates/daemon/src/claim/mod.rs
@@ -1,4 +1,5 @@
-//! Idempotency claims: the owner's actor, and the way to it.
+//! Idempotency claims: grants them for the shards that this daemon owns, and requests them from the owners of the
+//! others.
 
 mod claim_actor;
 mod claim_client;
@@ -9,16 +10,16 @@
 
 use pimentoslip_kernel::{SharedName, fingerprint};
 
-/// Shards of claims in a site. Each has one owner, which commits its claims in groups.
+/// Number of claim shards in a site. Each shard is owned by one daemon, which commits its claims in groups.
 const CLAIM_SHARDS: u64 = 8;
 
-/// The shard of a claim.
+/// Index of the shard that holds the claim with `key`.
 #[must_use]
 pub fn shard_of(key: &str) -> u64 {
     fingerprint(&[key.as_bytes()]) % CLAIM_SHARDS
 }
 
-/// The daemon among `active` that should own `shard`.
+/// Daemon among the `active` ones that should own `shard`; `None` if none is active.
 #[must_use]
 pub fn shard_owner(shard: u64, active: &[SharedName]) -> Option<SharedName> {
     pimentoslip_kernel::highest_ranked(&format!("claim/{shard}"), active).cloned()
--- a/crates/daemon/src/upstream/attempt.rs
+++ b/crates/daemon/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one upstream, up to the header of its answer.
+//! One attempt to send a request to an upstream, up to the header of the response.
 
 use super::{UpstreamGuard, UpstreamRequest};
 use crate::{request_id::RequestId, shared_state::SharedState};
@@ -12,23 +12,23 @@
 use pimentoslip_wire::{IDEMPOTENCY_KEY_HEADER, NOT_RUN, PRIORITY_HEADER, REQUEST_ID_HEADER, RUN_STATE_HEADER};
 use std::time::Duration;
 
-/// What went wrong with an attempt.
+/// Reason why an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptFailure {
     /// No connection could be opened.
     Unreachable,
-    /// The upstream refused before running.
+    /// The upstream refused to run the request.
     Refused,
-    /// The connection was lost, or no answer came in time.
+    /// The connection was lost after the request may have been sent.
     Lost,
-    /// As `Lost`, because the caller's time was over.
+    /// No response was received before the request's deadline.
     TimedOut,
-    /// The answer was another request's.
+    /// The response has no request id, or that of another request.
     Mismatch,
 }
 
 impl AttemptFailure {
-    /// Under which reason a retry is counted.
+    /// Reason under which a retry after this failure is counted.
     #[must_use]
     pub fn retry_reason(self) -> RetryReason {
         match self {
@@ -40,18 +40,19 @@
     }
 }
 
-/// A failed attempt, with what is known about the run.
+/// A failed attempt, and whether the upstream may have run the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptError {
-    /// What went wrong.
+    /// Reason of the failure.
     pub failure: AttemptFailure,
-    /// What the upstream may have done.
+    /// Progress of the attempt, which determines the request's run state.
     pub progress: RequestProgress,
 }
 
-/// Whether no connection was opened, so that no byte can have left. The client reports a connection that
-/// closed before the answer as a connect error too, which is no proof of that.
-fn never_connected(error: &ConnectError) -> bool {
+/// Whether the error proves that no connection was opened, so that no part of the request can have been sent. Other
+/// connect errors don't prove it: the HTTP client also reports a connection that was closed before the response as a
+/// connect error.
+fn is_never_connected(error: &ConnectError) -> bool {
     matches!(
         error,
         ConnectError::Io(_)
@@ -62,7 +63,9 @@
     )
 }
 
-/// Sends `request` to the guard's upstream and checks that the answer is its own.
+/// Sends `request` with the id `attempt_id` to the guard's upstream and waits for the header of the response. Returns
+/// an error if the request could not be sent, if the response belongs to another request, or if the upstream refused
+/// the request.
 pub async fn start_attempt(
     shared: &SharedState,
     client: &Client,
@@ -83,8 +86,8 @@
         .insert_header((REQUEST_ID_HEADER, &**attempt_id))
         .insert_header((PRIORITY_HEADER, request.priority.to_string()));
     if request.class != RequestClass::Idempotent {
-        // A connection kept open may be closed by the other side just as it is used again, and whether the
-        // request arrived would be unknown.
+        // The upstream may close a kept-alive connection just as it is reused. It would then be unknown whether the
+        // request has arrived.
         outgoing = outgoing.force_close();
     }
     if let Some(content_type) = &request.content_type {
@@ -96,9 +99,9 @@
     if let RequestClass::Claimed(key) = &request.class {
         outgoing = outgoing.insert_header((IDEMPOTENCY_KEY_HEADER, &**key));
     }
-    let answer = match outgoing.send_body(request.body.clone()).await {
-        Ok(answer) => answer,
-        Err(SendRequestError::Connect(error)) if never_connected(&error) => {
+    let response = match outgoing.send_body(request.body.clone()).await {
+        Ok(response) => response,
+        Err(SendRequestError::Connect(error)) if is_never_connected(&error) => {
             guard.connect_failed();
             return Err(AttemptError { failure: AttemptFailure::Unreachable, progress });
         }
@@ -114,16 +117,16 @@
         }
     };
     progress.connection_opened();
-    let echoed = answer.headers().get(REQUEST_ID_HEADER).and_then(|value| value.to_str().ok());
+    let echoed = response.headers().get(REQUEST_ID_HEADER).and_then(|value| value.to_str().ok());
     if echoed != Some(&**attempt_id) {
         guard.attempt_failed();
         return Err(AttemptError { failure: AttemptFailure::Mismatch, progress });
     }
-    let refused = answer.headers().get(RUN_STATE_HEADER).is_some_and(|value| value.as_bytes() == NOT_RUN.as_bytes());
+    let refused = response.headers().get(RUN_STATE_HEADER).is_some_and(|value| value.as_bytes() == NOT_RUN.as_bytes());
     if refused {
         progress.refusal_received();
         guard.attempt_failed();
         return Err(AttemptError { failure: AttemptFailure::Refused, progress });
     }
-    Ok(answer)
+    Ok(response)
 }
--- a/crates/daemon/src/upstream/dispatcher.rs
+++ b/crates/daemon/src/upstream/dispatcher.rs
@@ -1,4 +1,4 @@
-//! Chooses upstreams and repeats attempts by the retry policy.
+//! Picks an upstream for each attempt of a request and retries failed attempts according to the retry policy.
 
 use super::{AttemptError, AttemptFailure, UpstreamGuard, UpstreamRequest, start_attempt};
 use crate::{
@@ -11,15 +11,16 @@
 use pimentoslip_telemetry::LogLine;
 use std::{sync::Arc, time::Duration};
 
-/// A begun answer, with the count on its upstream.
+/// Response of an upstream whose body has not been read yet.
 pub struct UpstreamResponse<S> {
-    /// The answer, of which the header has arrived.
+    /// Response with its header.
     pub response: ClientResponse<S>,
-    /// Keeps the request counted while its body arrives.
+    /// Counts the request as in flight on the upstream until the body has been read.
     pub guard: UpstreamGuard,
 }
 
-/// Runs `request` until an upstream answers it or it may not be sent again.
+/// Sends `request` to upstreams until one of them responds. Returns an error if no upstream is available, if the
+/// deadline has passed, if the request is quarantined, or if the retry policy allows no further attempt.
 pub async fn dispatch(
     shared: &Arc<SharedState>,
     client: &Client,
@@ -27,7 +28,7 @@
 ) -> Result<
     UpstreamResponse<impl Stream<Item = std::result::Result<bytes::Bytes, awc::error::PayloadError>> + Unpin + use<>>,
 > {
-    let mut tried: Vec<SharedName> = Vec::new();
+    let mut tried_upstreams: Vec<SharedName> = Vec::new();
     let mut attempt = 0;
     let mut run_state = RunState::NotRun;
     shared.budget(&request.organisation, &request.service, pimentoslip_kernel::RetryBudget::record_attempt);
@@ -41,7 +42,7 @@
         if shared.suspects().is_quarantined(request.fingerprint, now) {
             return refuse(RefusalReason::Quarantined);
         }
-        let Some(mut guard) = pick(shared, request, &tried).await else {
+        let Some(mut guard) = pick_upstream(shared, request, &tried_upstreams).await else {
             return refuse(RefusalReason::NoUpstream);
         };
         let attempt_id = request.id.with_suffix(attempt);
@@ -54,56 +55,65 @@
             Ok(response) => return Ok(UpstreamResponse { response, guard }),
             Err(error) => error,
         };
-        tried.push(guard.entry.name.clone());
+        tried_upstreams.push(guard.entry.name.clone());
         drop(guard);
         run_state = run_state.max(error.progress.run_state());
-        if let Err(reason) = wait_for_next(shared, request, attempt, error).await {
+        if let Err(reason) = wait_for_retry(shared, request, attempt, error).await {
             return Err(ApiError { reason, run_state, request_id: request.id.clone() });
         }
     }
 }
 
-/// Picks an upstream. A suspect waits for one with nothing else on it, until its deadline.
-async fn pick(shared: &Arc<SharedState>, request: &UpstreamRequest, tried: &[SharedName]) -> Option<UpstreamGuard> {
-    const POLL: Duration = Duration::from_millis(20);
+/// Picks an upstream, waiting for capacity until the request's deadline. Upstreams in `tried_upstreams` are picked only
+/// if there is no other one. A request that is suspected of crashing upstreams waits for an upstream that runs no other
+/// request. Returns `None` if the service has no live upstream or the deadline has passed.
+async fn pick_upstream(
+    shared: &Arc<SharedState>,
+    request: &UpstreamRequest,
+    tried_upstreams: &[SharedName],
+) -> Option<UpstreamGuard> {
+    const POLL_INTERVAL: Duration = Duration::from_millis(20);
     loop {
         let now = shared.now();
-        let alone = shared.suspects().is_suspect(request.fingerprint, now);
+        let suspect = shared.suspects().is_suspect(request.fingerprint, now);
         let query = RouteQuery {
             service: &request.service,
             failure_domain: &shared.settings.failure_domain,
             prefix_hash: request.prefix_hash,
-            excluded: tried,
-            exclusive: alone,
+            excluded: tried_upstreams,
+            exclusive: suspect,
             inflight_max: request.inflight_max,
         };
         let picked = shared.with_rng(|rng| {
             let mut routes = shared.routes();
-            let again = RouteQuery { excluded: &[], ..query.clone() };
-            routes.pick(&query, now, rng).or_else(|| routes.pick(&again, now, rng))
+            let without_exclusions = RouteQuery { excluded: &[], ..query.clone() };
+            routes.pick(&query, now, rng).or_else(|| routes.pick(&without_exclusions, now, rng))
         });
         if let Some(entry) = picked {
             return Some(UpstreamGuard::new(shared.clone(), entry, request.fingerprint));
         }
-        let any = shared.routes().capacity(&request.service, 1) > 0;
-        if !any || now >= request.deadline {
+        let has_upstream = shared.routes().capacity(&request.service, 1) > 0;
+        if !has_upstream || now >= request.deadline {
             return None;
         }
-        actix_rt::time::sleep(POLL).await;
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Waits before the next attempt, or says why there is none.
-async fn wait_for_next(
+/// Waits until the next attempt may start. Returns the reason for the refusal if there must be none.
+async fn wait_for_retry(
     shared: &Arc<SharedState>,
     request: &UpstreamRequest,
     attempt: u32,
     error: AttemptError,
 ) -> std::result::Result<(), RefusalReason> {
     let now = shared.now();
-    let failed = FailedAttempt { class: &request.class, progress: error.progress, attempt, deadline: request.deadline };
+    let failed_attempt =
+        FailedAttempt { class: &request.class, progress: error.progress, attempt, deadline: request.deadline };
     let decision = shared.with_rng(|rng| {
-        shared.budget(&request.organisation, &request.service, |budget| RetryPolicy.decide(failed, now, budget, rng))
+        shared.budget(&request.organisation, &request.service, |budget| {
+            RetryPolicy.decide(failed_attempt, now, budget, rng)
+        })
     });
     match decision {
         RetryDecision::RetryAt(at) => {
@@ -112,11 +122,12 @@
             Ok(())
         }
         RetryDecision::BudgetExhausted(_) => Err(RefusalReason::RetryExhausted),
-        RetryDecision::Stop(_) => Err(refusal(error.failure)),
+        RetryDecision::Stop(_) => Err(refusal_reason(error.failure)),
     }
 }
 
-fn refusal(failure: AttemptFailure) -> RefusalReason {
+/// Reason for refusing a request after a failure that must not be retried.
+fn refusal_reason(failure: AttemptFailure) -> RefusalReason {
     match failure {
         AttemptFailure::TimedOut => RefusalReason::DeadlinePassed,
         AttemptFailure::Mismatch => RefusalReason::AnswerMismatch,
--- a/crates/daemon/src/upstream/inflight_table.rs
+++ b/crates/daemon/src/upstream/inflight_table.rs
@@ -1,4 +1,4 @@
-//! Which requests are in flight on which upstream.
+//! Tracks which requests are in flight on each upstream.
 
 use pimentoslip_kernel::SharedName;
 use std::{
@@ -6,32 +6,33 @@
     sync::{Mutex, PoisonError},
 };
 
-/// Fingerprints by the upstream's address, to find out which requests were running when it died.
+/// Fingerprints of the requests in flight, by upstream address. Identifies the requests that an upstream was running
+/// when it crashed.
 #[derive(Debug, Default)]
 pub struct InflightTable {
     running: Mutex<HashMap<SharedName, Vec<u64>>>,
 }
 
 impl InflightTable {
-    /// A request begins.
+    /// Records that a request was started on the upstream at `address`.
     pub fn request_started(&self, address: &SharedName, fingerprint: u64) {
         let mut running = self.running.lock().unwrap_or_else(PoisonError::into_inner);
         running.entry(address.clone()).or_default().push(fingerprint);
     }
 
-    /// A request ended.
+    /// Records that a request on the upstream at `address` has ended.
     pub fn request_ended(&self, address: &SharedName, fingerprint: u64) {
         let mut running = self.running.lock().unwrap_or_else(PoisonError::into_inner);
         let Some(fingerprints) = running.get_mut(address) else { return };
-        if let Some(at) = fingerprints.iter().position(|known| *known == fingerprint) {
-            fingerprints.swap_remove(at);
+        if let Some(index) = fingerprints.iter().position(|running| *running == fingerprint) {
+            fingerprints.swap_remove(index);
         }
         if fingerprints.is_empty() {
             running.remove(address);
         }
     }
 
-    /// Different requests in flight.
+    /// Fingerprints of the requests in flight on the upstream at `address`, without duplicates.
     #[must_use]
     pub fn distinct_fingerprints(&self, address: &SharedName) -> Vec<u64> {
         let running = self.running.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/daemon/src/upstream/mod.rs
+++ b/crates/daemon/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Calls to upstreams.
+//! Sends requests to upstreams, retries failed attempts and streams the responses.
 
 mod attempt;
 mod dispatcher;
--- a/crates/daemon/src/upstream/stream_body.rs
+++ b/crates/daemon/src/upstream/stream_body.rs
@@ -1,4 +1,4 @@
-//! A streamed answer on its way to the caller.
+//! Passes a streamed response from an upstream to the caller.
 
 use super::UpstreamGuard;
 use crate::{
@@ -21,101 +21,108 @@
     time::Duration,
 };
 
-/// How long the connection stays open after an error event.
-const LINGER: Duration = Duration::from_millis(50);
-/// How often a running stream looks whether its key still holds.
-const KEY_CHECK_MS: u64 = 500;
+/// Time for which the connection stays open after an error event, so that the event is sent before it closes.
+const CLOSE_DELAY: Duration = Duration::from_millis(50);
+/// Interval at which a running stream checks whether the caller's key is still valid.
+const KEY_CHECK_INTERVAL_MS: u64 = 500;
 
-/// Who reads the stream.
+/// The request whose response is streamed, and its caller.
 pub struct StreamContext {
-    /// State.
+    /// State of the daemon.
     pub shared: Arc<SharedState>,
-    /// Organisation.
+    /// Organisation of the caller.
     pub organisation: SharedName,
-    /// Id of the key.
+    /// Id of the caller's key.
     pub key_id: SharedName,
-    /// Service.
+    /// Name of the service.
     pub service: SharedName,
     /// Id of the request.
     pub id: RequestId,
 }
 
-/// Passes chunks on. The stream counts as whole only with its terminal marker; without it the caller
-/// gets an error event and a connection that ends early.
+/// Response body that passes on the upstream's chunks and counts their tokens. The response is complete only if the
+/// terminal marker was received; without it the caller receives an error event, and the connection is closed before the
+/// end of the body.
 pub struct StreamBody<S> {
-    owner: StreamContext,
-    inner: S,
+    context: StreamContext,
+    chunks: S,
     scanner: StreamScanner,
-    tokens: u64,
+    /// Number of generated tokens so far.
+    token_count: u64,
     next_key_check: TimePoint,
     upstream: UpstreamGuard,
     admission: AdmissionGuard,
-    failed: Option<(ApiError, Pin<Box<Sleep>>)>,
+    /// After an error event was sent: the error, and the delay before the connection is closed.
+    failure: Option<(ApiError, Pin<Box<Sleep>>)>,
+    /// Whether the body has ended.
     done: bool,
     _inflight: InflightGuard,
 }
 
 impl<S> StreamBody<S> {
-    /// Wraps the body of an answer.
+    /// Wraps `chunks`, the body of an upstream's response. The guards are held until the stream is dropped.
     pub fn new(
-        owner: StreamContext,
-        inner: S,
+        context: StreamContext,
+        chunks: S,
         upstream: UpstreamGuard,
         admission: AdmissionGuard,
         inflight: InflightGuard,
     ) -> Self {
-        let next_key_check = owner.shared.now().plus_ms(KEY_CHECK_MS);
+        let next_key_check = context.shared.now().plus_ms(KEY_CHECK_INTERVAL_MS);
         Self {
-            owner,
-            inner,
+            context,
+            chunks,
             scanner: StreamScanner::default(),
-            tokens: 0,
+            token_count: 0,
             next_key_check,
             upstream,
             admission,
-            failed: None,
+            failure: None,
             done: false,
             _inflight: inflight,
         }
     }
 
+    /// Counts the tokens of a chunk of bytes. The total reported by the upstream, if any, replaces the count.
     fn scan(&mut self, chunk: &[u8]) {
-        let tokens = &mut self.tokens;
+        let token_count = &mut self.token_count;
         self.scanner.feed(chunk, |data| {
             let Ok(chunk) = serde_json::from_slice::<StreamChunk>(data) else { return };
-            *tokens += u64::from(chunk.tokens.max(1));
+            *token_count += u64::from(chunk.tokens.max(1));
             if let Some(usage) = chunk.usage {
-                *tokens = usage.completion_tokens;
+                *token_count = usage.completion_tokens;
             }
         });
     }
 
-    /// Whether the key that the stream began with still holds, looked at every [`KEY_CHECK_MS`].
-    fn key_holds(&mut self) -> bool {
-        let shared = &self.owner.shared;
+    /// Whether the caller's key is still valid and this daemon's configuration is fresh enough to rely on. Checked every
+    /// [`KEY_CHECK_INTERVAL_MS`]; true in between.
+    fn is_key_valid(&mut self) -> bool {
+        let shared = &self.context.shared;
         let now = shared.now();
         if now < self.next_key_check {
             return true;
         }
-        self.next_key_check = now.plus_ms(KEY_CHECK_MS);
-        shared.fresh() && shared.config().is_key_valid(&self.owner.organisation, &self.owner.key_id)
+        self.next_key_check = now.plus_ms(KEY_CHECK_INTERVAL_MS);
+        shared.fresh() && shared.config().is_key_valid(&self.context.organisation, &self.context.key_id)
     }
 
-    /// Ends the stream with an error event.
+    /// Fails the stream with `reason`. Returns the error event to send as its last chunk.
     fn fail(&mut self, reason: RefusalReason) -> Bytes {
-        let error = ApiError { reason, run_state: RunState::Ran, request_id: self.owner.id.clone() };
-        self.owner.shared.metrics.refused(reason);
-        LogLine::new("stream_failed").field("request_id", &*self.owner.id).field("reason", reason.code()).warn();
+        let error = ApiError { reason, run_state: RunState::Ran, request_id: self.context.id.clone() };
+        self.context.shared.metrics.refused(reason);
+        LogLine::new("stream_failed").field("request_id", &*self.context.id).field("reason", reason.code()).warn();
         let body = serde_json::to_string(&error.refusal()).unwrap_or_default();
-        // The connection must not end before the event has left.
-        self.failed = Some((error, Box::pin(actix_rt::time::sleep(LINGER))));
+        // The connection must not be closed before the event has been sent.
+        self.failure = Some((error, Box::pin(actix_rt::time::sleep(CLOSE_DELAY))));
         Bytes::from(format!("event: error\ndata: {body}\n\n"))
     }
 
+    /// Records that the response was received completely.
     fn finish(&mut self) {
         self.done = true;
         self.upstream.request_completed();
-        LogLine::new("stream_done").field("request_id", &*self.owner.id).field("tokens", self.tokens).info();
+        LogLine::new("stream_done").field("request_id", &*self.context.id).field("tokens", self.token_count).info();
     }
 }
 
@@ -130,13 +137,13 @@
         if this.done {
             return Poll::Ready(None);
         }
-        if let Some((error, linger)) = &mut this.failed {
-            std::task::ready!(linger.as_mut().poll(context));
+        if let Some((error, close_delay)) = &mut this.failure {
+            std::task::ready!(close_delay.as_mut().poll(context));
             this.done = true;
             return Poll::Ready(Some(Err(error.clone())));
         }
-        let next = std::task::ready!(Pin::new(&mut this.inner).poll_next(context));
-        if !this.key_holds() {
+        let next = std::task::ready!(Pin::new(&mut this.chunks).poll_next(context));
+        if !this.is_key_valid() {
             return Poll::Ready(Some(Ok(this.fail(RefusalReason::KeyUnknown))));
         }
         match next {
@@ -165,7 +172,7 @@
 
 impl<S> Drop for StreamBody<S> {
     fn drop(&mut self) {
-        self.admission.record_actual_tokens(self.tokens);
-        self.owner.shared.record_usage(&self.owner.organisation, &self.owner.service, self.tokens);
+        self.admission.record_actual_tokens(self.token_count);
+        self.context.shared.record_usage(&self.context.organisation, &self.context.service, self.token_count);
     }
 }
--- a/crates/daemon/src/upstream/upstream_guard.rs
+++ b/crates/daemon/src/upstream/upstream_guard.rs
@@ -1,4 +1,4 @@
-//! A request counted on its upstream.
+//! Counts a request as in flight on its upstream, and detects crashes of the upstream.
 
 use crate::shared_state::SharedState;
 use actix_rt::net::TcpStream;
@@ -6,69 +6,72 @@
 use pimentoslip_telemetry::LogLine;
 use std::{io, sync::Arc, time::Duration};
 
+/// Timeout of one connection attempt that probes whether an upstream still listens.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
-/// A dying process closes its connections a little before its port, so that one probe may come too early.
-const PROBE_PAUSES_MS: [u64; 3] = [0, 50, 100];
+/// Delays before the probes. A process that ends closes its connections shortly before its port, so that a single probe
+/// could still find the port open.
+const PROBE_DELAYS_MS: [u64; 3] = [0, 50, 100];
 
-/// Ends the count when dropped.
+/// Counts a request as in flight on its upstream until it is dropped, and records there whether the attempt failed.
 pub struct UpstreamGuard {
     shared: Arc<SharedState>,
-    /// The upstream.
+    /// The upstream's route table entry at the time of the pick.
     pub entry: UpstreamEntry,
     fingerprint: u64,
-    began: TimePoint,
+    started_at: TimePoint,
     failed: bool,
 }
 
 impl UpstreamGuard {
-    /// Counts a request with `fingerprint`, already picked, on `entry`.
+    /// Counts the request with `fingerprint` as in flight on `entry`, which was picked for it.
     #[must_use]
     pub fn new(shared: Arc<SharedState>, entry: UpstreamEntry, fingerprint: u64) -> Self {
         shared.running.request_started(&entry.address, fingerprint);
-        let began = shared.now();
-        Self { shared, entry, fingerprint, began, failed: false }
+        let started_at = shared.now();
+        Self { shared, entry, fingerprint, started_at, failed: false }
     }
 
-    /// The upstream could not be reached, refused, or was slow.
+    /// Records that the attempt failed: the upstream refused the request, did not respond in time, or returned the
+    /// response to another request.
     pub fn attempt_failed(&mut self) {
         self.failed = true;
     }
 
-    /// No connection could be opened.
+    /// Records that no connection to the upstream could be opened.
     pub fn connect_failed(&mut self) {
         self.failed = true;
         let now = self.shared.now();
         self.shared.routes().connection_refused(&self.entry.name, now);
     }
 
-    /// The connection was lost while the upstream ran the request. If the upstream has died, what was
-    /// in flight on it comes under suspicion.
+    /// Records that the connection was lost while the upstream may have been running the request. If the upstream has
+    /// crashed, all requests that were in flight on it are marked as suspects.
     pub async fn connection_lost(&mut self) {
         self.failed = true;
         let running = self.shared.running.distinct_fingerprints(&self.entry.address);
-        blame_if_dead(&self.shared, &self.entry, &running).await;
+        mark_suspects_if_crashed(&self.shared, &self.entry, &running).await;
     }
 
-    /// As [`connection_lost`](Self::connection_lost), where nothing can wait.
+    /// Does the same as [`connection_lost`](Self::connection_lost) in a background task, for callers that cannot await.
     pub fn connection_lost_in_background(&mut self) {
         self.failed = true;
         let running = self.shared.running.distinct_fingerprints(&self.entry.address);
         let (shared, entry) = (self.shared.clone(), self.entry.clone());
-        actix_rt::spawn(async move { blame_if_dead(&shared, &entry, &running).await });
+        actix_rt::spawn(async move { mark_suspects_if_crashed(&shared, &entry, &running).await });
     }
 
-    /// The upstream ran the request to its end, which clears it of suspicion.
+    /// Records that the upstream completed the request, and removes the request's suspect mark.
     pub fn request_completed(&self) {
         self.shared.suspects().clear(self.fingerprint);
-        let took_ms = self.shared.now().since_ms(self.began);
-        self.shared.routes().duration_observed(&self.entry.name, took_ms);
+        let duration_ms = self.shared.now().since_ms(self.started_at);
+        self.shared.routes().duration_observed(&self.entry.name, duration_ms);
     }
 }
 
-/// Whether nothing listens at the upstream's address any more, which shows that its process has ended.
-async fn port_refuses(entry: &UpstreamEntry) -> bool {
-    for pause_ms in PROBE_PAUSES_MS {
-        actix_rt::time::sleep(Duration::from_millis(pause_ms)).await;
+/// Whether the upstream's address refuses connections, which means that its process has ended.
+async fn is_refusing_connections(entry: &UpstreamEntry) -> bool {
+    for delay_ms in PROBE_DELAYS_MS {
+        actix_rt::time::sleep(Duration::from_millis(delay_ms)).await;
         let probe = actix_rt::time::timeout(PROBE_TIMEOUT, TcpStream::connect(&*entry.address)).await;
         if matches!(probe, Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused) {
             return true;
@@ -77,9 +80,9 @@
     false
 }
 
-/// Puts what was running under suspicion if the upstream has died.
-async fn blame_if_dead(shared: &SharedState, entry: &UpstreamEntry, running: &[u64]) {
-    let dead = port_refuses(entry).await;
+/// Probes the upstream and, if it has crashed, marks the requests with the fingerprints `running` as suspects.
+async fn mark_suspects_if_crashed(shared: &SharedState, entry: &UpstreamEntry, running: &[u64]) {
+    let dead = is_refusing_connections(entry).await;
     LogLine::new("upstream_lost")
         .field("upstream", &entry.name)
         .field("dead", dead)
--- a/crates/daemon/src/upstream/upstream_request.rs
+++ b/crates/daemon/src/upstream/upstream_request.rs
@@ -1,39 +1,39 @@
-//! What is sent to an upstream.
+//! Request as it is sent to an upstream.
 
 use crate::request_id::RequestId;
 use actix_web::http::Method;
 use bytes::Bytes;
 use pimentoslip_kernel::{RequestClass, SharedName, TimePoint};
 
-/// A caller's request, stripped of everything that the upstream must not see.
+/// A caller's request, reduced to the parts that the upstream may see, with the data that routing needs.
 #[derive(Clone, Debug)]
 pub struct UpstreamRequest {
-    /// Id that the answer must repeat.
+    /// Id of the request. Each attempt adds a suffix to it, which the upstream's response must echo.
     pub id: RequestId,
-    /// Organisation whose key came with it; the open one on open routes.
+    /// Organisation that owns the caller's key; a fixed one on routes that need no key.
     pub organisation: SharedName,
-    /// Service.
+    /// Name of the service whose upstreams can run the request.
     pub service: SharedName,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path and query.
+    /// Path with the query string.
     pub path: String,
-    /// Content type, if any.
+    /// Value of the `Content-Type` header, if any.
     pub content_type: Option<String>,
-    /// Accepted answer types, if any.
+    /// Value of the `Accept` header, if any.
     pub accept: Option<String>,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
-    /// How often it may be sent.
+    /// Whether the request may be sent to an upstream more than once.
     pub class: RequestClass,
-    /// Priority at engines, lower first.
+    /// Priority at the upstream; lower values run first.
     pub priority: u32,
-    /// When the caller stops waiting.
+    /// Time at which the caller stops waiting.
     pub deadline: TimePoint,
-    /// Fingerprint over organisation, service, path and body.
+    /// Fingerprint that identifies repeats of the request; includes the organisation and the body or prompt.
     pub fingerprint: u64,
-    /// Hash of the prompt's beginning.
+    /// Hash of the first bytes of the prompt, used to route requests with the same prefix to the same upstream.
     pub prefix_hash: Option<u64>,
-    /// Most requests of this daemon on one upstream.
+    /// Maximum number of requests that this daemon may have in flight on one upstream.
     pub inflight_max: u64,
 }
