--- a/crates/daemon/src/step/mod.rs
+++ b/crates/daemon/src/step/mod.rs
@@ -1,4 +1,5 @@
-//! Trainers' steps: the home's actor, and the way to it.
+//! Steps of trainers: runs the samples of the steps that this daemon owns, and forwards calls for other steps to their
+//! owners.
 
 mod sample_attempt;
 mod step_actor;
--- a/crates/daemon/src/step/sample_attempt.rs
+++ b/crates/daemon/src/step/sample_attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one sample.
+//! One attempt to generate a sample of a step on an engine.
 
 use crate::{
     request_id::RequestId,
@@ -12,43 +12,44 @@
 use pimentoslip_wire::engine::{ChatMessage, CompletionRequest, StreamChunk};
 use std::sync::Arc;
 
-/// Engines run trainers' work after customers' calls.
+/// Priority of samples at the engines, which run customers' requests first. Lower values run first.
 const SAMPLE_PRIORITY: u32 = 200;
-const PREFIX_BYTES: usize = 256;
+/// Length of the start of the prompt that is hashed for routing.
+const PROMPT_PREFIX_BYTES: usize = 256;
 
-/// Why an attempt gave no sample.
+/// Reason why an attempt did not generate a sample.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SampleError {
-    /// No engine answered.
-    #[error("no engine answered; the sample is run again")]
+    /// No engine responded.
+    #[error("no engine responded; the sample is run again")]
     NoResponse,
-    /// The answer ended without its terminal marker.
-    #[error("the answer was cut; the sample is run again")]
+    /// The response ended without its terminal marker.
+    #[error("the response ended before its terminal marker; the sample is run again")]
     Truncated,
-    /// A chunk named no weight version.
-    #[error("a chunk named no weight version; check the engine's release")]
+    /// The response has no tokens, a chunk without a weight version, or a malformed chunk.
+    #[error("the response has no tokens or a chunk without a weight version; check the engine's release")]
     VersionMissing,
 }
 
-/// What to run.
+/// An attempt at one sample of a step.
 #[derive(Clone, Debug)]
 pub struct SampleAttempt {
-    /// Organisation.
+    /// Organisation that opened the step.
     pub organisation: SharedName,
-    /// Step.
+    /// Key of the step in its site.
     pub step: SharedName,
-    /// Position in the step.
+    /// Position of the sample in the step.
     pub sample: usize,
-    /// Number of the attempt.
+    /// Number of the attempt, unique in the step.
     pub attempt: u64,
-    /// Most samples on one upstream.
+    /// Maximum number of samples in flight on one upstream.
     pub inflight_max: u64,
     /// Time for the attempt in milliseconds from its start.
     pub timeout_ms: u64,
 }
 
 impl SampleAttempt {
-    /// Streams the sample from an engine and keeps which version produced which tokens.
+    /// Streams the sample from an engine, and records which weight version generated which tokens.
     pub async fn run(
         self,
         shared: Arc<SharedState>,
@@ -56,34 +57,36 @@
         spec: Arc<StepSpec>,
     ) -> Result<SampleResult, SampleError> {
         let request = self.request(&shared, &spec);
-        let mut dispatched = dispatch(&shared, &client, &request).await.map_err(|_| SampleError::NoResponse)?;
+        let mut upstream = dispatch(&shared, &client, &request).await.map_err(|_| SampleError::NoResponse)?;
         let mut scanner = StreamScanner::default();
         let mut sample = SampleResult { sample: self.sample, text: String::new(), segments: Vec::new() };
-        let mut versions_known = true;
-        while let Some(chunk) = dispatched.response.next().await {
+        let mut versions_present = true;
+        while let Some(chunk) = upstream.response.next().await {
             let Ok(chunk) = chunk else {
-                dispatched.guard.connection_lost().await;
+                upstream.guard.connection_lost().await;
                 return Err(SampleError::Truncated);
             };
-            scanner.feed(&chunk, |data| versions_known &= take_chunk(&mut sample, data));
+            scanner.feed(&chunk, |data| versions_present &= append_chunk(&mut sample, data));
         }
         if !scanner.is_finished() {
-            dispatched.guard.connection_lost().await;
+            upstream.guard.connection_lost().await;
             return Err(SampleError::Truncated);
         }
-        dispatched.guard.request_completed();
+        upstream.guard.request_completed();
         let tokens = sample.segments.last().map_or(0, |segment| u64::from(segment.end));
         shared.record_usage(&self.organisation, &spec.service, tokens);
-        if !versions_known || sample.segments.is_empty() {
+        if !versions_present || sample.segments.is_empty() {
             return Err(SampleError::VersionMissing);
         }
         Ok(sample)
     }
 
+    /// Request to an engine for the sample. Its seed depends only on the step and the sample, so that every attempt
+    /// sends the same request.
     fn request(&self, shared: &SharedState, spec: &StepSpec) -> UpstreamRequest {
         let prompt = &spec.prompts[self.sample / spec.group_size];
         let seed = fingerprint(&[self.step.as_bytes(), &self.sample.to_be_bytes()]);
-        let question = CompletionRequest {
+        let completion = CompletionRequest {
             model: spec.service.clone(),
             messages: vec![ChatMessage { role: "user".to_owned(), content: prompt.to_string() }],
             prompt: None,
@@ -91,9 +94,9 @@
             stream: true,
             seed: Some(seed),
         };
-        // The question consists of plain strings and numbers, which always encode.
-        let body = serde_json::to_vec(&question).unwrap_or_default();
-        let head = &prompt.as_bytes()[..prompt.len().min(PREFIX_BYTES)];
+        // The request consists of plain strings and numbers, which always encode.
+        let body = serde_json::to_vec(&completion).unwrap_or_default();
+        let prompt_prefix = &prompt.as_bytes()[..prompt.len().min(PROMPT_PREFIX_BYTES)];
         UpstreamRequest {
             id: RequestId::new(format!("{}/{}/{}", self.step, self.sample, self.attempt)),
             organisation: self.organisation.clone(),
@@ -103,7 +106,7 @@
             content_type: Some("application/json".to_owned()),
             accept: Some("text/event-stream".to_owned()),
             fingerprint: fingerprint(&[self.organisation.as_bytes(), prompt.as_bytes()]),
-            prefix_hash: Some(fingerprint(&[head])),
+            prefix_hash: Some(fingerprint(&[prompt_prefix])),
             body: body.into(),
             class: RequestClass::Idempotent,
             priority: SAMPLE_PRIORITY,
@@ -113,8 +116,9 @@
     }
 }
 
-/// Adds a chunk; false when it has tokens of an unknown version.
-fn take_chunk(sample: &mut SampleResult, data: &[u8]) -> bool {
+/// Adds the text and tokens of a chunk to `sample`. Returns false if the chunk is malformed or has tokens without a
+/// weight version.
+fn append_chunk(sample: &mut SampleResult, data: &[u8]) -> bool {
     let Ok(chunk) = serde_json::from_slice::<StreamChunk>(data) else { return false };
     for choice in &chunk.choices {
         sample.text.push_str(&choice.delta.content);
--- a/crates/daemon/src/step/step_actor.rs
+++ b/crates/daemon/src/step/step_actor.rs
@@ -1,4 +1,4 @@
-//! The home of steps: runs their samples and hands them over.
+//! Runs the samples of the steps that this daemon owns, and delivers them to the trainers.
 
 use super::{
     sample_attempt::{SampleAttempt, SampleError},
@@ -23,68 +23,72 @@
 };
 use tokio::sync::oneshot;
 
-const TICK: Duration = Duration::from_millis(20);
-/// A step that no trainer asked for in this time is dropped.
-const STEP_IDLE_MS: u64 = 600_000;
-/// Longest wait of one fetch.
+/// Interval at which attempts are started and waiting fetches are answered.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Time without a fetch after which a step is removed.
+const STEP_IDLE_TIMEOUT_MS: u64 = 600_000;
+/// Maximum time for which a fetch waits for a sample.
 const FETCH_WAIT_MS_MAX: u64 = 20_000;
-/// Most samples that a step may have.
+/// Maximum number of samples in a step.
 const STEP_SAMPLES_MAX: usize = 65_536;
-/// Share of an upstream's places that samples may take, so that customers' calls always find one.
-const SAMPLE_SHARE: (u64, u64) = (3, 4);
+/// Share of an upstream's request slots that samples may use, as numerator and denominator. The other slots stay free
+/// for customers' requests.
+const SAMPLE_SLOT_SHARE: (u64, u64) = (3, 4);
 
-/// Outcome of a trainer's call.
+/// Outcome of a trainer's call: the response, or the reason for refusing it.
 pub type StepOutcome<T> = std::result::Result<T, RefusalReason>;
 
-/// Opens a step.
+/// Opens a step on this daemon, its owner. Opening it again with the same specification has no effect.
 #[derive(Message)]
 #[rtype(result = "StepOutcome<OpenAnswer>")]
 pub struct OpenStepMessage {
-    /// Organisation.
+    /// Organisation of the trainer.
     pub organisation: SharedName,
-    /// Body.
+    /// Body of the trainer's request.
     pub open: OpenRequest,
 }
 
-/// Fetches samples.
+/// Fetches complete samples of a step that this daemon owns.
 #[derive(Message)]
 #[rtype(result = "StepOutcome<FetchAnswer>")]
 pub struct FetchSamplesMessage {
-    /// Organisation.
+    /// Organisation of the trainer.
     pub organisation: SharedName,
-    /// Body.
+    /// Body of the trainer's request.
     pub fetch: FetchRequest,
 }
 
-/// Lists the steps at home here.
+/// Lists the steps that this daemon owns, with their progress.
 #[derive(Message)]
 #[rtype(result = "Vec<StepStatus>")]
 pub struct ListStepsMessage;
 
-/// An attempt ended.
+/// Reports that an attempt at a sample ended.
 #[derive(Message)]
 #[rtype(result = "()")]
-struct EndMessage {
+struct AttemptEndedMessage {
     step: SharedName,
     order: DispatchOrder,
     outcome: Result<SampleResult, SampleError>,
 }
 
-/// Holds the ledgers of all steps whose home is this daemon.
+/// Holds the state of all steps that this daemon owns.
 pub struct StepActor {
     shared: Arc<SharedState>,
     client: Client,
+    /// Steps by key.
     steps: BTreeMap<SharedName, StepState>,
 }
 
 impl StepActor {
-    /// Creates the actor.
+    /// Creates an actor without steps.
     #[must_use]
     pub fn new(shared: Arc<SharedState>) -> Self {
         Self { shared, client: plain_client(), steps: BTreeMap::new() }
     }
 
-    fn open(&mut self, organisation: SharedName, open: OpenRequest) -> StepOutcome<OpenAnswer> {
+    /// Opens a step. Returns an error if the specification is invalid, or if the step was opened with another one.
+    fn open_step(&mut self, organisation: SharedName, open: OpenRequest) -> StepOutcome<OpenAnswer> {
         let key = step_key(&organisation, &open.trainer, open.step);
         let spec = StepSpec::from(open);
         if spec.group_size == 0
@@ -98,41 +102,48 @@
         if let Some(state) = self.steps.get(&key) {
             return if *state.spec == spec { Ok(OpenAnswer { samples }) } else { Err(RefusalReason::StepConflict) };
         }
-        let (bound, published) = {
+        let (staleness_bound, published_version) = {
             let config = self.shared.config();
             (config.site().map_or(0, |site| site.staleness_bound), config.published_version(&spec.service))
         };
-        let idle_at = self.shared.now().plus_ms(STEP_IDLE_MS);
-        let state = StepState::new(organisation, spec, bound, published, idle_at);
+        let expires_at = self.shared.now().plus_ms(STEP_IDLE_TIMEOUT_MS);
+        let state = StepState::new(organisation, spec, staleness_bound, published_version, expires_at);
         LogLine::new("step_opened").field("step", &key).field("samples", samples).info();
         self.steps.insert(key, state);
         Ok(OpenAnswer { samples })
     }
 
-    fn fetch(&mut self, organisation: &str, fetch: FetchRequest, sender: oneshot::Sender<StepOutcome<FetchAnswer>>) {
+    /// Sends the response to a fetch to `sender`: at once, or when there are samples or the wait times out.
+    fn fetch_samples(
+        &mut self,
+        organisation: &str,
+        fetch: FetchRequest,
+        sender: oneshot::Sender<StepOutcome<FetchAnswer>>,
+    ) {
         let key = step_key(organisation, &fetch.trainer, fetch.step);
         let now = self.shared.now();
         let Some(state) = self.steps.get_mut(&key) else {
-            // The asker may have gone.
+            // The requester may have stopped waiting.
             let _ = sender.send(Err(RefusalReason::StepUnknown));
             return;
         };
-        state.idle_at = now.plus_ms(STEP_IDLE_MS);
+        state.expires_at = now.plus_ms(STEP_IDLE_TIMEOUT_MS);
         let deadline = now.plus_ms(fetch.wait_ms.min(FETCH_WAIT_MS_MAX));
-        state.waiting.push(WaitingFetch { fetch, deadline, sender });
-        state.answer(&self.shared, now);
+        state.waiting_fetches.push(WaitingFetch { request: fetch, deadline, sender });
+        state.answer_fetches(&self.shared, now);
     }
 
-    fn ended(&mut self, message: EndMessage) {
+    /// Records the outcome of an attempt, and aborts other attempts that it makes superfluous.
+    fn attempt_ended(&mut self, message: AttemptEndedMessage) {
         let now = self.shared.now();
         let Some(state) = self.steps.get_mut(&message.step) else { return };
-        state.runs.remove(&message.order.attempt);
+        state.attempts.remove(&message.order.attempt);
         match message.outcome {
             Ok(sample) => {
                 let outcome = state.ledger.attempt_finished(message.order, sample, now);
-                for loser in outcome.superseded_attempts {
-                    if let Some(run) = state.runs.remove(&loser) {
-                        run.abort();
+                for superseded in outcome.superseded_attempts {
+                    if let Some(attempt) = state.attempts.remove(&superseded) {
+                        attempt.abort();
                     }
                 }
             }
@@ -145,70 +156,73 @@
                     .info();
             }
         }
-        state.answer(&self.shared, now);
+        state.answer_fetches(&self.shared, now);
     }
 
+    /// Applies newly published weight versions, answers waiting fetches, removes idle steps and starts attempts.
     fn tick(&mut self, context: &mut Context<Self>) {
         let now = self.shared.now();
         for state in self.steps.values_mut() {
-            let published = self.shared.config().published_version(&state.spec.service);
-            state.ledger.version_published(published);
-            state.answer(&self.shared, now);
+            let published_version = self.shared.config().published_version(&state.spec.service);
+            state.ledger.version_published(published_version);
+            state.answer_fetches(&self.shared, now);
         }
         self.steps.retain(|_, state| {
-            let keep = now < state.idle_at;
-            if !keep {
-                state.runs.values().for_each(JoinHandle::abort);
+            let in_use = now < state.expires_at;
+            if !in_use {
+                state.attempts.values().for_each(JoinHandle::abort);
             }
-            keep
+            in_use
         });
         if !self.shared.draining.load(std::sync::atomic::Ordering::SeqCst) {
-            self.dispatch(now, context);
+            self.start_attempts(now, context);
         }
     }
 
-    /// Starts samples while engines have room, the step with the fewest running ones first.
-    fn dispatch(&mut self, now: TimePoint, context: &mut Context<Self>) {
-        let mut keys: Vec<(usize, SharedName)> =
+    /// Starts attempts while the engines have free slots. The step with the fewest running attempts comes first.
+    fn start_attempts(&mut self, now: TimePoint, context: &mut Context<Self>) {
+        let mut queue: Vec<(usize, SharedName)> =
             self.steps.iter().map(|(key, state)| (state.ledger.running_attempts(), key.clone())).collect();
-        let mut running: HashMap<SharedName, usize> = HashMap::new();
+        let mut running_by_service: HashMap<SharedName, usize> = HashMap::new();
         for state in self.steps.values() {
-            *running.entry(state.spec.service.clone()).or_default() += state.ledger.running_attempts();
+            *running_by_service.entry(state.spec.service.clone()).or_default() += state.ledger.running_attempts();
         }
-        while !keys.is_empty() {
-            keys.sort();
-            let (_, key) = keys[0].clone();
-            if self.start_one(&key, &mut running, now, context) {
-                keys[0].0 += 1;
+        while !queue.is_empty() {
+            queue.sort();
+            let (_, key) = queue[0].clone();
+            if self.start_attempt(&key, &mut running_by_service, now, context) {
+                queue[0].0 += 1;
             } else {
-                keys.remove(0);
+                queue.remove(0);
             }
         }
     }
 
-    fn start_one(
+    /// Starts the next attempt of the step `key`, and counts it in `running_by_service`. Returns false if nothing was
+    /// started: the step has nothing to start, or the service has no free slots or no configuration.
+    fn start_attempt(
         &mut self,
         key: &SharedName,
-        running: &mut HashMap<SharedName, usize>,
+        running_by_service: &mut HashMap<SharedName, usize>,
         now: TimePoint,
         context: &mut Context<Self>,
     ) -> bool {
         let Some(state) = self.steps.get_mut(key) else { return false };
         let service = state.spec.service.clone();
         let Some((inflight_max, timeout_ms)) = self.shared.config().service(&service).map(|service| {
-            let share = service.inflight_per_upstream * SAMPLE_SHARE.0 / SAMPLE_SHARE.1;
-            (share.max(1), service.timeout_ms)
+            let sample_slots = service.inflight_per_upstream * SAMPLE_SLOT_SHARE.0 / SAMPLE_SLOT_SHARE.1;
+            (sample_slots.max(1), service.timeout_ms)
         }) else {
             return false;
         };
-        let count = running.entry(service.clone()).or_default();
-        if *count >= self.shared.routes().capacity(&service, inflight_max) {
+        let running_count = running_by_service.entry(service.clone()).or_default();
+        if *running_count >= self.shared.routes().capacity(&service, inflight_max) {
             return false;
         }
         let hedge_after_ms = if self.shared.settings.hedging { state.ledger.hedge_after_ms() } else { None };
         let Some(order) = state.ledger.dispatch(now, hedge_after_ms) else { return false };
-        *count += 1;
-        let run = SampleAttempt {
+        *running_count += 1;
+        let attempt = SampleAttempt {
             organisation: state.organisation.clone(),
             step: key.clone(),
             sample: order.sample,
@@ -219,10 +233,10 @@
         let (shared, client, spec) = (self.shared.clone(), self.client.clone(), state.spec.clone());
         let (actor, step) = (context.address(), key.clone());
         let handle = actix_rt::spawn(async move {
-            let outcome = run.run(shared, client, spec).await;
-            actor.do_send(EndMessage { step, order, outcome });
+            let outcome = attempt.run(shared, client, spec).await;
+            actor.do_send(AttemptEndedMessage { step, order, outcome });
         });
-        state.runs.insert(order.attempt, handle);
+        state.attempts.insert(order.attempt, handle);
         true
     }
 }
@@ -231,7 +245,7 @@
     type Context = Context<Self>;
 
     fn started(&mut self, context: &mut Context<Self>) {
-        context.run_interval(TICK, Self::tick);
+        context.run_interval(TICK_INTERVAL, Self::tick);
     }
 }
 
@@ -239,7 +253,7 @@
     type Result = MessageResult<OpenStepMessage>;
 
     fn handle(&mut self, message: OpenStepMessage, _context: &mut Context<Self>) -> Self::Result {
-        MessageResult(self.open(message.organisation, message.open))
+        MessageResult(self.open_step(message.organisation, message.open))
     }
 }
 
@@ -248,7 +262,7 @@
 
     fn handle(&mut self, message: FetchSamplesMessage, _context: &mut Context<Self>) -> Self::Result {
         let (sender, receiver) = oneshot::channel();
-        self.fetch(&message.organisation, message.fetch, sender);
+        self.fetch_samples(&message.organisation, message.fetch, sender);
         Box::pin(async move { receiver.await.unwrap_or(Err(RefusalReason::StepUnknown)) })
     }
 }
@@ -269,10 +283,10 @@
     }
 }
 
-impl Handler<EndMessage> for StepActor {
+impl Handler<AttemptEndedMessage> for StepActor {
     type Result = ();
 
-    fn handle(&mut self, message: EndMessage, _context: &mut Context<Self>) {
-        self.ended(message);
+    fn handle(&mut self, message: AttemptEndedMessage, _context: &mut Context<Self>) {
+        self.attempt_ended(message);
     }
 }
--- a/crates/daemon/src/step/step_client.rs
+++ b/crates/daemon/src/step/step_client.rs
@@ -1,4 +1,4 @@
-//! The way from an entry daemon to the home of a step.
+//! Forwards trainers' calls to the daemons that own their steps.
 
 use super::{FetchSamplesMessage, OpenStepMessage, StepActor, step_actor::StepOutcome, step_key};
 use crate::{
@@ -16,9 +16,10 @@
 };
 use std::sync::Arc;
 
-const FORWARD_MARGIN_MS: u64 = 3_000;
+/// Timeout of a forwarded call, in addition to the time for which the call itself may wait.
+const FORWARD_TIMEOUT_MS: u64 = 3_000;
 
-/// Passes trainers' calls to the home of their step. Not shared between threads.
+/// Client for the owners of steps, which may be this daemon. Each thread has its own.
 #[derive(Clone)]
 pub struct StepClient {
     shared: Arc<SharedState>,
@@ -27,49 +28,50 @@
 }
 
 impl StepClient {
-    /// Creates a gate; `actor` is this daemon's own.
+    /// Creates a client; `actor` holds the steps that this daemon owns.
     #[must_use]
     pub fn new(shared: Arc<SharedState>, actor: Addr<StepActor>, peers: PeerClient) -> Self {
         Self { shared, actor, peers }
     }
 
-    /// Opens a step at its home.
+    /// Opens a step on the daemon that owns it.
     pub async fn open(&self, organisation: SharedName, open: OpenRequest, id: &RequestId) -> Result<OpenAnswer> {
         let key = step_key(&organisation, &open.trainer, open.step);
         let request = ForwardRequest::Open { organisation, request_id: id.to_arc(), open };
-        match self.forward(&key, request, FORWARD_MARGIN_MS, id).await? {
+        match self.forward(&key, request, FORWARD_TIMEOUT_MS, id).await? {
             ForwardAnswer::Opened(answer) => Ok(answer),
-            answer => Err(unexpected(answer, id)),
+            answer => Err(refusal_error(answer, id)),
         }
     }
 
-    /// Fetches samples from a step's home.
+    /// Fetches samples from the daemon that owns the step.
     pub async fn fetch(&self, organisation: SharedName, fetch: FetchRequest, id: &RequestId) -> Result<FetchAnswer> {
         let key = step_key(&organisation, &fetch.trainer, fetch.step);
-        let timeout_ms = fetch.wait_ms + FORWARD_MARGIN_MS;
+        let timeout_ms = fetch.wait_ms + FORWARD_TIMEOUT_MS;
         let request = ForwardRequest::Fetch { organisation, request_id: id.to_arc(), fetch };
         match self.forward(&key, request, timeout_ms, id).await? {
             ForwardAnswer::Fetched(answer) => Ok(answer),
-            answer => Err(unexpected(answer, id)),
+            answer => Err(refusal_error(answer, id)),
         }
     }
 
-    /// Serves a call whose home is this daemon.
+    /// Serves a call for a step that this daemon owns.
     pub async fn serve_locally(&self, request: ForwardRequest) -> ForwardAnswer {
         match request {
             ForwardRequest::Open { organisation, request_id, open } => {
                 LogLine::new("step_open").field("request_id", &request_id).info();
                 let outcome = self.actor.send(OpenStepMessage { organisation, open }).await;
-                answer(outcome.unwrap_or(Err(RefusalReason::StepUnknown)), &request_id, ForwardAnswer::Opened)
+                forward_answer(outcome.unwrap_or(Err(RefusalReason::StepUnknown)), &request_id, ForwardAnswer::Opened)
             }
             ForwardRequest::Fetch { organisation, request_id, fetch } => {
                 LogLine::new("step_fetch").field("request_id", &request_id).info();
                 let outcome = self.actor.send(FetchSamplesMessage { organisation, fetch }).await;
-                answer(outcome.unwrap_or(Err(RefusalReason::StepUnknown)), &request_id, ForwardAnswer::Fetched)
+                forward_answer(outcome.unwrap_or(Err(RefusalReason::StepUnknown)), &request_id, ForwardAnswer::Fetched)
             }
         }
     }
 
+    /// Sends a call to the daemon that should own the step `key`, or serves it here if that is this daemon.
     async fn forward(
         &self,
         key: &str,
@@ -79,8 +81,8 @@
     ) -> Result<ForwardAnswer> {
         let control = {
             let members = self.shared.members();
-            let home = pimentoslip_kernel::highest_ranked(&format!("step/{key}"), &members.active_names()).cloned();
-            home.and_then(|home| members.get(&home).map(|member| member.control.clone()))
+            let owner = pimentoslip_kernel::highest_ranked(&format!("step/{key}"), &members.active_names()).cloned();
+            owner.and_then(|owner| members.get(&owner).map(|member| member.control.clone()))
         };
         let Some(control) = control else { return Ok(self.serve_locally(request).await) };
         self.peers.call(&control, "/peer/forward", &request, timeout_ms).await.map_err(|error| {
@@ -90,19 +92,20 @@
     }
 }
 
-fn answer<T>(outcome: StepOutcome<T>, id: &str, wrap: impl FnOnce(T) -> ForwardAnswer) -> ForwardAnswer {
+/// Wraps the outcome of a call for the daemon that forwarded it.
+fn forward_answer<T>(outcome: StepOutcome<T>, id: &str, wrap: impl FnOnce(T) -> ForwardAnswer) -> ForwardAnswer {
     match outcome {
         Ok(answer) => wrap(answer),
         Err(reason) => ForwardAnswer::Refused(reason.status(), Refusal::new(reason, RunState::NotRun, id)),
     }
 }
 
-/// Turns a refusal by the home into one by this daemon.
-fn unexpected(answer: ForwardAnswer, id: &RequestId) -> ApiError {
+/// Converts a refusal by the step's owner into one by this daemon. Any other answer becomes `PeerUnreachable`.
+fn refusal_error(answer: ForwardAnswer, id: &RequestId) -> ApiError {
     let code = match &answer {
         ForwardAnswer::Refused(_, refusal) => refusal.error.code.as_str(),
         ForwardAnswer::Opened(_) | ForwardAnswer::Fetched(_) => "",
     };
-    let known = RefusalReason::ALL.iter().find(|reason| reason.code() == code);
-    ApiError::not_run(known.copied().unwrap_or(RefusalReason::PeerUnreachable), id)
+    let reason = RefusalReason::ALL.iter().find(|reason| reason.code() == code);
+    ApiError::not_run(reason.copied().unwrap_or(RefusalReason::PeerUnreachable), id)
 }
--- a/crates/daemon/src/step/step_state.rs
+++ b/crates/daemon/src/step/step_state.rs
@@ -1,4 +1,4 @@
-//! One step at its home.
+//! State of a step on the daemon that owns it.
 
 use super::step_actor::StepOutcome;
 use crate::shared_state::SharedState;
@@ -8,67 +8,76 @@
 use std::{collections::HashMap, sync::Arc};
 use tokio::sync::oneshot;
 
-/// A fetch without samples yet.
+/// A trainer's fetch that waits for samples.
 pub struct WaitingFetch {
-    /// What was asked.
-    pub fetch: FetchRequest,
-    /// When it is answered without samples.
+    /// Body of the trainer's request.
+    pub request: FetchRequest,
+    /// Time at which the fetch is answered even without samples.
     pub deadline: TimePoint,
-    /// Where the answer goes.
+    /// Channel for the response.
     pub sender: oneshot::Sender<StepOutcome<FetchAnswer>>,
 }
 
-/// A step at home here, with its trainer's waiting fetches and running attempts.
+/// A step that this daemon owns, with its trainer's waiting fetches and its running attempts.
 pub struct StepState {
-    /// Organisation that opened it.
+    /// Organisation that opened the step.
     pub organisation: SharedName,
-    /// What is sampled.
+    /// Specification of the step, as requested by the trainer.
     pub spec: Arc<StepSpec>,
-    /// Which samples run, are whole, were handed over.
+    /// Tracks which samples are running, complete or confirmed by the trainer.
     pub ledger: StepLedger,
-    /// Fetches without samples yet.
-    pub waiting: Vec<WaitingFetch>,
-    /// Running attempts by number.
-    pub runs: HashMap<u64, JoinHandle<()>>,
-    /// When the step is dropped unless a trainer asks for it.
-    pub idle_at: TimePoint,
-    counted_waste: u64,
+    /// Fetches that wait for samples.
+    pub waiting_fetches: Vec<WaitingFetch>,
+    /// Tasks of the running attempts, by attempt number.
+    pub attempts: HashMap<u64, JoinHandle<()>>,
+    /// Time at which the step is removed, unless a trainer fetches from it before.
+    pub expires_at: TimePoint,
+    /// Wasted tokens that have been added to the metric.
+    counted_wasted_tokens: u64,
 }
 
 impl StepState {
-    /// A step of which nothing has run.
-    pub fn new(organisation: SharedName, spec: StepSpec, bound: u64, published: u64, idle_at: TimePoint) -> Self {
+    /// Creates a step without attempts. `staleness_bound` is the number of versions by which a sample may lag behind the
+    /// newest one; `published_version` is the newest version recorded so far.
+    pub fn new(
+        organisation: SharedName,
+        spec: StepSpec,
+        staleness_bound: u64,
+        published_version: u64,
+        expires_at: TimePoint,
+    ) -> Self {
         Self {
             organisation,
             spec: Arc::new(spec.clone()),
-            ledger: StepLedger::new(spec, bound, published),
-            waiting: Vec::new(),
-            runs: HashMap::new(),
-            idle_at,
-            counted_waste: 0,
+            ledger: StepLedger::new(spec, staleness_bound, published_version),
+            waiting_fetches: Vec::new(),
+            attempts: HashMap::new(),
+            expires_at,
+            counted_wasted_tokens: 0,
         }
     }
 
-    /// Answers waiting fetches that have samples, are complete, or waited long enough.
-    pub fn answer(&mut self, shared: &SharedState, now: TimePoint) {
-        let waiting = std::mem::take(&mut self.waiting);
-        for wait in waiting {
-            if wait.sender.is_closed() {
+    /// Answers the waiting fetches for which there are samples or whose deadline has passed, and all of them once the
+    /// step is complete.
+    pub fn answer_fetches(&mut self, shared: &SharedState, now: TimePoint) {
+        let waiting_fetches = std::mem::take(&mut self.waiting_fetches);
+        for fetch in waiting_fetches {
+            if fetch.sender.is_closed() {
                 continue;
             }
-            let samples = self.ledger.fetch(&wait.fetch.cursor, wait.fetch.published, wait.fetch.max);
+            let samples = self.ledger.fetch(&fetch.request.cursor, fetch.request.published, fetch.request.max);
             let complete = self.ledger.is_complete();
-            if samples.is_empty() && !complete && now < wait.deadline {
-                self.waiting.push(wait);
+            if samples.is_empty() && !complete && now < fetch.deadline {
+                self.waiting_fetches.push(fetch);
                 continue;
             }
             shared.metrics.samples.inc_by(samples.len() as u64);
             let samples = samples.into_iter().map(SampleBody::from).collect();
-            // The asker may have gone; it will ask again with the same cursor.
-            let _ = wait.sender.send(Ok(FetchAnswer { samples, complete, total: self.spec.sample_count() }));
+            // The trainer may have stopped waiting. It will then send the request again with the same cursor.
+            let _ = fetch.sender.send(Ok(FetchAnswer { samples, complete, total: self.spec.sample_count() }));
         }
         let wasted = self.ledger.wasted_tokens();
-        shared.metrics.wasted_tokens.inc_by(wasted - self.counted_waste);
-        self.counted_waste = wasted;
+        shared.metrics.wasted_tokens.inc_by(wasted - self.counted_wasted_tokens);
+        self.counted_wasted_tokens = wasted;
     }
 }
--- a/crates/daemon/src/upstream/stream_body.rs
+++ b/crates/daemon/src/upstream/stream_body.rs
@@ -50,12 +50,15 @@
     /// Number of generated tokens so far.
     token_count: u64,
     next_key_check: TimePoint,
+    /// Counts the request as in flight on the upstream.
     upstream: UpstreamGuard,
+    /// Keeps the request among the running ones of its service.
     admission: AdmissionGuard,
     /// After an error event was sent: the error, and the delay before the connection is closed.
     failure: Option<(ApiError, Pin<Box<Sleep>>)>,
     /// Whether the body has ended.
     done: bool,
+    /// Delays a planned stop of the daemon until the stream has ended.
     _inflight: InflightGuard,
 }
 
--- a/crates/daemon/src/upstream/upstream_guard.rs
+++ b/crates/daemon/src/upstream/upstream_guard.rs
@@ -17,8 +17,10 @@
     shared: Arc<SharedState>,
     /// The upstream's route table entry at the time of the pick.
     pub entry: UpstreamEntry,
+    /// Fingerprint of the request.
     fingerprint: u64,
     started_at: TimePoint,
+    /// Whether the attempt counts as a failure of the upstream.
     failed: bool,
 }
 
@@ -37,7 +39,7 @@
         self.failed = true;
     }
 
-    /// Records that no connection to the upstream could be opened.
+    /// Records that no connection to the upstream could be opened, so that it is avoided for a while.
     pub fn connect_failed(&mut self) {
         self.failed = true;
         let now = self.shared.now();
@@ -45,7 +47,7 @@
     }
 
     /// Records that the connection was lost while the upstream may have been running the request. If the upstream has
-    /// crashed, all requests that were in flight on it are marked as suspects.
+    /// crashed, the requests that were in flight on it are marked as suspects.
     pub async fn connection_lost(&mut self) {
         self.failed = true;
         let running = self.shared.running.distinct_fingerprints(&self.entry.address);
