--- a/crates/daemon/src/admission_controller.rs
+++ b/crates/daemon/src/admission_controller.rs
@@ -1,4 +1,4 @@
-//! Lets requests of each service run in fair order.
+//! Limits the number of running requests of each service, and admits waiting requests in fair order.
 
 use crate::shared_state::SharedState;
 use pimentoslip_kernel::{FairQueue, QueueTicket, SharedName};
@@ -8,75 +8,79 @@
 };
 use tokio::sync::oneshot;
 
+/// Requests of one service.
 #[derive(Debug, Default)]
-struct ServiceGate {
+struct ServiceQueue {
     queue: FairQueue,
+    /// Channels that notify the waiting requests of their admission, by ticket.
     waiting: HashMap<QueueTicket, oneshot::Sender<()>>,
 }
 
-/// One fair queue a service.
+/// Fair queues of the requests that wait or run, one for each service.
 #[derive(Debug, Default)]
 pub struct AdmissionController {
-    services: Mutex<HashMap<SharedName, ServiceGate>>,
+    services: Mutex<HashMap<SharedName, ServiceQueue>>,
 }
 
-/// Who wants to run what.
+/// A request that is to be admitted.
 #[derive(Clone, Debug)]
 pub struct AdmissionRequest {
-    /// Organisation.
+    /// Organisation of the caller.
     pub organisation: SharedName,
-    /// Its weight.
+    /// Weight of the organisation in the fair queue.
     pub weight: u64,
-    /// Service.
+    /// Name of the service.
     pub service: SharedName,
-    /// Expected tokens.
+    /// Number of tokens that the request is expected to cost.
     pub expected_tokens: u64,
-    /// Most requests of the organisation that may wait.
+    /// Maximum number of waiting requests of the organisation.
     pub depth_max: usize,
-    /// Most requests of one daemon on one upstream.
+    /// Maximum number of requests that this daemon may have in flight on one upstream.
     pub inflight_max: u64,
 }
 
 impl AdmissionController {
-    fn with<R>(&self, service: &SharedName, act: impl FnOnce(&mut ServiceGate) -> R) -> R {
+    /// Calls `act` with the queue of `service` while holding the lock.
+    fn with_queue<R>(&self, service: &SharedName, act: impl FnOnce(&mut ServiceQueue) -> R) -> R {
         let mut services = self.services.lock().unwrap_or_else(PoisonError::into_inner);
         act(services.entry(service.clone()).or_default())
     }
 
-    /// Admits as many waiting requests as `running_max` allows.
+    /// Admits waiting requests of `service` until `running_max` requests are running.
     pub fn admit_waiting(&self, service: &SharedName, running_max: usize) {
-        self.with(service, |gate| {
-            while let Some(ticket) = gate.queue.admit(running_max) {
-                let admitted = gate.waiting.remove(&ticket).is_some_and(|sender| sender.send(()).is_ok());
+        self.with_queue(service, |service_queue| {
+            while let Some(ticket) = service_queue.queue.admit(running_max) {
+                let admitted = service_queue.waiting.remove(&ticket).is_some_and(|sender| sender.send(()).is_ok());
                 if !admitted {
-                    gate.queue.release();
+                    service_queue.queue.release();
                 }
             }
         });
     }
 
-    /// Waits for the request's turn. None when its organisation's queue is full.
+    /// Waits until the request is admitted. Returns `None` if too many requests of its organisation are waiting. If the
+    /// future is dropped, the request leaves the queue.
     pub async fn wait_for_admission(shared: &Arc<SharedState>, request: AdmissionRequest) -> Option<AdmissionGuard> {
         let (sender, receiver) = oneshot::channel();
-        let ticket = shared.gate.with(&request.service, |gate| {
-            let ticket = gate.queue.enqueue(
+        let ticket = shared.gate.with_queue(&request.service, |service_queue| {
+            let ticket = service_queue.queue.enqueue(
                 &request.organisation,
                 request.weight,
                 request.expected_tokens,
                 request.depth_max,
             )?;
-            gate.waiting.insert(ticket, sender);
+            service_queue.waiting.insert(ticket, sender);
             Some(ticket)
         })?;
         let guard = AdmissionGuard { shared: shared.clone(), request, ticket };
-        guard.pump();
-        // The sender is dropped only together with the gate.
+        guard.admit_waiting();
+        // The sender is dropped without sending only together with the controller.
         let _ = receiver.await;
         Some(guard)
     }
 }
 
-/// A place in the queue, and then among the running requests.
+/// A place in the service's queue and, after the admission, among its running requests. Dropping it frees the place.
 pub struct AdmissionGuard {
     shared: Arc<SharedState>,
     request: AdmissionRequest,
@@ -84,15 +88,16 @@
 }
 
 impl AdmissionGuard {
-    /// Corrects the organisation's account by the true number of tokens.
+    /// Replaces the expected cost that was charged to the organisation by the actual number of `tokens`.
     pub fn record_actual_tokens(&self, tokens: u64) {
         let request = &self.request;
-        self.shared.gate.with(&request.service, |gate| {
-            gate.queue.adjust_cost(&request.organisation, request.weight, request.expected_tokens, tokens);
+        self.shared.gate.with_queue(&request.service, |service_queue| {
+            service_queue.queue.adjust_cost(&request.organisation, request.weight, request.expected_tokens, tokens);
         });
     }
 
-    fn pump(&self) {
+    /// Admits as many waiting requests as the service's upstreams have capacity for.
+    fn admit_waiting(&self) {
         let running_max = self.shared.routes().capacity(&self.request.service, self.request.inflight_max);
         self.shared.gate.admit_waiting(&self.request.service, running_max);
     }
@@ -100,14 +105,14 @@
 
 impl Drop for AdmissionGuard {
     fn drop(&mut self) {
-        self.shared.gate.with(&self.request.service, |gate| {
-            let waiting = gate.waiting.remove(&self.ticket).is_some();
+        self.shared.gate.with_queue(&self.request.service, |service_queue| {
+            let waiting = service_queue.waiting.remove(&self.ticket).is_some();
             if waiting {
-                gate.queue.cancel(self.ticket);
+                service_queue.queue.cancel(self.ticket);
             } else {
-                gate.queue.release();
+                service_queue.queue.release();
             }
         });
-        self.pump();
+        self.admit_waiting();
     }
 }
--- a/crates/daemon/src/api_error.rs
+++ b/crates/daemon/src/api_error.rs
@@ -1,35 +1,36 @@
-//! Refusals as HTTP answers.
+//! Converts refusals of callers' requests to HTTP responses.
 
 use crate::request_id::RequestId;
 use actix_web::{HttpResponse, ResponseError, http::StatusCode, http::header::RETRY_AFTER};
 use pimentoslip_kernel::{RefusalReason, RunState};
 use pimentoslip_wire::{REQUEST_ID_HEADER, caller::Refusal};
 
-/// Result of a caller's request.
+/// Result of handling a caller's request.
 pub type Result<T> = std::result::Result<T, ApiError>;
 
+/// Value of the `Retry-After` header of refusals for which a retry can succeed.
 const RETRY_AFTER_SECONDS: &str = "1";
 
-/// A refused request.
+/// Refusal of a caller's request.
 #[derive(Clone, Debug, thiserror::Error)]
 #[error("{}", .reason.remedy())]
 pub struct ApiError {
-    /// Why.
+    /// Reason for the refusal.
     pub reason: RefusalReason,
-    /// Whether it ran.
+    /// Whether an upstream ran the request.
     pub run_state: RunState,
     /// Id of the request.
     pub request_id: RequestId,
 }
 
 impl ApiError {
-    /// A refusal of a request of which nothing reached an upstream.
+    /// Creates a refusal of a request that no upstream has run.
     #[must_use]
     pub fn not_run(reason: RefusalReason, request_id: &RequestId) -> Self {
         Self { reason, run_state: RunState::NotRun, request_id: request_id.clone() }
     }
 
-    /// The body.
+    /// Body of the HTTP response.
     #[must_use]
     pub fn refusal(&self) -> Refusal {
         Refusal::new(self.reason, self.run_state, &self.request_id)
@@ -42,11 +43,11 @@
     }
 
     fn error_response(&self) -> HttpResponse {
-        let mut answer = HttpResponse::build(self.status_code());
-        answer.insert_header((REQUEST_ID_HEADER, &*self.request_id));
+        let mut response = HttpResponse::build(self.status_code());
+        response.insert_header((REQUEST_ID_HEADER, &*self.request_id));
         if matches!(self.reason.status(), 429 | 503) {
-            answer.insert_header((RETRY_AFTER, RETRY_AFTER_SECONDS));
+            response.insert_header((RETRY_AFTER, RETRY_AFTER_SECONDS));
         }
-        answer.json(self.refusal())
+        response.json(self.refusal())
     }
 }
--- a/crates/daemon/src/claim/claim_client.rs
+++ b/crates/daemon/src/claim/claim_client.rs
@@ -27,6 +27,7 @@
 #[derive(Clone)]
 pub struct ClaimClient {
     shared: Arc<SharedState>,
+    /// Claim shards that this daemon owns.
     actor: Addr<ClaimActor<EtcdClient>>,
     peers: PeerClient,
 }
--- a/crates/daemon/src/claim/claim_store.rs
+++ b/crates/daemon/src/claim/claim_store.rs
@@ -9,8 +9,8 @@
 
 /// Minimum time for which a claim is stored.
 const RETENTION_MS: u64 = 24 * 3_600 * 1_000;
-/// Time for which a lease is used for new batches. The lease outlives it by the retention time, so that no claim
-/// expires early.
+/// Time for which a lease is used for new batches. The lease lives for this time plus the retention time, so that no
+/// claim expires before its retention time is over.
 const LEASE_SPAN_MS: u64 = 3_600 * 1_000;
 
 /// A claim as stored in a batch.
--- a/crates/daemon/src/peer_client.rs
+++ b/crates/daemon/src/peer_client.rs
@@ -1,4 +1,4 @@
-//! Calls to other daemons.
+//! HTTP client for calls to the control listeners of other daemons.
 
 use awc::{Client, error::SendRequestError};
 use bytes::Bytes;
@@ -11,69 +11,72 @@
 /// Result of a call to a peer.
 pub type Result<T> = std::result::Result<T, PeerError>;
 
-const ANSWER_BYTES_MAX: usize = 64 << 20;
+/// Maximum size of a response body.
+const RESPONSE_BYTES_MAX: usize = 64 << 20;
 
-/// Why a call to a peer failed.
+/// Reason why a call to a peer failed.
 #[derive(Debug, thiserror::Error)]
 pub enum PeerError {
-    /// Nothing listens there: the process has ended.
-    #[error("the peer's port refuses connections; its process has ended")]
+    /// The peer's address refuses connections, which means that its process has ended.
+    #[error("the peer refuses connections because its process has ended; check the daemon on its VM")]
     ProcessEnded,
-    /// No connection could be opened, so nothing was asked.
-    #[error("the peer cannot be connected: {0}; check the network between the VMs")]
+    /// No connection could be opened, so that the peer did not receive the request.
+    #[error("cannot connect to the peer: {0}; check the network between the VMs")]
     ConnectFailed(String),
-    /// No whole answer came; the peer may have acted.
-    #[error("the peer did not answer: {0}; check its VM")]
+    /// No complete response was received; the peer may have processed the request.
+    #[error("no complete response from the peer: {0}; check its VM")]
     Unresponsive(String),
-    /// It refused.
-    #[error("the peer answered with status {0}; check that the cluster secret is the same")]
+    /// The peer returned an error status.
+    #[error("the peer returned HTTP status {0}; check that both daemons have the same cluster secret")]
     Refused(u16),
-    /// The message could not be coded.
+    /// The request could not be encoded, or the response could not be decoded.
     #[error(transparent)]
     Codec(#[from] CodecError),
 }
 
-/// Client for peers. Not shared between threads.
+/// HTTP client for other daemons. Each thread has its own.
 #[derive(Clone)]
 pub struct PeerClient {
     client: Client,
+    /// Cluster secret that authenticates this daemon to its peers.
     secret: SharedName,
 }
 
 impl PeerClient {
-    /// Creates a client that shows `secret`.
+    /// Creates a client that sends the cluster secret `secret` with each request.
     #[must_use]
     pub fn new(secret: SharedName) -> Self {
         Self { client: plain_client(), secret }
     }
 
-    /// Asks `question` of the peer at `control`.
+    /// Posts `request` to `path` of the daemon at the address `control`, and waits up to `timeout_ms` for its response.
     pub async fn call<Q: Serialize, A: DeserializeOwned>(
         &self,
         control: &str,
         path: &str,
-        question: &Q,
+        request: &Q,
         timeout_ms: u64,
     ) -> Result<A> {
-        let body = self.call_raw(control, path, encode(question)?, timeout_ms).await?;
+        let body = self.call_raw(control, path, encode(request)?, timeout_ms).await?;
         Ok(decode(&body)?)
     }
 
-    /// As [`call`](Self::call), with encoded messages.
-    pub async fn call_raw(&self, control: &str, path: &str, question: Vec<u8>, timeout_ms: u64) -> Result<Bytes> {
+    /// Does the same as [`call`](Self::call) with an encoded request, and returns the encoded response.
+    pub async fn call_raw(&self, control: &str, path: &str, body: Vec<u8>, timeout_ms: u64) -> Result<Bytes> {
         let request = self
             .client
             .post(format!("http://{control}{path}"))
             .insert_header((CLUSTER_SECRET_HEADER, &*self.secret))
             .timeout(Duration::from_millis(timeout_ms));
-        let mut answer = request.send_body(question).await.map_err(|error| classify(&error))?;
-        if !answer.status().is_success() {
-            return Err(PeerError::Refused(answer.status().as_u16()));
+        let mut response = request.send_body(body).await.map_err(|error| classify(&error))?;
+        if !response.status().is_success() {
+            return Err(PeerError::Refused(response.status().as_u16()));
         }
-        answer.body().limit(ANSWER_BYTES_MAX).await.map_err(|error| PeerError::Unresponsive(error.to_string()))
+        response.body().limit(RESPONSE_BYTES_MAX).await.map_err(|error| PeerError::Unresponsive(error.to_string()))
     }
 }
 
+/// Classifies a failure to send a request or to receive the header of its response.
 fn classify(error: &SendRequestError) -> PeerError {
     let SendRequestError::Connect(connect) = error else { return PeerError::Unresponsive(error.to_string()) };
     match connect {
--- a/crates/daemon/src/request_id.rs
+++ b/crates/daemon/src/request_id.rs
@@ -1,25 +1,26 @@
-//! Ids of requests, unique in a site.
+//! Request ids, which are unique in a site.
 
 use std::{ops::Deref, sync::Arc};
 
-/// `DAEMON-INCARNATION-COUNT`, or one passed on by another daemon.
+/// Id of a request: `DAEMON-INCARNATION-COUNT` for callers' requests, `STEP/SAMPLE/ATTEMPT` for samples. Each attempt
+/// at an upstream adds a numeric suffix.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RequestId(Arc<str>);
 
 impl RequestId {
-    /// Takes over an id.
+    /// Wraps an id, which the caller must have made unique.
     #[must_use]
     pub fn new(id: impl Into<Arc<str>>) -> Self {
         Self(id.into())
     }
 
-    /// The id of a part of this request.
+    /// This id with `suffix` appended, as in `ID.SUFFIX`. Identifies one attempt at the request.
     #[must_use]
-    pub fn with_suffix(&self, part: impl std::fmt::Display) -> Self {
-        Self(format!("{}.{part}", self.0).into())
+    pub fn with_suffix(&self, suffix: impl std::fmt::Display) -> Self {
+        Self(format!("{}.{suffix}", self.0).into())
     }
 
-    /// The shared text.
+    /// Text of the id, without copying it.
     #[must_use]
     pub fn to_arc(&self) -> Arc<str> {
         self.0.clone()
--- a/crates/daemon/src/step/sample_attempt.rs
+++ b/crates/daemon/src/step/sample_attempt.rs
@@ -44,7 +44,7 @@
     pub attempt: u64,
     /// Maximum number of samples in flight on one upstream.
     pub inflight_max: u64,
-    /// Time for the attempt in milliseconds from its start.
+    /// Timeout of the attempt, counted from its start.
     pub timeout_ms: u64,
 }
 
--- a/crates/daemon/src/step/step_actor.rs
+++ b/crates/daemon/src/step/step_actor.rs
@@ -67,7 +67,9 @@
 #[derive(Message)]
 #[rtype(result = "()")]
 struct AttemptEndedMessage {
+    /// Key of the step.
     step: SharedName,
+    /// Order by which the attempt was started.
     order: DispatchOrder,
     outcome: Result<SampleResult, SampleError>,
 }
@@ -75,6 +77,7 @@
 /// Holds the state of all steps that this daemon owns.
 pub struct StepActor {
     shared: Arc<SharedState>,
+    /// HTTP client for upstreams.
     client: Client,
     /// Steps by key.
     steps: BTreeMap<SharedName, StepState>,
--- a/crates/daemon/src/step/step_client.rs
+++ b/crates/daemon/src/step/step_client.rs
@@ -23,6 +23,7 @@
 #[derive(Clone)]
 pub struct StepClient {
     shared: Arc<SharedState>,
+    /// Steps that this daemon owns.
     actor: Addr<StepActor>,
     peers: PeerClient,
 }
@@ -71,7 +72,8 @@
         }
     }
 
-    /// Sends a call to the daemon that should own the step `key`, or serves it here if that is this daemon.
+    /// Sends a call to the daemon that should own the step `key`, or serves it here if that is this daemon or no
+    /// daemon is active.
     async fn forward(
         &self,
         key: &str,
--- a/crates/daemon/src/step/step_state.rs
+++ b/crates/daemon/src/step/step_state.rs
@@ -37,8 +37,8 @@
 }
 
 impl StepState {
-    /// Creates a step without attempts. `staleness_bound` is the number of versions by which a sample may lag behind the
-    /// newest one; `published_version` is the newest version recorded so far.
+    /// Creates a step without attempts. `staleness_bound` is the number of versions by which a sample may lag behind
+    /// the newest one; `published_version` is the newest version recorded so far.
     pub fn new(
         organisation: SharedName,
         spec: StepSpec,
--- a/crates/daemon/src/upstream/attempt.rs
+++ b/crates/daemon/src/upstream/attempt.rs
@@ -49,10 +49,10 @@
     pub progress: RequestProgress,
 }
 
-/// Whether the error proves that no connection was opened, so that no part of the request can have been sent. Other
-/// connect errors don't prove it: the HTTP client also reports a connection that was closed before the response as a
-/// connect error.
-fn is_never_connected(error: &ConnectError) -> bool {
+/// Whether the error proves that no connection was opened, so that no part of the request was sent. Other connect
+/// errors don't prove it: the HTTP client also reports a connection that was closed before the response as a connect
+/// error.
+fn is_certainly_unsent(error: &ConnectError) -> bool {
     matches!(
         error,
         ConnectError::Io(_)
@@ -101,7 +101,7 @@
     }
     let response = match outgoing.send_body(request.body.clone()).await {
         Ok(response) => response,
-        Err(SendRequestError::Connect(error)) if is_never_connected(&error) => {
+        Err(SendRequestError::Connect(error)) if is_certainly_unsent(&error) => {
             guard.connect_failed();
             return Err(AttemptError { failure: AttemptFailure::Unreachable, progress });
         }
--- a/crates/daemon/src/upstream/stream_body.rs
+++ b/crates/daemon/src/upstream/stream_body.rs
@@ -86,7 +86,8 @@
         }
     }
 
-    /// Counts the tokens of a chunk of bytes. The total reported by the upstream, if any, replaces the count.
+    /// Counts the tokens of the events in a chunk of bytes, at least one for each event. The total reported by the
+    /// upstream, if any, replaces the count.
     fn scan(&mut self, chunk: &[u8]) {
         let token_count = &mut self.token_count;
         self.scanner.feed(chunk, |data| {
@@ -98,8 +99,8 @@
         });
     }
 
-    /// Whether the caller's key is still valid and this daemon's configuration is fresh enough to rely on. Checked every
-    /// [`KEY_CHECK_INTERVAL_MS`]; true in between.
+    /// Whether the caller's key is still valid and this daemon's configuration is fresh enough to rely on. Checked
+    /// every [`KEY_CHECK_INTERVAL_MS`]; true in between.
     fn is_key_valid(&mut self) -> bool {
         let shared = &self.context.shared;
         let now = shared.now();
