--- a/crates/cli/src/bin/pimentoslipd.rs
+++ b/crates/cli/src/bin/pimentoslipd.rs
@@ -71,11 +71,11 @@
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let daemon = start(settings).await?;
-    println!("listening public={} control={}", daemon.public(), daemon.control());
+    println!("listening public={} control={}", daemon.public_address(), daemon.control_address());
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
-        () = daemon.drain_asked() => {}
+        () = daemon.wait_for_drain_request() => {}
     }
     daemon.shut_down().await;
     Ok(())
--- a/crates/cli/src/demo/demo_site.rs
+++ b/crates/cli/src/demo/demo_site.rs
@@ -82,7 +82,7 @@
         let settings = DaemonSettings::from_matches(&command().get_matches_from(args))
             .map_err(|faults| crate::CliError::Failed(format!("{faults:?}")))?;
         let daemon = start(settings).await?;
-        self.list_vm(name, VmRole::Entry, failure_domain, daemon.control(), None).await?;
+        self.list_vm(name, VmRole::Entry, failure_domain, daemon.control_address(), None).await?;
         self.daemons.push(daemon);
         Ok(())
     }
@@ -111,11 +111,11 @@
 
     /// The administration API of daemon `at`.
     pub fn admin(&self, at: usize) -> AdminClient {
-        AdminClient::new(self.daemons[at].control().to_string(), OPERATOR_KEY.to_owned())
+        AdminClient::new(self.daemons[at].control_address().to_string(), OPERATOR_KEY.to_owned())
     }
 
     /// URL of `path` at daemon `at`'s public listener.
     pub fn url(&self, at: usize, path: &str) -> String {
-        format!("http://{}{path}", self.daemons[at].public())
+        format!("http://{}{path}", self.daemons[at].public_address())
     }
 }
--- a/crates/daemon/src/admission_gate.rs
+++ b/crates/daemon/src/admission_gate.rs
@@ -58,7 +58,7 @@
     /// Waits for the request's turn. None when its organisation's queue is full.
     pub async fn enter(shared: &Arc<SharedState>, request: AdmissionRequest) -> Option<AdmissionGuard> {
         let (sender, receiver) = oneshot::channel();
-        let ticket = shared.gate.with(&request.service, |gate| {
+        let ticket = shared.admission_gate.with(&request.service, |gate| {
             let ticket =
                 gate.queue.enqueue(&request.organisation, request.weight, request.tokens, request.depth_max)?;
             gate.waiting.insert(ticket, sender);
@@ -83,20 +83,20 @@
     /// Corrects the organisation's account by the true number of tokens.
     pub fn settle(&self, tokens: u64) {
         let request = &self.request;
-        self.shared.gate.with(&request.service, |gate| {
+        self.shared.admission_gate.with(&request.service, |gate| {
             gate.queue.adjust_cost(&request.organisation, request.weight, request.tokens, tokens);
         });
     }
 
     fn pump(&self) {
         let running_max = self.shared.routes().capacity(&self.request.service, self.request.inflight_max);
-        self.shared.gate.pump(&self.request.service, running_max);
+        self.shared.admission_gate.pump(&self.request.service, running_max);
     }
 }
 
 impl Drop for AdmissionGuard {
     fn drop(&mut self) {
-        self.shared.gate.with(&self.request.service, |gate| {
+        self.shared.admission_gate.with(&self.request.service, |gate| {
             let waiting = gate.waiting.remove(&self.ticket).is_some();
             if waiting {
                 gate.queue.cancel(self.ticket);
--- a/crates/daemon/src/claim/claim_gate.rs
+++ b/crates/daemon/src/claim/claim_gate.rs
@@ -53,7 +53,7 @@
         within_ms: u64,
         id: &RequestId,
     ) -> Result<std::result::Result<ClaimTicket, StoredAnswer>> {
-        let request = ClaimRequest { key: key.clone(), grant: self.shared.draw(), fingerprint, within_ms };
+        let request = ClaimRequest { key: key.clone(), grant: self.shared.random_u64(), fingerprint, within_ms };
         let ticket = ClaimTicket { key, grant: request.grant };
         let refuse = |reason| Err(ApiError::not_run(reason, id));
         for _ in 0..CLAIM_ATTEMPTS {
--- a/crates/daemon/src/claim/claim_store.rs
+++ b/crates/daemon/src/claim/claim_store.rs
@@ -52,7 +52,7 @@
     async fn owner_record(&self, shard: u64) -> Result<OwnerRecord> {
         let answer = self.kv.get(&self.owner_key(shard)).await?;
         let Some(entry) = answer.kvs.first() else { return Ok(OwnerRecord::Others(0)) };
-        if entry.value == self.shared.process().as_bytes() {
+        if entry.value == self.shared.process_name().as_bytes() {
             return Ok(OwnerRecord::Mine(entry.mod_revision));
         }
         Ok(OwnerRecord::Others(entry.mod_revision))
@@ -77,7 +77,8 @@
 
     async fn write_owner(&self, shard: u64, revision: u64) -> Result<u64> {
         let key = self.owner_key(shard);
-        let txn = TxnRequest::default().expect(&key, revision).put(&key, self.shared.process().as_bytes().to_vec(), 0);
+        let txn =
+            TxnRequest::default().expect(&key, revision).put(&key, self.shared.process_name().as_bytes().to_vec(), 0);
         match self.kv.commit(&txn).await {
             Ok(answer) if answer.succeeded => Ok(answer.header.revision),
             // Another one was faster, or the answer was lost: the record itself tells.
--- a/crates/daemon/src/config_writer.rs
+++ b/crates/daemon/src/config_writer.rs
@@ -20,7 +20,7 @@
     Unconfirmed(#[from] PlatformError),
     /// Others kept changing the record.
     #[error("others changed {0} at the same time; look at it and send the change again")]
-    Contended(String),
+    Conflicting(String),
     /// The stored record cannot be read.
     #[error("the stored record {0} is malformed; run the same release everywhere")]
     Malformed(String),
@@ -83,11 +83,11 @@
                 Ok(_) | Err(_) => {}
             }
         }
-        Err(WriteError::Contended(name.path()))
+        Err(WriteError::Conflicting(name.path()))
     }
 
     /// The stored content of `name`, whether or not it has reached this daemon yet.
-    pub async fn stored(&self, name: &RecordName) -> Result<Option<Arc<ConfigRecord>>> {
+    pub async fn stored_record(&self, name: &RecordName) -> Result<Option<Arc<ConfigRecord>>> {
         let key = format!("{}{}", config_prefix(&self.shared.settings.site), name.path());
         let (_, stored) = self.read(&key).await?;
         Ok(stored.map(|stored| stored.record))
--- a/crates/daemon/src/daemon_settings.rs
+++ b/crates/daemon/src/daemon_settings.rs
@@ -9,7 +9,7 @@
 /// A setting that cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("--{flag} ({variable}): {problem}; {remedy}")]
-pub struct SettingFault {
+pub struct SettingError {
     /// Flag without its dashes.
     pub flag: &'static str,
     /// Environment variable.
@@ -30,17 +30,17 @@
     /// Site, which prefixes everything in the key-value service.
     pub site: SharedName,
     /// Where callers connect.
-    pub listen: SocketAddr,
+    pub listen_address: SocketAddr,
     /// Where peers, operators and probes connect.
-    pub control_listen: SocketAddr,
+    pub control_listen_address: SocketAddr,
     /// Key-value service.
-    pub kv: SharedName,
+    pub kv_address: SharedName,
     /// Ordering interface.
-    pub orders: SharedName,
+    pub orders_address: SharedName,
     /// Usage interface.
-    pub usage: SharedName,
+    pub usage_address: SharedName,
     /// VM list.
-    pub vms: SharedName,
+    pub vm_list_address: SharedName,
     /// Secret shared by all daemons of the site.
     pub cluster_secret: SharedName,
     /// Key of the operators.
@@ -122,13 +122,13 @@
 /// Reads settings and gathers every fault.
 struct SettingReader<'a> {
     matches: &'a ArgMatches,
-    faults: Vec<SettingFault>,
+    faults: Vec<SettingError>,
 }
 
 impl SettingReader<'_> {
     fn fault(&mut self, flag: &'static str, problem: impl Into<String>, remedy: impl Into<String>) {
         let variable = variable(flag);
-        self.faults.push(SettingFault { flag, variable, problem: problem.into(), remedy: remedy.into() });
+        self.faults.push(SettingError { flag, variable, problem: problem.into(), remedy: remedy.into() });
     }
 
     fn text(&mut self, flag: &'static str) -> SharedName {
@@ -218,18 +218,18 @@
 
 impl DaemonSettings {
     /// Reads and checks all settings; on failure every fault is listed.
-    pub fn from_matches(matches: &ArgMatches) -> Result<Self, Vec<SettingFault>> {
+    pub fn from_matches(matches: &ArgMatches) -> Result<Self, Vec<SettingError>> {
         let mut reader = SettingReader { matches, faults: Vec::new() };
         let settings = Self {
             name: reader.text("name"),
             failure_domain: reader.text("failure-domain"),
             site: reader.text("site"),
-            listen: reader.address("listen"),
-            control_listen: reader.address("control-listen"),
-            kv: reader.endpoint("kv"),
-            orders: reader.endpoint("orders"),
-            usage: reader.endpoint("usage"),
-            vms: reader.endpoint("vms"),
+            listen_address: reader.address("listen"),
+            control_listen_address: reader.address("control-listen"),
+            kv_address: reader.endpoint("kv"),
+            orders_address: reader.endpoint("orders"),
+            usage_address: reader.endpoint("usage"),
+            vm_list_address: reader.endpoint("vms"),
             cluster_secret: reader.secret("cluster-secret"),
             operator_key: reader.secret("operator-key"),
             route_policy: reader.policy("route-policy"),
--- a/crates/daemon/src/http/admin_api.rs
+++ b/crates/daemon/src/http/admin_api.rs
@@ -23,19 +23,19 @@
 const CONFIRM_PAUSE: Duration = Duration::from_millis(200);
 
 /// Turns a failed change into an answer.
-pub fn failed(error: &WriteError) -> HttpResponse {
+pub fn error_response(error: &WriteError) -> HttpResponse {
     let body = serde_json::json!({ "error": error.to_string() });
     match error {
         WriteError::Unconfirmed(_) => HttpResponse::ServiceUnavailable().json(body),
-        WriteError::Contended(_) | WriteError::Rejected(_) => HttpResponse::Conflict().json(body),
+        WriteError::Conflicting(_) | WriteError::Rejected(_) => HttpResponse::Conflict().json(body),
         WriteError::Malformed(_) => HttpResponse::InternalServerError().json(body),
     }
 }
 
 /// Applies written records here and tells the peers. The change is accepted when every daemon that may be
 /// running has confirmed it, so that no crash afterwards can lose it from all memories at once.
-pub async fn accept(worker: &WorkerState, entries: Vec<RecordEntry>) -> HttpResponse {
-    worker.shared.apply(entries.clone(), 0);
+pub async fn distribute_change(worker: &WorkerState, entries: Vec<RecordEntry>) -> HttpResponse {
+    worker.shared.apply_records(entries.clone(), 0);
     let changed = entries.len();
     let revision = entries.iter().map(|entry| entry.revision).max();
     let revision = revision.unwrap_or_else(|| worker.shared.config().newest_revision());
@@ -61,8 +61,8 @@
 pub async fn apply(worker: web::Data<WorkerState>, request: web::Json<ApplyRequest>) -> HttpResponse {
     let request = request.into_inner();
     match write_all(&worker, request).await {
-        Ok(entries) => accept(&worker, entries).await,
-        Err(error) => failed(&error),
+        Ok(entries) => distribute_change(&worker, entries).await,
+        Err(error) => error_response(&error),
     }
 }
 
@@ -117,7 +117,7 @@
 
 /// Handles `POST /drain`: the daemon leaves as if told by its supervisor.
 pub async fn drain(worker: web::Data<WorkerState>) -> HttpResponse {
-    worker.shared.drain_asked.notify_one();
+    worker.shared.drain_requested.notify_one();
     HttpResponse::Accepted().json(serde_json::json!({ "draining": &worker.shared.settings.name }))
 }
 
@@ -125,7 +125,7 @@
 pub async fn usage(worker: web::Data<WorkerState>) -> HttpResponse {
     match crate::task::sealed_reports(&worker.kv, &worker.shared.settings.site).await {
         Ok(reports) => HttpResponse::Ok().json(reports),
-        Err(error) => failed(&error.into()),
+        Err(error) => error_response(&error.into()),
     }
 }
 
@@ -133,7 +133,7 @@
 pub async fn status(worker: web::Data<WorkerState>) -> HttpResponse {
     let steps = worker.step_actor.send(StepListMessage).await.unwrap_or_default();
     let shared = &worker.shared;
-    let fresh = shared.fresh();
+    let fresh = shared.is_config_fresh();
     let config = shared.config();
     let site = config.site();
     let published =
@@ -158,7 +158,7 @@
 }
 
 fn daemons(worker: &WorkerState) -> Vec<DaemonStatus> {
-    let me = worker.shared.me();
+    let me = worker.shared.own_member();
     let state = |state: MemberState| format!("{state:?}").to_lowercase();
     let own = DaemonStatus {
         name: me.name,
@@ -177,7 +177,7 @@
 }
 
 fn duties(worker: &WorkerState) -> Vec<DutyStatus> {
-    let duties = worker.shared.duties.lock().unwrap_or_else(PoisonError::into_inner);
+    let duties = worker.shared.duty_states.lock().unwrap_or_else(PoisonError::into_inner);
     let status = |(duty, (state, fencing)): (&SharedName, &(&'static str, Option<u64>))| DutyStatus {
         duty: duty.clone(),
         state: (*state).to_owned(),
--- a/crates/daemon/src/http/caller_auth.rs
+++ b/crates/daemon/src/http/caller_auth.rs
@@ -22,7 +22,7 @@
     /// Organisation whose key came with the request.
     pub organisation: SharedName,
     /// Id of the key; empty on open routes.
-    pub key: SharedName,
+    pub key_id: SharedName,
     /// Its weight.
     pub weight: u64,
 }
@@ -30,8 +30,8 @@
 impl CallerIdentity {
     /// The caller of an open route.
     #[must_use]
-    pub fn open() -> Self {
-        Self { organisation: OPEN_ORGANISATION.into(), key: "".into(), weight: 1 }
+    pub fn anonymous() -> Self {
+        Self { organisation: OPEN_ORGANISATION.into(), key_id: "".into(), weight: 1 }
     }
 }
 
@@ -44,7 +44,7 @@
 ) -> Result<CallerIdentity> {
     let refuse = |reason| ApiError::not_run(reason, id);
     let secret = presented(request.headers()).map_err(refuse)?;
-    if !shared.fresh() {
+    if !shared.is_config_fresh() {
         return Err(refuse(RefusalReason::ConfigStale));
     }
     let config = shared.config();
@@ -53,7 +53,7 @@
     if !settings.services.iter().any(|granted| &**granted == service) {
         return Err(refuse(RefusalReason::ServiceForbidden));
     }
-    Ok(CallerIdentity { weight: settings.weight, key: secret.id.clone(), organisation })
+    Ok(CallerIdentity { weight: settings.weight, key_id: secret.id.clone(), organisation })
 }
 
 fn presented(headers: &HeaderMap) -> std::result::Result<KeySecret, RefusalReason> {
@@ -68,7 +68,7 @@
 
 /// Refuses a request that carries a key of this site where an upstream would see it. Looks at the
 /// path, query and body as sent, percent-decoded, and with JSON escapes resolved.
-pub fn check_misplaced(shared: &SharedState, uri: &str, body: &[u8], id: &RequestId) -> Result<()> {
+pub fn check_misplaced_key(shared: &SharedState, uri: &str, body: &[u8], id: &RequestId) -> Result<()> {
     let decoded: Vec<u8> = form_urlencoded::parse(uri.as_bytes())
         .flat_map(|(name, value)| [name.into_owned().into_bytes(), value.into_owned().into_bytes()])
         .flatten()
@@ -127,7 +127,7 @@
 
 /// When the caller stops waiting: its own time, at most the service's.
 #[must_use]
-pub fn deadline(headers: &HeaderMap, timeout_ms: u64, now: TimePoint) -> TimePoint {
+pub fn request_deadline(headers: &HeaderMap, timeout_ms: u64, now: TimePoint) -> TimePoint {
     let asked = headers.get(TIMEOUT_HEADER).and_then(|value| value.to_str().ok()?.parse::<u64>().ok());
     now.plus_ms(asked.map_or(timeout_ms, |asked| asked.min(timeout_ms)))
 }
--- a/crates/daemon/src/http/control_app.rs
+++ b/crates/daemon/src/http/control_app.rs
@@ -1,6 +1,6 @@
 //! Routes of peers, operators and probes.
 
-use super::{WorkerState, admin_api, health, key_api, peer_api, secret_guard::shows_secret};
+use super::{WorkerState, admin_api, health, key_api, peer_api, secret_guard::has_secret};
 use actix_web::web;
 use pimentoslip_wire::{CLUSTER_SECRET_HEADER, OPERATOR_KEY_HEADER};
 
@@ -17,9 +17,7 @@
         .route("/metrics", web::get().to(health::metrics))
         .service(
             web::scope("/peer")
-                .guard(actix_web::guard::fn_guard(move |context| {
-                    shows_secret(context, CLUSTER_SECRET_HEADER, &cluster)
-                }))
+                .guard(actix_web::guard::fn_guard(move |context| has_secret(context, CLUSTER_SECRET_HEADER, &cluster)))
                 .route("/exchange", web::post().to(peer_api::exchange))
                 .route("/claim", web::post().to(peer_api::claim))
                 .route("/settle", web::post().to(peer_api::settle))
@@ -28,7 +26,7 @@
         )
         .service(
             web::scope("/admin/v1")
-                .guard(actix_web::guard::fn_guard(move |context| shows_secret(context, OPERATOR_KEY_HEADER, &operator)))
+                .guard(actix_web::guard::fn_guard(move |context| has_secret(context, OPERATOR_KEY_HEADER, &operator)))
                 .route("/apply", web::post().to(admin_api::apply))
                 .route("/config", web::get().to(admin_api::config))
                 .route("/status", web::get().to(admin_api::status))
--- a/crates/daemon/src/http/engine_api.rs
+++ b/crates/daemon/src/http/engine_api.rs
@@ -2,7 +2,7 @@
 
 use super::{
     WorkerState,
-    caller_auth::{CallerIdentity, authenticate, check_misplaced, deadline, idempotency_key},
+    caller_auth::{CallerIdentity, authenticate, check_misplaced_key, idempotency_key, request_deadline},
     request_body::read_body,
 };
 use crate::{
@@ -38,9 +38,9 @@
 ) -> Result<HttpResponse> {
     let id = worker.shared.next_request_id();
     let began = worker.shared.now();
-    let inflight = worker.shared.enter();
+    let inflight = worker.shared.inflight_guard();
     let outcome = run(&worker, &request, payload, &id, inflight).await;
-    worker.finish(&id, began, outcome)
+    worker.record_outcome(&id, began, outcome)
 }
 
 async fn run(
@@ -57,7 +57,7 @@
         serde_json::from_slice(&body).map_err(|_| ApiError::not_run(RefusalReason::BodyMalformed, id))?;
     let service = engine_service(worker, &question, id)?;
     let caller = authenticate(shared, request, &question.model, id)?;
-    check_misplaced(shared, request.path(), &body, id)?;
+    check_misplaced_key(shared, request.path(), &body, id)?;
     let upstream = upstream_request(worker, request, &question, &caller, &service, body, id)?;
     let admission = admit(worker, &upstream, &caller, &service, &question, id).await?;
     let dispatched = dispatch(shared, &worker.client, &upstream).await?;
@@ -70,7 +70,7 @@
         let owner = StreamOwner {
             shared: shared.clone(),
             organisation: caller.organisation,
-            key: caller.key,
+            key: caller.key_id,
             service: question.model,
             id: id.clone(),
         };
@@ -118,7 +118,7 @@
         body,
         class: RequestClass::Idempotent,
         priority: CUSTOMER_PRIORITY,
-        deadline: deadline(request.headers(), service.timeout_ms, worker.shared.now()),
+        deadline: request_deadline(request.headers(), service.timeout_ms, worker.shared.now()),
         inflight_max: service.inflight_per_upstream,
     })
 }
--- a/crates/daemon/src/http/health.rs
+++ b/crates/daemon/src/http/health.rs
@@ -17,7 +17,7 @@
     if shared.draining.load(Ordering::SeqCst) {
         return HttpResponse::ServiceUnavailable().body("draining\n");
     }
-    if !shared.fresh() {
+    if !shared.is_config_fresh() {
         return HttpResponse::ServiceUnavailable().body("configuration not confirmed\n");
     }
     HttpResponse::Ok().body("ready\n")
@@ -28,6 +28,6 @@
     let shared = &worker.shared;
     let calls = shared.kv_calls.load(Ordering::Relaxed);
     shared.metrics.kv_calls.set(i64::try_from(calls).unwrap_or(i64::MAX));
-    shared.metrics.inflight.set(shared.inflight());
+    shared.metrics.inflight.set(shared.inflight_count());
     HttpResponse::Ok().content_type(METRICS_TYPE).body(shared.metrics.encode())
 }
--- a/crates/daemon/src/http/key_api.rs
+++ b/crates/daemon/src/http/key_api.rs
@@ -2,7 +2,7 @@
 
 use super::{
     WorkerState,
-    admin_api::{accept, failed},
+    admin_api::{distribute_change, error_response},
 };
 use crate::config_writer::{ConfigWriter, WriteError};
 use actix_web::{HttpResponse, web};
@@ -14,18 +14,18 @@
 /// Handles `POST /keys/create`. The operator's tool draws the key and sends only its hash.
 pub async fn create(worker: web::Data<WorkerState>, request: web::Json<KeyRequest>) -> HttpResponse {
     let Some(hash) = request.hash.clone().filter(|hash| hash.len() == HASH_CHARS) else {
-        return failed(&WriteError::Rejected(
+        return error_response(&WriteError::Rejected(
             "the hash is missing or malformed; send the SHA-256 of the key".to_owned(),
         ));
     };
     let organisation = RecordName::Organisation(request.organisation.clone());
-    match ConfigWriter::new(&worker.kv, &worker.shared).stored(&organisation).await {
+    match ConfigWriter::new(&worker.kv, &worker.shared).stored_record(&organisation).await {
         Ok(Some(record)) if *record != ConfigRecord::Removed => {}
         Ok(_) => {
             let problem = format!("unknown organisation {}; apply its configuration first", request.organisation);
-            return failed(&WriteError::Rejected(problem));
+            return error_response(&WriteError::Rejected(problem));
         }
-        Err(error) => return failed(&error),
+        Err(error) => return error_response(&error),
     }
     change(&worker, &request, |keys| {
         keys.keys.insert(request.key.clone(), KeyEntry { hash: hash.clone(), withdrawn: false });
@@ -62,8 +62,8 @@
         Ok(Some(ConfigRecord::Keys(keys)))
     });
     match written.await {
-        Ok(entry) => accept(worker, entry.into_iter().collect()).await,
-        Err(error) => failed(&error),
+        Ok(entry) => distribute_change(worker, entry.into_iter().collect()).await,
+        Err(error) => error_response(&error),
     }
 }
 
--- a/crates/daemon/src/http/peer_api.rs
+++ b/crates/daemon/src/http/peer_api.rs
@@ -63,7 +63,7 @@
 pub async fn forward(worker: web::Data<WorkerState>, body: Bytes) -> HttpResponse {
     match decode::<ForwardRequest>(&body) {
         Ok(request) => {
-            let _inflight = worker.shared.enter();
+            let _inflight = worker.shared.inflight_guard();
             answer(&worker.steps.serve(request).await)
         }
         Err(error) => malformed(&error),
@@ -74,6 +74,6 @@
 pub async fn totals(worker: web::Data<WorkerState>) -> HttpResponse {
     let asked_at = worker.shared.now();
     let lines = worker.shared.usage_totals().into_iter().map(TotalsLine::from).collect();
-    worker.shared.gathered_at.store(asked_at.0, Ordering::SeqCst);
-    answer(&TotalsAnswer { incarnation: worker.shared.process(), lines })
+    worker.shared.totals_requested_at_ms.store(asked_at.0, Ordering::SeqCst);
+    answer(&TotalsAnswer { incarnation: worker.shared.process_name(), lines })
 }
--- a/crates/daemon/src/http/plain_api.rs
+++ b/crates/daemon/src/http/plain_api.rs
@@ -2,7 +2,7 @@
 
 use super::{
     WorkerState,
-    caller_auth::{CallerIdentity, authenticate, check_misplaced, deadline, idempotency_key},
+    caller_auth::{CallerIdentity, authenticate, check_misplaced_key, idempotency_key, request_deadline},
     request_body::read_body,
 };
 use crate::{
@@ -38,7 +38,7 @@
 pub async fn call(worker: web::Data<WorkerState>, request: HttpRequest, payload: web::Payload) -> Result<HttpResponse> {
     let id = worker.shared.next_request_id();
     let began = worker.shared.now();
-    let inflight = worker.shared.enter();
+    let inflight = worker.shared.inflight_guard();
     let prepared = prepare(&worker, &request, payload, &id).await;
     let outcome = match prepared {
         Ok(upstream) => {
@@ -60,7 +60,7 @@
         Err(error) => Err(error),
     };
     let outcome = outcome.map(|answer| reply(&answer.0, answer.1, &id));
-    worker.finish(&id, began, outcome)
+    worker.record_outcome(&id, began, outcome)
 }
 
 fn reply(answer: &StoredAnswer, replayed: bool, id: &RequestId) -> HttpResponse {
@@ -87,11 +87,11 @@
     let (service_name, path) = split_path(request, id)?;
     let service = plain_service(worker, &service_name, id)?;
     let caller = match is_open(&service, &path) {
-        true => CallerIdentity::open(),
+        true => CallerIdentity::anonymous(),
         false => authenticate(shared, request, &service_name, id)?,
     };
     let body = read_body(shared, payload, id).await?;
-    check_misplaced(shared, &path, &body, id)?;
+    check_misplaced_key(shared, &path, &body, id)?;
     let text = |name: HeaderName| Some(request.headers().get(name)?.to_str().ok()?.to_owned());
     let key = idempotency_key(request.headers(), id)?;
     let class = RequestClass::classify(request.method().as_str(), service.repeatable, key.as_deref());
@@ -113,7 +113,7 @@
         body,
         class,
         priority: PLAIN_PRIORITY,
-        deadline: deadline(request.headers(), service.timeout_ms, shared.now()),
+        deadline: request_deadline(request.headers(), service.timeout_ms, shared.now()),
         prefix: None,
         inflight_max: service.inflight_per_upstream,
     })
--- a/crates/daemon/src/http/public_app.rs
+++ b/crates/daemon/src/http/public_app.rs
@@ -11,15 +11,15 @@
         .route("/readyz", web::get().to(health::readyz))
         .route("/v1/chat/completions", web::post().to(engine_api::complete))
         .route("/v1/completions", web::post().to(engine_api::complete))
-        .route("/v1/steps", web::post().to(trainer_api::open))
-        .route("/v1/steps/fetch", web::post().to(trainer_api::fetch))
-        .route("/v1/weights", web::post().to(trainer_api::publish))
+        .route("/v1/steps", web::post().to(trainer_api::open_step))
+        .route("/v1/steps/fetch", web::post().to(trainer_api::fetch_samples))
+        .route("/v1/weights", web::post().to(trainer_api::publish_weights))
         .route("/services/{path:.*}", web::route().to(plain_api::call))
         .default_service(web::to(unknown));
 }
 
 async fn unknown(worker: web::Data<super::WorkerState>) -> HttpResponse {
     let id = worker.shared.next_request_id();
-    worker.shared.metrics.refused(RefusalReason::ServiceUnknown);
+    worker.shared.metrics.count_refusal(RefusalReason::ServiceUnknown);
     ApiError::not_run(RefusalReason::ServiceUnknown, &id).error_response()
 }
--- a/crates/daemon/src/http/trainer_api.rs
+++ b/crates/daemon/src/http/trainer_api.rs
@@ -19,9 +19,13 @@
 const FETCH_MAX: usize = 4_096;
 
 /// Handles `POST /v1/steps`.
-pub async fn open(worker: web::Data<WorkerState>, request: HttpRequest, payload: web::Payload) -> Result<HttpResponse> {
+pub async fn open_step(
+    worker: web::Data<WorkerState>,
+    request: HttpRequest,
+    payload: web::Payload,
+) -> Result<HttpResponse> {
     let id = worker.shared.next_request_id();
-    let (began, _inflight) = (worker.shared.now(), worker.shared.enter());
+    let (began, _inflight) = (worker.shared.now(), worker.shared.inflight_guard());
     let outcome = async {
         let open: OpenRequest = parse(&worker, payload, &id).await?;
         check_name(&open.trainer, &id)?;
@@ -31,17 +35,17 @@
         Ok(json(&answer, &id))
     };
     let outcome = outcome.await;
-    worker.finish(&id, began, outcome)
+    worker.record_outcome(&id, began, outcome)
 }
 
 /// Handles `POST /v1/steps/fetch`.
-pub async fn fetch(
+pub async fn fetch_samples(
     worker: web::Data<WorkerState>,
     request: HttpRequest,
     payload: web::Payload,
 ) -> Result<HttpResponse> {
     let id = worker.shared.next_request_id();
-    let (began, _inflight) = (worker.shared.now(), worker.shared.enter());
+    let (began, _inflight) = (worker.shared.now(), worker.shared.inflight_guard());
     let outcome = async {
         let mut fetch: FetchRequest = parse(&worker, payload, &id).await?;
         check_name(&fetch.trainer, &id)?;
@@ -51,17 +55,17 @@
         Ok(json(&answer, &id))
     };
     let outcome = outcome.await;
-    worker.finish(&id, began, outcome)
+    worker.record_outcome(&id, began, outcome)
 }
 
 /// Handles `POST /v1/weights`.
-pub async fn publish(
+pub async fn publish_weights(
     worker: web::Data<WorkerState>,
     request: HttpRequest,
     payload: web::Payload,
 ) -> Result<HttpResponse> {
     let id = worker.shared.next_request_id();
-    let (began, _inflight) = (worker.shared.now(), worker.shared.enter());
+    let (began, _inflight) = (worker.shared.now(), worker.shared.inflight_guard());
     let outcome = async {
         let publish: PublishRequest = parse(&worker, payload, &id).await?;
         check_engine(&worker, &publish.service, &id)?;
@@ -70,7 +74,7 @@
         Ok(json(&PublishAnswer { version }, &id))
     };
     let outcome = outcome.await;
-    worker.finish(&id, began, outcome)
+    worker.record_outcome(&id, began, outcome)
 }
 
 /// Raises the published version on record; a lower one changes nothing.
@@ -88,7 +92,7 @@
         .await
         .map_err(|_| ApiError::not_run(RefusalReason::PeerUnreachable, id))?;
     if let Some(entry) = written {
-        worker.shared.apply(vec![entry.clone()], 0);
+        worker.shared.apply_records(vec![entry.clone()], 0);
         push_records(&worker.shared, &worker.peers, vec![entry]).await;
     }
     Ok(worker.shared.config().published_version(&publish.service).max(publish.version))
--- a/crates/daemon/src/http/worker_state.rs
+++ b/crates/daemon/src/http/worker_state.rs
@@ -50,7 +50,7 @@
         Self {
             client: plain_client(),
             once_client: plain_client(),
-            kv: EtcdClient::new(shared.settings.kv.clone(), shared.kv_calls.clone()),
+            kv: EtcdClient::new(shared.settings.kv_address.clone(), shared.kv_calls.clone()),
             claims: ClaimGate::new(shared.clone(), claim_actor.clone(), peers.clone()),
             steps: StepGate::new(shared.clone(), step_actor.clone(), peers.clone()),
             claim_actor,
@@ -62,21 +62,26 @@
 
     /// Refuses new work once the balancer had time to notice that this daemon leaves.
     pub fn check_draining(&self, id: &RequestId) -> Result<()> {
-        if self.shared.closed.load(Ordering::SeqCst) {
+        if self.shared.refusing_requests.load(Ordering::SeqCst) {
             return Err(crate::api_error::ApiError::not_run(RefusalReason::Draining, id));
         }
         Ok(())
     }
 
     /// Counts and logs the outcome of a caller's request.
-    pub fn finish(&self, id: &RequestId, began: TimePoint, outcome: Result<HttpResponse>) -> Result<HttpResponse> {
+    pub fn record_outcome(
+        &self,
+        id: &RequestId,
+        began: TimePoint,
+        outcome: Result<HttpResponse>,
+    ) -> Result<HttpResponse> {
         let took_ms = self.shared.now().since_ms(began);
         let line = LogLine::new("request").field("request_id", &**id).field("ms", took_ms);
-        self.shared.metrics.latency.observe(took_ms as f64 / 1_000.0);
+        self.shared.metrics.latency_seconds.observe(took_ms as f64 / 1_000.0);
         match &outcome {
             Ok(answer) => line.field("status", answer.status().as_u16()).info(),
             Err(error) => {
-                self.shared.metrics.refused(error.reason);
+                self.shared.metrics.count_refusal(error.reason);
                 line.field("status", error.reason.status())
                     .field("reason", error.reason.code())
                     .field("run_state", error.run_state.as_str())
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -15,6 +15,6 @@
 mod task;
 mod upstream;
 
-pub use daemon_settings::{DaemonSettings, SettingFault, command};
+pub use daemon_settings::{DaemonSettings, SettingError, command};
 pub use pimentoslip_telemetry::{LogLine, disable_logs, init_stderr_logs};
 pub use running_daemon::{Result, RunningDaemon, start};
--- a/crates/daemon/src/metric_set.rs
+++ b/crates/daemon/src/metric_set.rs
@@ -32,7 +32,7 @@
     requests: Family<ServiceLabel, Counter>,
     tokens: Family<ServiceLabel, Counter>,
     /// Time to the first byte of an answer.
-    pub latency: Histogram,
+    pub latency_seconds: Histogram,
     /// Calls to the key-value service.
     pub kv_calls: Gauge,
     /// Requests being served.
@@ -48,9 +48,9 @@
     /// Orders sent to the provider.
     pub orders: Counter,
     /// Usage reports sent to the provider.
-    pub reports: Counter,
+    pub usage_reports: Counter,
     /// Revision of the configuration in force.
-    pub revision: Gauge,
+    pub config_revision: Gauge,
     /// Bytes sent and received in exchanges with peers.
     pub exchange_bytes: Counter,
 }
@@ -69,7 +69,7 @@
             retries: Family::default(),
             requests: Family::default(),
             tokens: Family::default(),
-            latency: Histogram::new(LATENCY_BUCKETS_SECONDS),
+            latency_seconds: Histogram::new(LATENCY_BUCKETS_SECONDS),
             kv_calls: Gauge::default(),
             inflight: Gauge::default(),
             claim_commits: Counter::default(),
@@ -77,8 +77,8 @@
             samples: Counter::default(),
             wasted_tokens: Counter::default(),
             orders: Counter::default(),
-            reports: Counter::default(),
-            revision: Gauge::default(),
+            usage_reports: Counter::default(),
+            config_revision: Gauge::default(),
             exchange_bytes: Counter::default(),
         };
         set.register();
@@ -88,17 +88,17 @@
 
 impl MetricSet {
     /// Counts a refusal.
-    pub fn refused(&self, reason: RefusalReason) {
+    pub fn count_refusal(&self, reason: RefusalReason) {
         self.refusals.get_or_create(&ReasonLabel { reason: reason.code() }).inc();
     }
 
     /// Counts a retry.
-    pub fn retried(&self, reason: RetryReason) {
+    pub fn count_retry(&self, reason: RetryReason) {
         self.retries.get_or_create(&ReasonLabel { reason: reason.code() }).inc();
     }
 
     /// Counts an answered request.
-    pub fn answered(&self, service: &SharedName, tokens: u64) {
+    pub fn count_answer(&self, service: &SharedName, tokens: u64) {
         let label = ServiceLabel { service: service.to_string() };
         self.requests.get_or_create(&label).inc();
         self.tokens.get_or_create(&label).inc_by(tokens);
@@ -127,7 +127,7 @@
         registry.register("retries", "Repeated attempts by reason", self.retries.clone());
         registry.register("requests", "Answered requests by service", self.requests.clone());
         registry.register("tokens", "Generated tokens by service", self.tokens.clone());
-        registry.register("latency_seconds", "Time to the first byte of an answer", self.latency.clone());
+        registry.register("latency_seconds", "Time to the first byte of an answer", self.latency_seconds.clone());
         registry.register("kv_calls", "Calls to the key-value service", self.kv_calls.clone());
         registry.register("inflight", "Requests being served", self.inflight.clone());
         registry.register("claim_commits", "Group commits of claims", self.claim_commits.clone());
@@ -135,8 +135,8 @@
         registry.register("samples", "Samples delivered to trainers", self.samples.clone());
         registry.register("wasted_tokens", "Tokens of discarded samples", self.wasted_tokens.clone());
         registry.register("orders", "Orders sent to the provider", self.orders.clone());
-        registry.register("reports", "Usage reports sent to the provider", self.reports.clone());
-        registry.register("revision", "Configuration revision in force", self.revision.clone());
+        registry.register("reports", "Usage reports sent to the provider", self.usage_reports.clone());
+        registry.register("revision", "Configuration revision in force", self.config_revision.clone());
         registry.register("exchange_bytes", "Bytes of exchanges with peers", self.exchange_bytes.clone());
     }
 }
--- a/crates/daemon/src/running_daemon.rs
+++ b/crates/daemon/src/running_daemon.rs
@@ -7,7 +7,7 @@
     peer_client::PeerClient,
     shared_state::SharedState,
     step::StepActor,
-    task::{ExchangeTask, ListingTask, OrderTask, PeriodicActor, StopMessage, UsageTask, push_records},
+    task::{DiscoveryTask, ExchangeTask, OrderTask, PeriodicActor, StopMessage, UsageTask, push_records},
 };
 use actix::{Actor, Addr};
 use actix_web::{App, HttpServer, dev::ServerHandle, web};
@@ -45,22 +45,22 @@
 pub async fn start(settings: DaemonSettings) -> Result<RunningDaemon> {
     let shared = SharedState::new(settings);
     let settings = &shared.settings;
-    let public = bind(settings.listen, "--listen")?;
-    let control = bind(settings.control_listen, "--control-listen")?;
+    let public = bind(settings.listen_address, "--listen")?;
+    let control = bind(settings.control_listen_address, "--control-listen")?;
     let (public_address, control_address) = (public.local_addr()?, control.local_addr()?);
-    shared.bound(control_address.to_string().into());
+    shared.set_control_address(control_address.to_string().into());
 
-    let kv = EtcdClient::new(settings.kv.clone(), shared.kv_calls.clone());
+    let kv = EtcdClient::new(settings.kv_address.clone(), shared.kv_calls.clone());
     let provider = ProviderClient::new(
         shared.clock.clone(),
-        settings.orders.clone(),
-        settings.usage.clone(),
-        settings.vms.clone(),
+        settings.orders_address.clone(),
+        settings.usage_address.clone(),
+        settings.vm_list_address.clone(),
     );
     let peers = PeerClient::new(settings.cluster_secret.clone());
     let claims = ClaimActor::new(shared.clone(), kv.clone()).start();
     let steps = StepActor::new(shared.clone()).start();
-    PeriodicActor::new(ListingTask::new(shared.clone(), provider.clone())).start();
+    PeriodicActor::new(DiscoveryTask::new(shared.clone(), provider.clone())).start();
     PeriodicActor::new(ExchangeTask::new(shared.clone(), peers.clone(), kv.clone())).start();
     let orders = PeriodicActor::new(OrderTask::new(shared.clone(), kv.clone(), provider.clone())).start();
     let usage = PeriodicActor::new(UsageTask::new(shared.clone(), kv, peers.clone(), provider)).start();
@@ -117,7 +117,7 @@
 /// Tells peers of a suspected request before it reaches them.
 async fn share_suspicions(shared: Arc<SharedState>, peers: PeerClient) {
     loop {
-        shared.suspicion.notified().await;
+        shared.suspect_added.notified().await;
         push_records(&shared, &peers, Vec::new()).await;
     }
 }
@@ -129,26 +129,26 @@
 impl RunningDaemon {
     /// Address for callers.
     #[must_use]
-    pub fn public(&self) -> SocketAddr {
+    pub fn public_address(&self) -> SocketAddr {
         self.public
     }
 
     /// Address for peers and operators.
     #[must_use]
-    pub fn control(&self) -> SocketAddr {
+    pub fn control_address(&self) -> SocketAddr {
         self.control
     }
 
     /// Waits until an operator asks the daemon to leave.
-    pub async fn drain_asked(&self) {
-        self.shared.drain_asked.notified().await;
+    pub async fn wait_for_drain_request(&self) {
+        self.shared.drain_requested.notified().await;
     }
 
     /// Waits until the reporter has this daemon's last usage counters, as long as there may be a reporter.
     async fn wait_gathered(&self) {
         let counted = self.shared.now();
         let deadline = counted.plus_ms(GATHER_MS);
-        let gathered = || self.shared.gathered_at.load(Ordering::SeqCst) > counted.0;
+        let gathered = || self.shared.totals_requested_at_ms.load(Ordering::SeqCst) > counted.0;
         while !gathered() && self.shared.members().active_names().len() > 1 && self.shared.now() < deadline {
             actix_rt::time::sleep(POLL).await;
         }
@@ -157,19 +157,19 @@
     /// Leaves the balancer, gives duties up, waits for every request, and stops.
     pub async fn shut_down(self) {
         let settings = &self.shared.settings;
-        LogLine::new("draining").field("inflight", self.shared.inflight()).info();
+        LogLine::new("draining").field("inflight", self.shared.inflight_count()).info();
         self.shared.draining.store(true, Ordering::SeqCst);
         actix_rt::time::sleep(Duration::from_millis(settings.drain_grace_ms)).await;
-        self.shared.closed.store(true, Ordering::SeqCst);
+        self.shared.refusing_requests.store(true, Ordering::SeqCst);
         // An actor that has gone holds no duty.
         let _ = self.orders.send(StopMessage).await;
         let _ = self.usage.send(StopMessage).await;
         let deadline = self.shared.now().plus_ms(settings.drain_timeout_ms);
-        while self.shared.inflight() > 0 && self.shared.now() < deadline {
+        while self.shared.inflight_count() > 0 && self.shared.now() < deadline {
             actix_rt::time::sleep(POLL).await;
         }
         self.wait_gathered().await;
-        LogLine::new("stopping").field("inflight", self.shared.inflight()).info();
+        LogLine::new("stopping").field("inflight", self.shared.inflight_count()).info();
         self.public_server.stop(true).await;
         self.control_server.stop(true).await;
     }
--- a/crates/daemon/src/shared_state.rs
+++ b/crates/daemon/src/shared_state.rs
@@ -32,27 +32,27 @@
     /// Metrics.
     pub metrics: MetricSet,
     /// Requests waiting for their turn.
-    pub gate: AdmissionGate,
+    pub admission_gate: AdmissionGate,
     /// Requests in flight on upstreams.
-    pub running: RunningTable,
+    pub running_requests: RunningTable,
     /// Calls to the key-value service.
     pub kv_calls: Arc<AtomicU64>,
     /// A request has come under suspicion, which peers should know at once.
-    pub suspicion: tokio::sync::Notify,
+    pub suspect_added: tokio::sync::Notify,
     /// Whether this daemon leaves.
     pub draining: AtomicBool,
     /// An operator asked the daemon to leave.
-    pub drain_asked: tokio::sync::Notify,
+    pub drain_requested: tokio::sync::Notify,
     /// Whether new work is refused.
-    pub closed: AtomicBool,
+    pub refusing_requests: AtomicBool,
     /// Whether this daemon saw itself on the VM list.
-    pub listed: AtomicBool,
+    pub is_listed: AtomicBool,
     /// VM list as last read: live entry VMs by name.
-    pub listed_entries: Mutex<BTreeMap<SharedName, SharedName>>,
+    pub listed_daemons: Mutex<BTreeMap<SharedName, SharedName>>,
     /// When the reporter last asked for this daemon's usage counters, in milliseconds.
-    pub gathered_at: AtomicU64,
+    pub totals_requested_at_ms: AtomicU64,
     /// Standing of duties.
-    pub duties: Mutex<DutyStates>,
+    pub duty_states: Mutex<DutyStates>,
     control: OnceLock<SharedName>,
     config: RwLock<ConfigView>,
     freshness: Mutex<FreshnessTable>,
@@ -81,17 +81,17 @@
             incarnation: clock.unix_ms(),
             clock,
             metrics: MetricSet::default(),
-            gate: AdmissionGate::default(),
-            running: RunningTable::default(),
+            admission_gate: AdmissionGate::default(),
+            running_requests: RunningTable::default(),
             kv_calls: Arc::default(),
-            suspicion: tokio::sync::Notify::new(),
+            suspect_added: tokio::sync::Notify::new(),
             draining: AtomicBool::new(false),
-            drain_asked: tokio::sync::Notify::new(),
-            closed: AtomicBool::new(false),
-            listed: AtomicBool::new(false),
-            listed_entries: Mutex::default(),
-            gathered_at: AtomicU64::new(0),
-            duties: Mutex::default(),
+            drain_requested: tokio::sync::Notify::new(),
+            refusing_requests: AtomicBool::new(false),
+            is_listed: AtomicBool::new(false),
+            listed_daemons: Mutex::default(),
+            totals_requested_at_ms: AtomicU64::new(0),
+            duty_states: Mutex::default(),
             control: OnceLock::new(),
             config: RwLock::default(),
             freshness: Mutex::default(),
@@ -114,14 +114,14 @@
     }
 
     /// Remembers the bound address of the control listener.
-    pub fn bound(&self, control: SharedName) {
+    pub fn set_control_address(&self, control: SharedName) {
         // It is bound once; a second call would change nothing.
         let _ = self.control.set(control);
     }
 
     /// This daemon as told to peers.
     #[must_use]
-    pub fn me(&self) -> MemberBody {
+    pub fn own_member(&self) -> MemberBody {
         let state = if self.draining.load(Ordering::SeqCst) { MemberState::Leaving } else { MemberState::Alive };
         MemberBody {
             name: self.settings.name.clone(),
@@ -134,7 +134,7 @@
 
     /// `NAME/INCARNATION` of this process.
     #[must_use]
-    pub fn process(&self) -> SharedName {
+    pub fn process_name(&self) -> SharedName {
         format!("{}/{}", self.settings.name, self.incarnation).into()
     }
 
@@ -151,11 +151,11 @@
     }
 
     /// Applies records and the revision up to which they are complete. Records that were new.
-    pub fn apply(&self, entries: Vec<RecordEntry>, complete: u64) -> Vec<RecordEntry> {
+    pub fn apply_records(&self, entries: Vec<RecordEntry>, complete: u64) -> Vec<RecordEntry> {
         let mut view = self.config.write().unwrap_or_else(PoisonError::into_inner);
         let new = entries.into_iter().filter(|entry| view.apply(entry.clone())).collect();
         view.revision_completed(complete);
-        self.metrics.revision.set(i64::try_from(view.newest_revision()).unwrap_or(i64::MAX));
+        self.metrics.config_revision.set(i64::try_from(view.newest_revision()).unwrap_or(i64::MAX));
         new
     }
 
@@ -166,7 +166,7 @@
 
     /// Whether keys may be trusted now.
     #[must_use]
-    pub fn fresh(&self) -> bool {
+    pub fn is_config_fresh(&self) -> bool {
         let now = self.now();
         self.freshness().is_fresh(now)
     }
@@ -193,7 +193,7 @@
     }
 
     /// Acts on the retry budget of an organisation at a service.
-    pub fn budget<R>(
+    pub fn with_retry_budget<R>(
         &self,
         organisation: &SharedName,
         service: &SharedName,
@@ -206,7 +206,7 @@
     pub fn record_usage(&self, organisation: &SharedName, service: &SharedName, tokens: u64) {
         let key = UsageKey { organisation: organisation.clone(), service: service.clone() };
         lock(&self.usage).record(key, UsageCount { requests: 1, tokens });
-        self.metrics.answered(service, tokens);
+        self.metrics.count_answer(service, tokens);
     }
 
     /// Cumulative usage.
@@ -222,26 +222,26 @@
 
     /// Draws a number.
     #[must_use]
-    pub fn draw(&self) -> u64 {
+    pub fn random_u64(&self) -> u64 {
         self.with_rng(|rng| rng.random())
     }
 
     /// Counts a request that begins; see [`InflightGuard`].
     #[must_use]
-    pub fn enter(self: &Arc<Self>) -> InflightGuard {
+    pub fn inflight_guard(self: &Arc<Self>) -> InflightGuard {
         self.inflight.fetch_add(1, Ordering::SeqCst);
         InflightGuard(self.clone())
     }
 
     /// Requests being served.
     #[must_use]
-    pub fn inflight(&self) -> i64 {
+    pub fn inflight_count(&self) -> i64 {
         self.inflight.load(Ordering::SeqCst)
     }
 
     /// Records a duty's standing for the status page.
-    pub fn set_duty(&self, duty: &SharedName, state: &'static str, fencing: Option<u64>) {
-        lock(&self.duties).insert(duty.clone(), (state, fencing));
+    pub fn set_duty_state(&self, duty: &SharedName, state: &'static str, fencing: Option<u64>) {
+        lock(&self.duty_states).insert(duty.clone(), (state, fencing));
     }
 }
 
--- a/crates/daemon/src/task/listing_task.rs
+++ b/crates/daemon/src/task/discovery_task.rs
@@ -13,12 +13,12 @@
 };
 
 /// Keeps routes and the list of daemons up to date.
-pub struct ListingTask {
+pub struct DiscoveryTask {
     shared: Arc<SharedState>,
     provider: ProviderClient,
 }
 
-impl ListingTask {
+impl DiscoveryTask {
     /// Creates the task.
     #[must_use]
     pub fn new(shared: Arc<SharedState>, provider: ProviderClient) -> Self {
@@ -54,9 +54,9 @@
         let me = &self.shared.settings.name;
         let listed: BTreeMap<SharedName, SharedName> = entries.into_iter().map(|vm| (vm.name, vm.address)).collect();
         let complete = listed.contains_key(me);
-        self.shared.listed.store(complete, Ordering::SeqCst);
+        self.shared.is_listed.store(complete, Ordering::SeqCst);
         let gone: Vec<SharedName> = {
-            let mut known = self.shared.listed_entries.lock().unwrap_or_else(PoisonError::into_inner);
+            let mut known = self.shared.listed_daemons.lock().unwrap_or_else(PoisonError::into_inner);
             let gone = known.keys().filter(|name| complete && !listed.contains_key(*name)).cloned().collect();
             if complete {
                 known.clear();
@@ -104,13 +104,13 @@
         };
         for (name, inflight_max) in services {
             let capacity = self.shared.routes().capacity(&name, inflight_max);
-            self.shared.gate.pump(&name, capacity);
+            self.shared.admission_gate.pump(&name, capacity);
         }
     }
 }
 
-impl PeriodicTask for ListingTask {
-    const PERIOD_MS: u64 = 700;
+impl PeriodicTask for DiscoveryTask {
+    const PAUSE_MS: u64 = 700;
 
     async fn run(&mut self) {
         self.read_list().await;
--- a/crates/daemon/src/task/domain_duty.rs
+++ b/crates/daemon/src/task/domain_duty.rs
@@ -2,7 +2,7 @@
 
 use super::{
     duty_lease::DutyLease,
-    order_book::{OrderAuthority, OrderBook},
+    order_sender::{OrderAuthority, OrderSender},
 };
 use crate::shared_state::SharedState;
 use futures_util::future::join_all;
@@ -23,7 +23,7 @@
 /// The duty of one failure domain.
 pub struct DomainDuty {
     lease: DutyLease<EtcdClient>,
-    book: OrderBook<EtcdClient>,
+    book: OrderSender<EtcdClient>,
     surplus_rounds: BTreeMap<SharedName, u32>,
     unavailable_until: BTreeMap<(SharedName, bool), TimePoint>,
 }
@@ -43,7 +43,7 @@
     ) -> Self {
         Self {
             lease: DutyLease::new(kv.clone(), shared.clone(), duty_name(domain), checks_fencing),
-            book: OrderBook::new(kv, shared, provider, domain.clone()),
+            book: OrderSender::new(kv, shared, provider, domain.clone()),
             surplus_rounds: BTreeMap::new(),
             unavailable_until: BTreeMap::new(),
         }
@@ -55,7 +55,7 @@
     }
 
     /// Moves the lease on and, while it is held, orders upstreams and weights.
-    pub async fn round(
+    pub async fn tick(
         &mut self,
         shared: &SharedState,
         provider: &ProviderClient,
@@ -80,7 +80,7 @@
         domain: &SharedName,
         authority: &OrderAuthority,
     ) -> Result<()> {
-        self.book.settle_open(authority).await?;
+        self.book.settle_pending_orders(authority).await?;
         let services: Vec<(SharedName, ServiceConfig)> = {
             let config = shared.config();
             config.services().map(|(name, service)| (name.clone(), service.clone())).collect()
@@ -114,7 +114,8 @@
         }
         for (other, _) in services {
             for reclaimable in [false, true] {
-                *running.entry((other.clone(), reclaimable)).or_default() += self.book.starting(other, reclaimable);
+                *running.entry((other.clone(), reclaimable)).or_default() +=
+                    self.book.starting_count(other, reclaimable);
             }
         }
         let count = |name: &SharedName, reclaimable| running.get(&(name.clone(), reclaimable)).copied().unwrap_or(0);
@@ -184,7 +185,7 @@
             vm,
             fencing: authority.fencing,
         };
-        if self.book.give(request, authority).await? == OrderState::Unavailable {
+        if self.book.send_order(request, authority).await? == OrderState::Unavailable {
             self.unavailable_until.insert(kind, shared.now().plus_ms(UNAVAILABLE_MS));
         }
         Ok(())
--- a/crates/daemon/src/task/duty_lease.rs
+++ b/crates/daemon/src/task/duty_lease.rs
@@ -87,7 +87,7 @@
     async fn acquire_if_vacant(&mut self, rank: Option<usize>) -> Result<()> {
         let Some(rank) = rank.filter(|rank| *rank < RANK_MAX) else { return Ok(()) };
         // A daemon that is not on the platform's list cannot be proved gone later.
-        if !self.shared.listed.load(Ordering::SeqCst) || self.shared.draining.load(Ordering::SeqCst) {
+        if !self.shared.is_listed.load(Ordering::SeqCst) || self.shared.draining.load(Ordering::SeqCst) {
             return Ok(());
         }
         let now = self.shared.now();
@@ -109,7 +109,7 @@
         let mut on_record = previous.clone();
         on_record.retain(|holder| *holder != self.own_record());
         on_record.push(self.own_record());
-        let nonce = format!("{}/{}", self.shared.process(), self.shared.draw());
+        let nonce = format!("{}/{}", self.shared.process_name(), self.shared.random_u64());
         let asked_at = self.shared.now();
         let lease = self.kv.grant(self.holder.ttl_ms()).await?;
         let txn = TxnRequest::default()
@@ -175,7 +175,7 @@
         if previous.daemon == self.shared.settings.name {
             return HolderEvidence::Ended;
         }
-        let listed = self.shared.listed_entries.lock().unwrap_or_else(PoisonError::into_inner);
+        let listed = self.shared.listed_daemons.lock().unwrap_or_else(PoisonError::into_inner);
         let off_list = !listed.is_empty() && !listed.contains_key(&previous.daemon);
         drop(listed);
         let ended = self
@@ -225,7 +225,7 @@
             LeaseState::Settling { fencing, .. } => ("settling", Some(fencing)),
             LeaseState::Held { fencing, .. } => ("held", Some(fencing)),
         };
-        self.shared.set_duty(&self.duty, state, fencing);
+        self.shared.set_duty_state(&self.duty, state, fencing);
     }
 }
 
--- a/crates/daemon/src/task/exchange_task.rs
+++ b/crates/daemon/src/task/exchange_task.rs
@@ -59,7 +59,7 @@
         match self.kv.range(&prefix, since).await {
             Ok(answer) => {
                 let entries = answer.kvs.iter().filter_map(|entry| parse_entry(&prefix, entry)).collect();
-                let new = self.shared.apply(entries, answer.header.revision);
+                let new = self.shared.apply_records(entries, answer.header.revision);
                 self.shared.freshness().service_read(asked_at);
                 log_applied("service", &new);
             }
@@ -69,7 +69,7 @@
 
     /// Peers of this round, and those on the platform's list that were never heard.
     fn round(&self) -> Vec<PeerAddress> {
-        let listed = self.shared.listed_entries.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        let listed = self.shared.listed_daemons.lock().unwrap_or_else(PoisonError::into_inner).clone();
         let mut members = self.shared.members();
         let mut round: BTreeMap<SharedName, SharedName> =
             members.next_exchange_peers().into_iter().map(|member| (member.name, member.control)).collect();
@@ -86,7 +86,7 @@
     /// Judges members, and raises freshness when every other daemon was heard.
     fn judge(&self) {
         let now = self.shared.now();
-        let listed = self.shared.listed_entries.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        let listed = self.shared.listed_daemons.lock().unwrap_or_else(PoisonError::into_inner).clone();
         let mut members = self.shared.members();
         members.tick(now);
         let mut running = members.possibly_running_names();
@@ -101,7 +101,7 @@
 }
 
 impl PeriodicTask for ExchangeTask {
-    const PERIOD_MS: u64 = 500;
+    const PAUSE_MS: u64 = 500;
 
     async fn run(&mut self) {
         let round = self.round();
@@ -135,7 +135,7 @@
 fn question(shared: &SharedState, records: Vec<RecordEntry>) -> ExchangeRequest {
     let now = shared.now();
     ExchangeRequest {
-        from: shared.me(),
+        from: shared.own_member(),
         complete: shared.config().complete_revision(),
         records,
         suspects: shared.suspects().active_marks(now),
@@ -178,7 +178,7 @@
 
 fn take_answer(shared: &SharedState, answer: ExchangeAnswer, asked_at: TimePoint) {
     let name = answer.from.name.clone();
-    let new = shared.apply(answer.records, answer.complete);
+    let new = shared.apply_records(answer.records, answer.complete);
     log_applied(&name, &new);
     shared.freshness().peer_answered(&name, asked_at, answer.age_ms);
     let now = shared.now();
@@ -197,7 +197,7 @@
 pub fn answer_exchange(shared: &SharedState, request: ExchangeRequest) -> ExchangeAnswer {
     let now = shared.now();
     let name = request.from.name.clone();
-    let new = shared.apply(request.records, 0);
+    let new = shared.apply_records(request.records, 0);
     log_applied(&name, &new);
     {
         let mut suspects = shared.suspects();
@@ -208,7 +208,7 @@
     let age_ms = shared.freshness().age_ms(now);
     let config = shared.config();
     ExchangeAnswer {
-        from: shared.me(),
+        from: shared.own_member(),
         complete: config.complete_revision(),
         records: config.entries_since(request.complete),
         age_ms,
--- a/crates/daemon/src/task/order_book.rs
+++ b/crates/daemon/src/task/order_sender.rs
@@ -37,7 +37,7 @@
 }
 
 /// The orders of one failure domain.
-pub struct OrderBook<K> {
+pub struct OrderSender<K> {
     kv: K,
     shared: Arc<SharedState>,
     provider: ProviderClient,
@@ -48,7 +48,7 @@
     starting: BTreeMap<SharedName, (OrderRequest, TimePoint)>,
 }
 
-impl<K: KeyValueClient> OrderBook<K> {
+impl<K: KeyValueClient> OrderSender<K> {
     /// Creates the book of `failure_domain`.
     pub fn new(kv: K, shared: Arc<SharedState>, provider: ProviderClient, failure_domain: SharedName) -> Self {
         Self { kv, shared, provider, failure_domain, settled_under: None, sequence: 0, starting: BTreeMap::new() }
@@ -63,7 +63,7 @@
     }
 
     /// Orders of `service` and kind that were carried out but are not on the VM list yet.
-    pub fn starting(&mut self, service: &str, reclaimable: bool) -> u32 {
+    pub fn starting_count(&mut self, service: &str, reclaimable: bool) -> u32 {
         let now = self.shared.now();
         let shared = self.shared.clone();
         let routes = shared.routes();
@@ -77,7 +77,7 @@
     }
 
     /// Settles every open order of former holders, once under each fencing number, before any new one.
-    pub async fn settle_open(&mut self, authority: &OrderAuthority) -> Result<()> {
+    pub async fn settle_pending_orders(&mut self, authority: &OrderAuthority) -> Result<()> {
         if self.settled_under == Some(authority.fencing) {
             return Ok(());
         }
@@ -108,7 +108,7 @@
     }
 
     /// Records an order, sends it, and records the outcome.
-    pub async fn give(&mut self, request: OrderRequest, authority: &OrderAuthority) -> Result<OrderState> {
+    pub async fn send_order(&mut self, request: OrderRequest, authority: &OrderAuthority) -> Result<OrderState> {
         self.sequence += 1;
         let order = format!("{}-{}-{}", self.failure_domain, authority.fencing, self.sequence).into();
         let request = OrderRequest { order, fencing: authority.fencing, ..request };
--- a/crates/daemon/src/task/order_task.rs
+++ b/crates/daemon/src/task/order_task.rs
@@ -34,13 +34,13 @@
 }
 
 impl PeriodicTask for OrderTask {
-    const PERIOD_MS: u64 = 500;
+    const PAUSE_MS: u64 = 500;
 
     async fn run(&mut self) {
         let Some(site) = self.shared.config().site().cloned() else { return };
         self.add_domains(&site);
         let (shared, provider) = (&self.shared, &self.provider);
-        let rounds = self.duties.iter_mut().map(|(domain, duty)| duty.round(shared, provider, &site, domain));
+        let rounds = self.duties.iter_mut().map(|(domain, duty)| duty.tick(shared, provider, &site, domain));
         join_all(rounds).await;
     }
 
--- a/crates/daemon/src/task/periodic_actor.rs
+++ b/crates/daemon/src/task/periodic_actor.rs
@@ -7,7 +7,7 @@
 /// Work done in rounds.
 pub trait PeriodicTask: Unpin + 'static {
     /// Pause between two rounds in milliseconds.
-    const PERIOD_MS: u64;
+    const PAUSE_MS: u64;
 
     /// One round.
     fn run(&mut self) -> impl Future<Output = ()>;
@@ -45,7 +45,7 @@
         if self.stopping.is_some() {
             self.stop_task(context);
         } else {
-            context.notify_later(RoundMessage, Duration::from_millis(T::PERIOD_MS));
+            context.notify_later(RoundMessage, Duration::from_millis(T::PAUSE_MS));
         }
     }
 
--- a/crates/daemon/src/task/usage_task.rs
+++ b/crates/daemon/src/task/usage_task.rs
@@ -72,7 +72,7 @@
     /// Takes in the latest counters of every daemon that answers.
     async fn gather(&mut self) {
         let own = self.shared.usage_totals().into_iter().map(TotalsLine::from).map(UsageLine::from).collect();
-        self.totals.insert(self.shared.process(), own);
+        self.totals.insert(self.shared.process_name(), own);
         let controls: Vec<SharedName> =
             self.shared.members().possibly_running_entries().map(|member| member.control.clone()).collect();
         let calls = controls
@@ -150,7 +150,7 @@
             if sent.kvs.iter().any(|entry| entry.key == key.as_bytes()) {
                 continue;
             }
-            self.shared.metrics.reports.inc();
+            self.shared.metrics.usage_reports.inc();
             self.provider.report(site, index, fencing, sealed.report.clone().into(), deadline).await?;
             LogLine::new("usage_reported").field("window", index).info();
             let lease = self.kv.grant(RETENTION_MS).await?;
@@ -162,7 +162,7 @@
 }
 
 impl PeriodicTask for UsageTask {
-    const PERIOD_MS: u64 = 1_000;
+    const PAUSE_MS: u64 = 1_000;
 
     async fn run(&mut self) {
         let Some(site) = self.shared.config().site().cloned() else { return };
--- a/crates/daemon/src/upstream/dispatcher.rs
+++ b/crates/daemon/src/upstream/dispatcher.rs
@@ -29,7 +29,7 @@
     let mut tried: Vec<SharedName> = Vec::new();
     let mut attempt = 0;
     let mut run_state = RunState::NotRun;
-    shared.budget(&request.organisation, &request.service, pimentoslip_kernel::RetryBudget::record_attempt);
+    shared.with_retry_budget(&request.organisation, &request.service, pimentoslip_kernel::RetryBudget::record_attempt);
     loop {
         attempt += 1;
         let now = shared.now();
@@ -102,11 +102,13 @@
     let now = shared.now();
     let failed = FailedAttempt { class: &request.class, progress: error.progress, attempt, deadline: request.deadline };
     let decision = shared.with_rng(|rng| {
-        shared.budget(&request.organisation, &request.service, |budget| RetryPolicy.decide(failed, now, budget, rng))
+        shared.with_retry_budget(&request.organisation, &request.service, |budget| {
+            RetryPolicy.decide(failed, now, budget, rng)
+        })
     });
     match decision {
         RetryDecision::RetryAt(at) => {
-            shared.metrics.retried(error.failure.retry_reason());
+            shared.metrics.count_retry(error.failure.retry_reason());
             actix_rt::time::sleep(Duration::from_millis(at.since_ms(now))).await;
             Ok(())
         }
--- a/crates/daemon/src/upstream/stream_body.rs
+++ b/crates/daemon/src/upstream/stream_body.rs
@@ -98,13 +98,13 @@
             return true;
         }
         self.next_key_check = now.plus_ms(KEY_CHECK_MS);
-        shared.fresh() && shared.config().is_key_valid(&self.owner.organisation, &self.owner.key)
+        shared.is_config_fresh() && shared.config().is_key_valid(&self.owner.organisation, &self.owner.key)
     }
 
     /// Ends the stream with an error event.
     fn fail(&mut self, reason: RefusalReason) -> Bytes {
         let error = ApiError { reason, run_state: RunState::Ran, request_id: self.owner.id.clone() };
-        self.owner.shared.metrics.refused(reason);
+        self.owner.shared.metrics.count_refusal(reason);
         LogLine::new("stream_failed").field("request_id", &*self.owner.id).field("reason", reason.code()).warn();
         let body = serde_json::to_string(&error.refusal()).unwrap_or_default();
         // The connection must not end before the event has left.
--- a/crates/daemon/src/upstream/upstream_guard.rs
+++ b/crates/daemon/src/upstream/upstream_guard.rs
@@ -24,7 +24,7 @@
     /// Counts a request with `fingerprint`, already picked, on `entry`.
     #[must_use]
     pub fn new(shared: Arc<SharedState>, entry: UpstreamEntry, fingerprint: u64) -> Self {
-        shared.running.begin(&entry.address, fingerprint);
+        shared.running_requests.begin(&entry.address, fingerprint);
         let began = shared.now();
         Self { shared, entry, fingerprint, began, failed: false }
     }
@@ -45,14 +45,14 @@
     /// in flight on it comes under suspicion.
     pub async fn lost(&mut self) {
         self.failed = true;
-        let running = self.shared.running.distinct(&self.entry.address);
+        let running = self.shared.running_requests.distinct(&self.entry.address);
         blame_if_dead(&self.shared, &self.entry, &running).await;
     }
 
     /// As [`lost`](Self::lost), where nothing can wait.
     pub fn lost_later(&mut self) {
         self.failed = true;
-        let running = self.shared.running.distinct(&self.entry.address);
+        let running = self.shared.running_requests.distinct(&self.entry.address);
         let (shared, entry) = (self.shared.clone(), self.entry.clone());
         actix_rt::spawn(async move { blame_if_dead(&shared, &entry, &running).await });
     }
@@ -89,13 +89,13 @@
         let now = shared.now();
         shared.routes().connection_refused(&entry.name, now);
         shared.suspects().upstream_crashed(running, now);
-        shared.suspicion.notify_one();
+        shared.suspect_added.notify_one();
     }
 }
 
 impl Drop for UpstreamGuard {
     fn drop(&mut self) {
-        self.shared.running.end(&self.entry.address, self.fingerprint);
+        self.shared.running_requests.end(&self.entry.address, self.fingerprint);
         let now = self.shared.now();
         self.shared.routes().request_ended(&self.entry.name, self.failed, now);
     }
