--- a/crates/daemon/src/http/engine_api.rs
+++ b/crates/daemon/src/http/engine_api.rs
@@ -60,7 +60,7 @@
     check_misplaced_key(shared, request.path(), &body, id)?;
     let upstream = upstream_request(worker, request, &question, &caller, &service, body, id)?;
     let admission = admit(worker, &upstream, &caller, &service, &question, id).await?;
-    let dispatched = dispatch(shared, &worker.client, &upstream).await?;
+    let dispatched = dispatch(shared, &worker.upstream_client, &upstream).await?;
     if dispatched
         .answer
         .headers()
--- a/crates/daemon/src/http/plain_api.rs
+++ b/crates/daemon/src/http/plain_api.rs
@@ -171,7 +171,8 @@
 
 /// Sends the request and reads the whole answer.
 async fn exchange(worker: &WorkerState, request: &UpstreamRequest) -> Result<StoredAnswer> {
-    let client = if request.class == RequestClass::Idempotent { &worker.client } else { &worker.once_client };
+    let client =
+        if request.class == RequestClass::Idempotent { &worker.upstream_client } else { &worker.non_idempotent_client };
     let mut dispatched = dispatch(&worker.shared, client, request).await?;
     let content_type =
         dispatched.answer.headers().get(CONTENT_TYPE).and_then(|value| value.to_str().ok()).unwrap_or("");
--- a/crates/daemon/src/http/worker_state.rs
+++ b/crates/daemon/src/http/worker_state.rs
@@ -21,9 +21,9 @@
     /// State of the daemon.
     pub shared: Arc<SharedState>,
     /// Client for upstreams.
-    pub client: Client,
+    pub upstream_client: Client,
     /// Client for requests that may run once, which keeps no connection open.
-    pub once_client: Client,
+    pub non_idempotent_client: Client,
     /// Client for peers.
     pub peers: PeerClient,
     /// Client for the key-value service.
@@ -48,8 +48,8 @@
     ) -> Self {
         let peers = PeerClient::new(shared.settings.cluster_secret.clone());
         Self {
-            client: plain_client(),
-            once_client: plain_client(),
+            upstream_client: plain_client(),
+            non_idempotent_client: plain_client(),
             kv: EtcdClient::new(shared.settings.kv_address.clone(), shared.kv_calls.clone()),
             claims: ClaimGate::new(shared.clone(), claim_actor.clone(), peers.clone()),
             steps: StepGate::new(shared.clone(), step_actor.clone(), peers.clone()),
