--- a/crates/daemon/src/task/discovery_task.rs
+++ b/crates/daemon/src/task/discovery_task.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's VM list and the engines' load reports.
+//! Discovers daemons and upstreams from the platform's VM list, and polls the load reports of the engines.
 
 use super::PeriodicTask;
 use crate::shared_state::SharedState;
@@ -12,7 +12,7 @@
     sync::{Arc, PoisonError, atomic::Ordering},
 };
 
-/// Keeps routes and the list of daemons up to date.
+/// Keeps the route table and the list of daemons up to date.
 pub struct DiscoveryTask {
     shared: Arc<SharedState>,
     provider: ProviderClient,
@@ -25,7 +25,8 @@
         Self { shared, provider }
     }
 
-    async fn read_list(&self) {
+    /// Reads the VM list and applies it.
+    async fn read_vm_list(&self) {
         let list = match self.provider.vms().await {
             Ok(list) => list,
             Err(error) => {
@@ -33,9 +34,9 @@
                 return;
             }
         };
-        let (entries, upstreams): (Vec<VmEntry>, Vec<VmEntry>) =
+        let (entry_vms, upstreams): (Vec<VmEntry>, Vec<VmEntry>) =
             list.vms.into_iter().partition(|vm| vm.role == VmRole::Entry);
-        self.take_entries(entries);
+        self.apply_entry_vms(entry_vms);
         let now = self.shared.now();
         let upstreams = upstreams.into_iter().filter_map(|vm| {
             let mut entry =
@@ -44,31 +45,33 @@
             Some(entry)
         });
         self.shared.routes().apply_list(upstreams.collect());
-        self.pump();
+        self.admit_waiting_requests();
     }
 
-    /// A daemon that was on the list and is gone from it has ended with its VM. A list that lacks this very
-    /// daemon is incomplete: it may add daemons, but proves the end of none.
-    fn take_entries(&self, entries: Vec<VmEntry>) {
+    /// Updates the list of daemons. A daemon that is missing from a new list has ended with its VM. A list without this
+    /// daemon itself is incomplete: daemons are added from it, but none is treated as ended.
+    fn apply_entry_vms(&self, entry_vms: Vec<VmEntry>) {
         let now = self.shared.now();
-        let me = &self.shared.settings.name;
-        let listed: BTreeMap<SharedName, SharedName> = entries.into_iter().map(|vm| (vm.name, vm.address)).collect();
-        let complete = listed.contains_key(me);
-        self.shared.is_listed.store(complete, Ordering::SeqCst);
-        let gone: Vec<SharedName> = {
-            let mut known = self.shared.listed_daemons.lock().unwrap_or_else(PoisonError::into_inner);
-            let gone = known.keys().filter(|name| complete && !listed.contains_key(*name)).cloned().collect();
-            if complete {
-                known.clear();
+        let own_name = &self.shared.settings.name;
+        let listed: BTreeMap<SharedName, SharedName> = entry_vms.into_iter().map(|vm| (vm.name, vm.address)).collect();
+        let is_complete = listed.contains_key(own_name);
+        self.shared.is_listed.store(is_complete, Ordering::SeqCst);
+        let removed: Vec<SharedName> = {
+            let mut listed_daemons = self.shared.listed_daemons.lock().unwrap_or_else(PoisonError::into_inner);
+            let removed =
+                listed_daemons.keys().filter(|name| is_complete && !listed.contains_key(*name)).cloned().collect();
+            if is_complete {
+                listed_daemons.clear();
             }
-            known.extend(listed);
-            gone
+            listed_daemons.extend(listed);
+            removed
         };
         let mut members = self.shared.members();
-        gone.iter().for_each(|name| members.process_ended(name, now));
+        removed.iter().for_each(|name| members.process_ended(name, now));
     }
 
-    async fn read_reports(&self) {
+    /// Reads the load report of every engine and updates the route table.
+    async fn read_load_reports(&self) {
         let engines: Vec<(SharedName, SharedName)> = {
             let config = self.shared.config();
             let routes = self.shared.routes();
@@ -96,8 +99,8 @@
         }
     }
 
-    /// New upstreams may let waiting requests run.
-    fn pump(&self) {
+    /// Admits waiting requests, because new upstreams may have added capacity.
+    fn admit_waiting_requests(&self) {
         let services: Vec<(SharedName, u64)> = {
             let config = self.shared.config();
             config.services().map(|(name, service)| (name.clone(), service.inflight_per_upstream)).collect()
@@ -113,7 +116,7 @@
     const PAUSE_MS: u64 = 700;
 
     async fn run(&mut self) {
-        self.read_list().await;
-        self.read_reports().await;
+        self.read_vm_list().await;
+        self.read_load_reports().await;
     }
 }
--- a/crates/daemon/src/task/domain_duty.rs
+++ b/crates/daemon/src/task/domain_duty.rs
@@ -1,4 +1,4 @@
-//! The ordering duty of one failure domain.
+//! Ordering duty of one failure domain: starts and stops its upstreams and updates the weights of its engines.
 
 use super::{
     duty_lease::DutyLease,
@@ -17,23 +17,28 @@
 };
 use std::{collections::BTreeMap, sync::Arc};
 
-/// After the provider had none of the reclaimable kind, it is not asked again for this long.
-const UNAVAILABLE_MS: u64 = 10_000;
+/// Time for which no upstream is ordered after the provider had none available for that service and price class.
+const UNAVAILABLE_BACKOFF_MS: u64 = 10_000;
 
-/// The duty of one failure domain.
+/// Matches the running upstreams and weights of one failure domain to the configuration, while this daemon holds the
+/// domain's duty.
 pub struct DomainDuty {
     lease: DutyLease<EtcdClient>,
-    book: OrderSender<EtcdClient>,
-    surplus_rounds: BTreeMap<SharedName, u32>,
+    order_sender: OrderSender<EtcdClient>,
+    /// Number of consecutive ticks in which more upstreams ran than were wanted, by service.
+    surplus_ticks: BTreeMap<SharedName, u32>,
+    /// End of the back-off after the provider had no upstream available, by service and whether it is reclaimable.
     unavailable_until: BTreeMap<(SharedName, bool), TimePoint>,
 }
 
+/// Name of the ordering duty of `domain`.
 fn duty_name(domain: &str) -> SharedName {
     format!("order-{domain}").into()
 }
 
 impl DomainDuty {
-    /// The duty of `domain`, not held yet.
+    /// Creates the duty of `domain`, not held yet. `checks_fencing` says whether the receivers of orders refuse old
+    /// fencing numbers.
     pub fn new(
         kv: EtcdClient,
         shared: Arc<SharedState>,
@@ -43,18 +48,19 @@
     ) -> Self {
         Self {
             lease: DutyLease::new(kv.clone(), shared.clone(), duty_name(domain), checks_fencing),
-            book: OrderSender::new(kv, shared, provider, domain.clone()),
-            surplus_rounds: BTreeMap::new(),
+            order_sender: OrderSender::new(kv, shared, provider, domain.clone()),
+            surplus_ticks: BTreeMap::new(),
             unavailable_until: BTreeMap::new(),
         }
     }
 
-    /// Gives the duty up.
+    /// Gives up the duty.
     pub async fn step_down(&mut self) {
         self.lease.step_down().await;
     }
 
-    /// Moves the lease on and, while it is held, orders upstreams and weights.
+    /// Acquires or renews the lease and, while the duty is held, orders upstreams to be started or stopped and engines
+    /// to load weights.
     pub async fn tick(
         &mut self,
         shared: &SharedState,
@@ -73,6 +79,7 @@
         }
     }
 
+    /// Settles the pending orders, then starts or stops at most one upstream of each service.
     async fn order_upstreams(
         &mut self,
         shared: &SharedState,
@@ -80,25 +87,25 @@
         domain: &SharedName,
         authority: &OrderAuthority,
     ) -> Result<()> {
-        self.book.settle_pending_orders(authority).await?;
+        self.order_sender.settle_pending_orders(authority).await?;
         let services: Vec<(SharedName, ServiceConfig)> = {
             let config = shared.config();
             config.services().map(|(name, service)| (name.clone(), service.clone())).collect()
         };
         for (name, service) in services.iter().filter(|(_, service)| service.upstreams_per_domain > 0) {
-            let input = self.input(shared, site, domain, name, service, &services);
-            let surplus = input.standing + input.reclaimable > input.wanted;
-            let rounds = self.surplus_rounds.entry(name.clone()).or_default();
-            *rounds = if surplus { *rounds + 1 } else { 0 };
+            let input = self.spend_input(shared, site, domain, name, service, &services);
+            let has_surplus = input.standing + input.reclaimable > input.wanted;
+            let ticks = self.surplus_ticks.entry(name.clone()).or_default();
+            *ticks = if has_surplus { *ticks + 1 } else { 0 };
             let action = SpendPlanner.next_action(&input);
-            self.act(shared, domain, name, action, authority).await?;
+            self.execute(shared, domain, name, action, authority).await?;
         }
         Ok(())
     }
 
-    /// What runs and what is wanted. Every failure domain has an equal share of floor and ceiling, less what
-    /// the domain's other services spend.
-    fn input(
+    /// Demand, running upstreams and spend limits of a service. Every failure domain has an equal share of the site's
+    /// spend limits, less the spend of the domain's other services.
+    fn spend_input(
         &mut self,
         shared: &SharedState,
         site: &SiteConfig,
@@ -115,39 +122,42 @@
         for (other, _) in services {
             for reclaimable in [false, true] {
                 *running.entry((other.clone(), reclaimable)).or_default() +=
-                    self.book.starting_count(other, reclaimable);
+                    self.order_sender.starting_count(other, reclaimable);
             }
         }
-        let count = |name: &SharedName, reclaimable| running.get(&(name.clone(), reclaimable)).copied().unwrap_or(0);
-        let others: u64 = services
+        let running_count =
+            |name: &SharedName, reclaimable| running.get(&(name.clone(), reclaimable)).copied().unwrap_or(0);
+        let other_cents_per_hour: u64 = services
             .iter()
             .filter(|(other, _)| other != name)
             .map(|(other, settings)| {
-                u64::from(count(other, false)) * settings.standing_cents_per_hour
-                    + u64::from(count(other, true)) * settings.reclaimable_cents_per_hour
+                u64::from(running_count(other, false)) * settings.standing_cents_per_hour
+                    + u64::from(running_count(other, true)) * settings.reclaimable_cents_per_hour
             })
             .sum();
-        let domains = site.failure_domains.len().max(1) as u64;
+        let domain_count = site.failure_domains.len().max(1) as u64;
         SpendInput {
             wanted: service.upstreams_per_domain,
             standing_min: service.standing_per_domain,
-            standing: count(name, false),
-            reclaimable: count(name, true),
-            reclaimable_available: !self.unavailable(&(name.clone(), true), shared.now()),
+            standing: running_count(name, false),
+            reclaimable: running_count(name, true),
+            reclaimable_available: !self.is_unavailable(&(name.clone(), true), shared.now()),
             standing_cents_per_hour: service.standing_cents_per_hour,
             reclaimable_cents_per_hour: service.reclaimable_cents_per_hour,
-            floor_cents_per_hour: (site.spend_floor_cents_per_hour / domains).saturating_sub(others),
-            ceiling_cents_per_hour: (site.spend_ceiling_cents_per_hour / domains).saturating_sub(others),
-            surplus_ticks: self.surplus_rounds.get(name).copied().unwrap_or(0),
+            floor_cents_per_hour: (site.spend_floor_cents_per_hour / domain_count).saturating_sub(other_cents_per_hour),
+            ceiling_cents_per_hour: (site.spend_ceiling_cents_per_hour / domain_count)
+                .saturating_sub(other_cents_per_hour),
+            surplus_ticks: self.surplus_ticks.get(name).copied().unwrap_or(0),
         }
     }
 
-    /// Whether the provider had none of a service's kind lately.
-    fn unavailable(&self, kind: &(SharedName, bool), now: TimePoint) -> bool {
-        self.unavailable_until.get(kind).is_some_and(|until| now < *until)
+    /// Whether the provider recently had no upstream available for `class`: a service and whether it is reclaimable.
+    fn is_unavailable(&self, class: &(SharedName, bool), now: TimePoint) -> bool {
+        self.unavailable_until.get(class).is_some_and(|until| now < *until)
     }
 
-    async fn act(
+    /// Carries out one action of the planner.
+    async fn execute(
         &mut self,
         shared: &SharedState,
         domain: &SharedName,
@@ -155,20 +165,20 @@
         action: SpendAction,
         authority: &OrderAuthority,
     ) -> Result<()> {
-        let (order, reclaimable) = match action {
+        let (order_action, reclaimable) = match action {
             SpendAction::Keep => return Ok(()),
             SpendAction::StartStanding => (OrderAction::Start, false),
             SpendAction::StartReclaimable => (OrderAction::Start, true),
             SpendAction::StopStanding => (OrderAction::Stop, false),
             SpendAction::StopReclaimable => (OrderAction::Stop, true),
         };
-        let kind = (service.clone(), reclaimable);
-        if order == OrderAction::Start && self.unavailable(&kind, shared.now()) {
+        let class = (service.clone(), reclaimable);
+        if order_action == OrderAction::Start && self.is_unavailable(&class, shared.now()) {
             return Ok(());
         }
-        let vm = match order {
+        let vm = match order_action {
             OrderAction::Start => None,
-            OrderAction::Stop => match idlest(shared, domain, service, reclaimable) {
+            OrderAction::Stop => match least_loaded_upstream(shared, domain, service, reclaimable) {
                 Some(vm) => Some(vm),
                 None => return Ok(()),
             },
@@ -178,22 +188,22 @@
         }
         let request = OrderRequest {
             order: "".into(),
-            action: order,
+            action: order_action,
             failure_domain: domain.clone(),
             service: service.clone(),
             reclaimable,
             vm,
             fencing: authority.fencing,
         };
-        if self.book.send_order(request, authority).await? == OrderState::Unavailable {
-            self.unavailable_until.insert(kind, shared.now().plus_ms(UNAVAILABLE_MS));
+        if self.order_sender.send_order(request, authority).await? == OrderState::Unavailable {
+            self.unavailable_until.insert(class, shared.now().plus_ms(UNAVAILABLE_BACKOFF_MS));
         }
         Ok(())
     }
 }
 
-/// The upstream with the fewest requests of this daemon.
-fn idlest(shared: &SharedState, domain: &str, service: &str, reclaimable: bool) -> Option<SharedName> {
+/// The upstream with the fewest of this daemon's requests in flight, or `None` if none matches.
+fn least_loaded_upstream(shared: &SharedState, domain: &str, service: &str, reclaimable: bool) -> Option<SharedName> {
     let routes = shared.routes();
     let candidates = routes.iter().filter(|entry| {
         &*entry.failure_domain == domain
@@ -204,9 +214,9 @@
     candidates.min_by_key(|entry| entry.inflight()).map(|entry| entry.name.clone())
 }
 
-/// Orders every engine of the domain that reports an older version to load the newest published one.
+/// Orders every engine of the domain that reports an older weight version to load the newest published one.
 async fn load_weights(shared: &SharedState, provider: &ProviderClient, domain: &str, authority: &OrderAuthority) {
-    let behind: Vec<(SharedName, SharedName, u64)> = {
+    let outdated_engines: Vec<(SharedName, SharedName, u64)> = {
         let config = shared.config();
         let routes = shared.routes();
         routes
@@ -218,7 +228,7 @@
             .map(|(entry, published)| (entry.name.clone(), entry.address.clone(), published))
             .collect()
     };
-    let loads = behind.iter().map(|(name, address, version)| async move {
+    let loads = outdated_engines.iter().map(|(name, address, version)| async move {
         let order = LoadOrder { version: *version, fencing: authority.fencing };
         match provider.load_weights(address, &order, authority.deadline).await {
             Ok(()) => {
--- a/crates/daemon/src/task/duty_lease.rs
+++ b/crates/daemon/src/task/duty_lease.rs
@@ -1,4 +1,4 @@
-//! One duty's lease in the platform's service.
+//! Lease of a duty in the platform's key-value service.
 
 use crate::shared_state::SharedState;
 use pimentoslip_client::{KeyValueClient, PlatformError, Result};
@@ -7,58 +7,65 @@
 use pimentoslip_wire::kv::{RangeResponse, TxnRequest};
 use std::sync::{Arc, PoisonError, atomic::Ordering};
 
-/// A daemon of rank n waits so many of these for better ones to take a free duty.
-const RANK_STEP_MS: u64 = 2_000;
-/// Ranks from here on take no part.
-const RANK_MAX: usize = 3;
+/// A daemon of rank n takes a vacant duty only after n times this delay, so that daemons of a better rank take it first.
+const RANK_DELAY_MS: u64 = 2_000;
+/// Daemons of this rank or a worse one never take the duty.
+const RANK_LIMIT: usize = 3;
 
-/// Acquires, renews and gives up one duty.
+/// Acquires, renews and gives up the lease of one duty.
 pub struct DutyLease<K> {
     kv: K,
     shared: Arc<SharedState>,
     duty: SharedName,
     holder: LeaseHolder,
-    receiver_checks: bool,
-    lease: u64,
-    /// Former holders that were on record when the duty was acquired.
-    previous: Vec<PreviousHolder>,
-    trimmed: bool,
+    receiver_checks_fencing: bool,
+    /// ID of the lease in the key-value service.
+    lease_id: u64,
+    /// Previous holders that were stored when the duty was acquired.
+    previous_holders: Vec<PreviousHolder>,
+    /// Whether the previous holders have been deleted from the store.
+    previous_holders_deleted: bool,
+    /// When this daemon first saw the duty vacant; `None` if another daemon held it at the last check.
     vacant_since: Option<TimePoint>,
 }
 
 impl<K: KeyValueClient> DutyLease<K> {
-    /// Creates the lease of `duty`; `receiver_checks` says whether the receiver refuses old fencing numbers.
-    pub fn new(kv: K, shared: Arc<SharedState>, duty: SharedName, receiver_checks: bool) -> Self {
-        let holder = LeaseHolder::new(receiver_checks);
+    /// Creates the lease of `duty`, not held yet. `receiver_checks_fencing` says whether the receiver of the duty's
+    /// messages refuses old fencing numbers.
+    pub fn new(kv: K, shared: Arc<SharedState>, duty: SharedName, receiver_checks_fencing: bool) -> Self {
+        let holder = LeaseHolder::new(receiver_checks_fencing);
         Self {
             kv,
             shared,
             duty,
             holder,
-            receiver_checks,
-            lease: 0,
-            previous: Vec::new(),
-            trimmed: false,
+            receiver_checks_fencing,
+            lease_id: 0,
+            previous_holders: Vec::new(),
+            previous_holders_deleted: false,
             vacant_since: None,
         }
     }
 
-    /// Key of the leased record. Writes under this duty compare against it.
+    /// Key of the current holder's entry, which expires with the lease. Its revision is the fencing number; every write
+    /// under this duty is conditional on it.
     #[must_use]
     pub fn holder_key(&self) -> String {
         format!("pimentoslip/{}/duty/{}/holder", self.shared.settings.site, self.duty)
     }
 
-    fn previous_key(&self) -> String {
+    /// Key of the list of holders, current and previous, that are not proved to have ended.
+    fn previous_holders_key(&self) -> String {
         format!("pimentoslip/{}/duty/{}/previous", self.shared.settings.site, self.duty)
     }
 
-    /// Moves the lease on. Fencing number and deadline while the duty may be performed.
+    /// Acquires the duty if it is vacant, or renews its lease. Returns the fencing number and the deadline for acting;
+    /// `None` while this daemon may not act. Daemons without a `rank` never acquire the duty.
     pub async fn tick(&mut self, rank: Option<usize>) -> Option<(u64, TimePoint)> {
         if self.holder.expire(self.shared.now()) {
             LogLine::new("duty_expired").field("duty", &self.duty).warn();
         }
-        if let Err(error) = self.advance(rank).await {
+        if let Err(error) = self.acquire_or_renew(rank).await {
             LogLine::new("duty_call_failed").field("duty", &self.duty).field("error", error).warn();
         }
         let authority = self.holder.authority(self.shared.now());
@@ -66,13 +73,13 @@
         authority
     }
 
-    /// The authority at this very moment.
+    /// Fencing number and deadline for acting at this moment; `None` while this daemon may not act.
     #[must_use]
     pub fn authority(&self) -> Option<(u64, TimePoint)> {
         self.holder.authority(self.shared.now())
     }
 
-    async fn advance(&mut self, rank: Option<usize>) -> Result<()> {
+    async fn acquire_or_renew(&mut self, rank: Option<usize>) -> Result<()> {
         match self.holder.state() {
             LeaseState::Idle => self.acquire_if_vacant(rank).await?,
             LeaseState::Settling { .. } | LeaseState::Held { .. } => self.renew().await?,
@@ -81,57 +88,58 @@
             let evidence = self.evidence();
             self.holder.evidence_updated(evidence, self.shared.now());
         }
-        self.trim().await
+        self.delete_previous_holders().await
     }
 
     async fn acquire_if_vacant(&mut self, rank: Option<usize>) -> Result<()> {
-        let Some(rank) = rank.filter(|rank| *rank < RANK_MAX) else { return Ok(()) };
-        // A daemon that is not on the platform's list cannot be proved gone later.
+        let Some(rank) = rank.filter(|rank| *rank < RANK_LIMIT) else { return Ok(()) };
+        // The end of a daemon that never was on the VM list could not be proved by its removal from the list.
         if !self.shared.is_listed.load(Ordering::SeqCst) || self.shared.draining.load(Ordering::SeqCst) {
             return Ok(());
         }
         let now = self.shared.now();
-        let vacant = self.kv.get(&self.holder_key()).await?.kvs.is_empty();
-        if !vacant {
+        let is_vacant = self.kv.get(&self.holder_key()).await?.kvs.is_empty();
+        if !is_vacant {
             self.vacant_since = None;
             return Ok(());
         }
-        let since = *self.vacant_since.get_or_insert(now);
-        if now.since_ms(since) < rank as u64 * RANK_STEP_MS {
+        let vacant_since = *self.vacant_since.get_or_insert(now);
+        if now.since_ms(vacant_since) < rank as u64 * RANK_DELAY_MS {
             return Ok(());
         }
         self.acquire().await
     }
 
+    /// Requests a lease and stores this process as the duty's holder, unless another daemon is faster.
     async fn acquire(&mut self) -> Result<()> {
-        let stored = self.kv.get(&self.previous_key()).await?;
-        let (revision, previous) = parse_previous(&stored);
-        let mut on_record = previous.clone();
-        on_record.retain(|holder| *holder != self.own_record());
-        on_record.push(self.own_record());
+        let stored = self.kv.get(&self.previous_holders_key()).await?;
+        let (revision, previous_holders) = parse_holders(&stored);
+        let mut holders = previous_holders.clone();
+        holders.retain(|holder| *holder != self.own_holder());
+        holders.push(self.own_holder());
         let nonce = format!("{}/{}", self.shared.process_name(), self.shared.random_u64());
-        let asked_at = self.shared.now();
+        let requested_at = self.shared.now();
         let lease = self.kv.grant(self.holder.ttl_ms()).await?;
         let txn = TxnRequest::default()
             .expect(&self.holder_key(), 0)
-            .expect(&self.previous_key(), revision)
+            .expect(&self.previous_holders_key(), revision)
             .put(&self.holder_key(), nonce.clone().into_bytes(), lease)
-            .put(&self.previous_key(), encode(&on_record), 0);
+            .put(&self.previous_holders_key(), encode_holders(&holders), 0);
         let fencing = match self.kv.commit(&txn).await {
             Ok(answer) if answer.succeeded => Some(answer.header.revision),
             Ok(_) => None,
-            // The answer is lost; the record tells who holds the duty.
-            Err(_) => self.read_back(&nonce).await?,
+            // The answer was lost; the stored entry shows whether this write succeeded.
+            Err(_) => self.read_own_fencing(&nonce).await?,
         };
         let Some(fencing) = fencing else {
             return self.kv.revoke(lease).await;
         };
-        self.lease = lease;
-        self.previous = previous;
-        self.trimmed = false;
+        self.lease_id = lease;
+        self.previous_holders = previous_holders;
+        self.previous_holders_deleted = false;
         self.vacant_since = None;
         let evidence = self.evidence();
-        self.holder.lease_acquired(fencing, asked_at, evidence, self.shared.now());
+        self.holder.lease_acquired(fencing, requested_at, evidence, self.shared.now());
         LogLine::new("duty_acquired")
             .field("duty", &self.duty)
             .field("fencing", fencing)
@@ -140,10 +148,11 @@
         Ok(())
     }
 
-    async fn read_back(&self, nonce: &str) -> Result<Option<u64>> {
+    /// Revision of the stored holder entry if it contains `nonce`, that is if this attempt wrote it.
+    async fn read_own_fencing(&self, nonce: &str) -> Result<Option<u64>> {
         let stored = self.kv.get(&self.holder_key()).await?;
-        let mine = stored.kvs.first().filter(|entry| entry.value == nonce.as_bytes());
-        Ok(mine.map(|entry| entry.mod_revision))
+        let own_entry = stored.kvs.first().filter(|entry| entry.value == nonce.as_bytes());
+        Ok(own_entry.map(|entry| entry.mod_revision))
     }
 
     async fn renew(&mut self) -> Result<()> {
@@ -154,71 +163,84 @@
         if !self.holder.is_renewal_due(self.shared.now()) {
             return Ok(());
         }
-        let asked_at = self.shared.now();
-        match self.kv.keep_alive(self.lease).await {
-            Ok(()) => self.holder.lease_renewed(fencing, asked_at),
+        let requested_at = self.shared.now();
+        match self.kv.keep_alive(self.lease_id).await {
+            Ok(()) => self.holder.lease_renewed(fencing, requested_at),
             Err(PlatformError::LeaseGone) => self.holder.step_down(),
             Err(error) => return Err(error),
         }
         Ok(())
     }
 
-    /// What is known about all former holders on record.
+    /// Evidence on whether any previous holder can still act.
     fn evidence(&self) -> HolderEvidence {
-        self.previous.iter().map(|previous| self.evidence_of(previous)).max().unwrap_or(HolderEvidence::Clear)
+        self.previous_holders
+            .iter()
+            .map(|previous| self.holder_evidence(previous))
+            .max()
+            .unwrap_or(HolderEvidence::Clear)
     }
 
-    fn evidence_of(&self, previous: &PreviousHolder) -> HolderEvidence {
-        if *previous == self.own_record() {
+    /// Evidence on whether one previous holder can still act.
+    fn holder_evidence(&self, previous: &PreviousHolder) -> HolderEvidence {
+        if *previous == self.own_holder() {
             return HolderEvidence::Clear;
         }
         if previous.daemon == self.shared.settings.name {
             return HolderEvidence::Ended;
         }
-        let listed = self.shared.listed_daemons.lock().unwrap_or_else(PoisonError::into_inner);
-        let off_list = !listed.is_empty() && !listed.contains_key(&previous.daemon);
-        drop(listed);
-        let ended = self
+        let listed_daemons = self.shared.listed_daemons.lock().unwrap_or_else(PoisonError::into_inner);
+        let is_unlisted = !listed_daemons.is_empty() && !listed_daemons.contains_key(&previous.daemon);
+        drop(listed_daemons);
+        let has_ended = self
             .shared
             .member(&previous.daemon)
             .is_some_and(|member| member.incarnation > previous.incarnation || member.state == MemberState::Ended);
-        if off_list || ended { HolderEvidence::Ended } else { HolderEvidence::Silent }
+        if is_unlisted || has_ended { HolderEvidence::Ended } else { HolderEvidence::Silent }
     }
 
-    /// Once the duty is held, former holders are proved to have ended and come off the record.
-    async fn trim(&mut self) -> Result<()> {
+    /// Deletes the previous holders from the store once the duty is held, as they are then proved to have ended. They stay
+    /// stored if the receiver checks fencing numbers, because the duty is then held without that proof.
+    async fn delete_previous_holders(&mut self) -> Result<()> {
         let LeaseState::Held { fencing, .. } = self.holder.state() else { return Ok(()) };
-        if self.trimmed || self.receiver_checks {
+        if self.previous_holders_deleted || self.receiver_checks_fencing {
             return Ok(());
         }
-        self.trimmed = self.write_previous(fencing, &[self.own_record()]).await?;
+        self.previous_holders_deleted = self.store_holders(fencing, &[self.own_holder()]).await?;
         Ok(())
     }
 
-    async fn write_previous(&self, fencing: u64, holders: &[PreviousHolder]) -> Result<bool> {
-        let txn =
-            TxnRequest::default().expect(&self.holder_key(), fencing).put(&self.previous_key(), encode(holders), 0);
+    /// Replaces the stored list of holders. Returns false if this process no longer holds the duty.
+    async fn store_holders(&self, fencing: u64, holders: &[PreviousHolder]) -> Result<bool> {
+        let txn = TxnRequest::default().expect(&self.holder_key(), fencing).put(
+            &self.previous_holders_key(),
+            encode_holders(holders),
+            0,
+        );
         Ok(self.kv.commit(&txn).await?.succeeded)
     }
 
-    fn own_record(&self) -> PreviousHolder {
+    /// This process as an entry of the list of holders.
+    fn own_holder(&self) -> PreviousHolder {
         PreviousHolder { daemon: self.shared.settings.name.clone(), incarnation: self.shared.incarnation }
     }
 
-    /// Gives the duty up, with nothing outstanding.
+    /// Gives up the duty, if it is held, and empties the stored list of holders, so that a successor need not wait. No
+    /// message under the duty may be outstanding.
     pub async fn step_down(&mut self) {
         let LeaseState::Held { fencing, .. } = self.holder.state() else { return };
         self.holder.step_down();
         self.publish_state();
-        if let Err(error) = self.write_previous(fencing, &[]).await {
+        if let Err(error) = self.store_holders(fencing, &[]).await {
             LogLine::new("duty_step_down_failed").field("duty", &self.duty).field("error", error).warn();
             return;
         }
-        // If this fails the lease runs out by itself.
-        let _ = self.kv.revoke(self.lease).await;
+        // If this fails, the lease expires on its own.
+        let _ = self.kv.revoke(self.lease_id).await;
         LogLine::new("duty_stepped_down").field("duty", &self.duty).info();
     }
 
+    /// Updates the state shown on the status page.
     fn publish_state(&self) {
         let (state, fencing) = match self.holder.state() {
             LeaseState::Idle => ("idle", None),
@@ -229,12 +251,13 @@
     }
 }
 
-fn encode(holders: &[PreviousHolder]) -> Vec<u8> {
-    // The records consist of plain strings and numbers, which always encode.
+fn encode_holders(holders: &[PreviousHolder]) -> Vec<u8> {
+    // Holders consist of strings and numbers, which can always be encoded.
     serde_json::to_vec(holders).unwrap_or_default()
 }
 
-fn parse_previous(stored: &RangeResponse) -> (u64, Vec<PreviousHolder>) {
+/// Revision and content of the stored list of holders; revision 0 if there is none.
+fn parse_holders(stored: &RangeResponse) -> (u64, Vec<PreviousHolder>) {
     let Some(entry) = stored.kvs.first() else { return (0, Vec::new()) };
     (entry.mod_revision, serde_json::from_slice(&entry.value).unwrap_or_default())
 }
--- a/crates/daemon/src/task/exchange_task.rs
+++ b/crates/daemon/src/task/exchange_task.rs
@@ -1,4 +1,5 @@
-//! Heartbeats, configuration and suspicions, exchanged with peers and read from the platform's service.
+//! Exchanges heartbeats, configuration and suspect marks with peers, and reads the configuration from the platform's
+//! key-value service.
 
 use super::PeriodicTask;
 use crate::{
@@ -22,14 +23,16 @@
 
 const EXCHANGE_TIMEOUT_MS: u64 = 700;
 const EXCHANGE_PATH: &str = "/peer/exchange";
-/// A daemon of rank n in its failure domain reads the service itself when its knowledge is older than n of these.
-const RELAY_STEP_MS: u64 = 700;
+/// A daemon of rank n in its failure domain reads the key-value service itself once its configuration is older than n
+/// times this.
+const RELAY_RANK_DELAY_MS: u64 = 700;
+/// Name by which the daemons of a failure domain are ranked for reading the key-value service.
 const RELAY_DUTY: &str = "relay";
 
-/// Whom to exchange with: name and control address.
+/// Name and control address of a peer.
 type PeerAddress = (SharedName, SharedName);
 
-/// Asks peers in rounds.
+/// Keeps members, configuration and suspect marks in step with the peers.
 pub struct ExchangeTask {
     shared: Arc<SharedState>,
     peers: PeerClient,
@@ -43,59 +46,62 @@
         Self { shared, peers, kv }
     }
 
-    /// Whether this daemon reads the service in this round, on behalf of its failure domain.
-    fn reads_service(&self) -> bool {
+    /// Whether this daemon must read the key-value service in this run. Normally only the first-ranked daemon of a
+    /// failure domain does; the others receive its configuration by exchange.
+    fn must_read_config(&self) -> bool {
         let rank =
             self.shared.members().duty_rank(RELAY_DUTY, &self.shared.settings.failure_domain).unwrap_or(0) as u64;
         let now = self.shared.now();
         let age_ms = self.shared.freshness().age_ms(now);
-        rank == 0 || age_ms.is_none_or(|age| age > rank * RELAY_STEP_MS)
+        rank == 0 || age_ms.is_none_or(|age| age > rank * RELAY_RANK_DELAY_MS)
     }
 
-    async fn read_service(&self) {
+    /// Reads and applies the configuration records that were written since the last complete read.
+    async fn read_config(&self) {
         let prefix = config_prefix(&self.shared.settings.site);
         let since = self.shared.config().complete_revision() + 1;
-        let asked_at = self.shared.now();
+        let requested_at = self.shared.now();
         match self.kv.range(&prefix, since).await {
             Ok(answer) => {
                 let entries = answer.kvs.iter().filter_map(|entry| parse_entry(&prefix, entry)).collect();
-                let new = self.shared.apply_records(entries, answer.header.revision);
-                self.shared.freshness().service_read(asked_at);
-                log_applied("service", &new);
+                let applied = self.shared.apply_records(entries, answer.header.revision);
+                self.shared.freshness().service_read(requested_at);
+                log_applied("service", &applied);
             }
             Err(error) => LogLine::new("config_read_failed").field("error", error).warn(),
         }
     }
 
-    /// Peers of this round, and those on the platform's list that were never heard.
-    fn round(&self) -> Vec<PeerAddress> {
+    /// Peers to exchange with in this run: those chosen by the member table, and daemons on the VM list that have not
+    /// been seen at their listed address.
+    fn exchange_peers(&self) -> Vec<PeerAddress> {
         let listed = self.shared.listed_daemons.lock().unwrap_or_else(PoisonError::into_inner).clone();
         let mut members = self.shared.members();
-        let mut round: BTreeMap<SharedName, SharedName> =
+        let mut exchange_peers: BTreeMap<SharedName, SharedName> =
             members.next_exchange_peers().into_iter().map(|member| (member.name, member.control)).collect();
         for (name, control) in listed {
-            let known =
+            let is_seen =
                 members.get(&name).is_some_and(|member| member.control == control && !member.control.is_empty());
-            if name != self.shared.settings.name && !known {
-                round.insert(name, control);
+            if name != self.shared.settings.name && !is_seen {
+                exchange_peers.insert(name, control);
             }
         }
-        round.into_iter().collect()
+        exchange_peers.into_iter().collect()
     }
 
-    /// Judges members, and raises freshness when every other daemon was heard.
-    fn judge(&self) {
+    /// Updates the states of the members, and the freshness of the configuration from the answers of the other daemons.
+    fn update_members(&self) {
         let now = self.shared.now();
         let listed = self.shared.listed_daemons.lock().unwrap_or_else(PoisonError::into_inner).clone();
         let mut members = self.shared.members();
         members.tick(now);
-        let mut running = members.possibly_running_names();
-        running.extend(
+        let mut running_names = members.possibly_running_names();
+        running_names.extend(
             listed.into_keys().filter(|name| *name != self.shared.settings.name && members.get(name).is_none()),
         );
         drop(members);
         if self.shared.config().complete_revision() > 0 {
-            self.shared.freshness().update_from_peers(&running, now);
+            self.shared.freshness().update_from_peers(&running_names, now);
         }
     }
 }
@@ -104,26 +110,28 @@
     const PAUSE_MS: u64 = 500;
 
     async fn run(&mut self) {
-        let round = self.round();
-        let exchanges = join_all(round.iter().map(|peer| exchange(&self.shared, &self.peers, peer, Vec::new())));
-        let read = async {
-            if self.reads_service() {
-                self.read_service().await;
+        let exchange_peers = self.exchange_peers();
+        let exchanges =
+            join_all(exchange_peers.iter().map(|peer| exchange(&self.shared, &self.peers, peer, Vec::new())));
+        let config_read = async {
+            if self.must_read_config() {
+                self.read_config().await;
             }
         };
-        futures_util::future::join(exchanges, read).await;
-        self.judge();
+        futures_util::future::join(exchanges, config_read).await;
+        self.update_members();
     }
 }
 
+/// Parses a stored configuration record; `None` if its key or value is malformed.
 fn parse_entry(prefix: &str, entry: &KeyValue) -> Option<RecordEntry> {
     let path = std::str::from_utf8(&entry.key).ok()?.strip_prefix(prefix)?;
     let stored: StoredRecord = serde_json::from_slice(&entry.value).ok()?;
     Some(RecordEntry { name: RecordName::parse(path)?, revision: entry.mod_revision, record: stored.record })
 }
 
-fn log_applied(source: &str, new: &[RecordEntry]) {
-    for entry in new {
+fn log_applied(source: &str, entries: &[RecordEntry]) {
+    for entry in entries {
         LogLine::new("config_applied")
             .field("record", entry.name.path())
             .field("revision", entry.revision)
@@ -132,7 +140,7 @@
     }
 }
 
-fn question(shared: &SharedState, records: Vec<RecordEntry>) -> ExchangeRequest {
+fn exchange_request(shared: &SharedState, records: Vec<RecordEntry>) -> ExchangeRequest {
     let now = shared.now();
     ExchangeRequest {
         from: shared.own_member(),
@@ -143,16 +151,17 @@
     }
 }
 
+/// Digest of the members, by which peers detect that they hold the same ones.
 fn members_digest(shared: &SharedState) -> u64 {
     shared.members().digest(shared.incarnation)
 }
 
-/// Asks one peer, giving it `records`. True when it answered.
+/// Sends `records` and this daemon's state to a peer and applies its answer. Returns true if the peer answered.
 async fn exchange(shared: &SharedState, peers: &PeerClient, peer: &PeerAddress, records: Vec<RecordEntry>) -> bool {
     let (name, control) = peer;
-    let Ok(body) = encode(&question(shared, records)) else { return false };
-    let sent = body.len();
-    let asked_at = shared.now();
+    let Ok(body) = encode(&exchange_request(shared, records)) else { return false };
+    let request_bytes = body.len();
+    let requested_at = shared.now();
     let answer = peers.call_raw(control, EXCHANGE_PATH, body, EXCHANGE_TIMEOUT_MS).await;
     let answer = match answer {
         Ok(answer) => answer,
@@ -163,10 +172,10 @@
         }
         Err(_) => return false,
     };
-    shared.metrics.exchange_bytes.inc_by((sent + answer.len()) as u64);
+    shared.metrics.exchange_bytes.inc_by((request_bytes + answer.len()) as u64);
     match decode::<ExchangeAnswer>(&answer) {
         Ok(answer) => {
-            take_answer(shared, answer, asked_at);
+            apply_answer(shared, answer, requested_at);
             true
         }
         Err(error) => {
@@ -176,14 +185,14 @@
     }
 }
 
-fn take_answer(shared: &SharedState, answer: ExchangeAnswer, asked_at: TimePoint) {
+fn apply_answer(shared: &SharedState, answer: ExchangeAnswer, requested_at: TimePoint) {
     let name = answer.from.name.clone();
-    let new = shared.apply_records(answer.records, answer.complete);
-    log_applied(&name, &new);
-    shared.freshness().peer_answered(&name, asked_at, answer.age_ms);
+    let applied = shared.apply_records(answer.records, answer.complete);
+    log_applied(&name, &applied);
+    shared.freshness().peer_answered(&name, requested_at, answer.age_ms);
     let now = shared.now();
     let mut members = shared.members();
-    members.peer_seen(MemberEntry::from(answer.from), asked_at);
+    members.peer_seen(MemberEntry::from(answer.from), requested_at);
     for body in answer.members {
         members.member_reported(&MemberEntry::from(body), now);
     }
@@ -192,19 +201,19 @@
     answer.suspects.into_iter().for_each(|mark| suspects.merge(mark));
 }
 
-/// Answers a peer's exchange.
+/// Applies the exchange request of a peer and returns the answer to it.
 #[must_use]
 pub fn answer_exchange(shared: &SharedState, request: ExchangeRequest) -> ExchangeAnswer {
     let now = shared.now();
     let name = request.from.name.clone();
-    let new = shared.apply_records(request.records, 0);
-    log_applied(&name, &new);
+    let applied = shared.apply_records(request.records, 0);
+    log_applied(&name, &applied);
     {
         let mut suspects = shared.suspects();
         request.suspects.into_iter().for_each(|mark| suspects.merge(mark));
     }
     shared.members().peer_seen(MemberEntry::from(request.from), now);
-    let members = if members_digest(shared) == request.members_digest { Vec::new() } else { known_members(shared) };
+    let members = if members_digest(shared) == request.members_digest { Vec::new() } else { member_bodies(shared) };
     let age_ms = shared.freshness().age_ms(now);
     let config = shared.config();
     ExchangeAnswer {
@@ -217,12 +226,12 @@
     }
 }
 
-fn known_members(shared: &SharedState) -> Vec<MemberBody> {
+fn member_bodies(shared: &SharedState) -> Vec<MemberBody> {
     shared.members().iter().map(MemberBody::from).collect()
 }
 
-/// Gives every daemon that may be running the new records at once. Names of those that confirmed, and of
-/// those that did not.
+/// Sends new records to every daemon that may be running, without waiting for the next exchange. Returns the names of the
+/// daemons that confirmed them, this one included, and of those that did not.
 pub async fn push_records(
     shared: &SharedState,
     peers: &PeerClient,
--- a/crates/daemon/src/task/mod.rs
+++ b/crates/daemon/src/task/mod.rs
@@ -1,4 +1,4 @@
-//! Work that every daemon does all the time.
+//! Background tasks of a daemon: discovery, exchange with peers, and the duties that it may hold.
 
 mod discovery_task;
 mod domain_duty;
--- a/crates/daemon/src/task/order_sender.rs
+++ b/crates/daemon/src/task/order_sender.rs
@@ -1,4 +1,5 @@
-//! Orders on record: each is written before it is sent, and settled after.
+//! Sends orders for upstreams to the provider. Each order is stored before it is sent, and its outcome afterwards, so that
+//! a restart or another daemon can settle an order whose outcome is missing.
 
 use crate::shared_state::SharedState;
 use pimentoslip_client::{KeyValueClient, PlatformError, ProviderClient, Result};
@@ -11,92 +12,103 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, sync::Arc};
 
-/// Settled orders are remembered for this long.
+/// Time for which settled orders stay stored.
 const SETTLED_RETENTION_MS: u64 = 3_600_000;
-/// A started upstream counts as running until the lagging list shows it, but no longer than this.
-const STARTING_MS: u64 = 60_000;
+/// A started upstream counts as running until it appears on the VM list, which lags, but no longer than this.
+const STARTING_TIMEOUT_MS: u64 = 60_000;
 
-/// An order as stored.
+/// Order as stored in the key-value service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredOrder {
-    /// The order.
+    /// Order as sent to the provider.
     pub request: OrderRequest,
-    /// Outcome, once known.
+    /// Outcome; `None` until the provider's answer is stored.
     pub answer: Option<OrderAnswer>,
 }
 
-/// What gives the right to send an order.
+/// Proof that this daemon holds the ordering duty.
 #[derive(Clone, Debug)]
 pub struct OrderAuthority {
-    /// Key of the duty's leased record.
+    /// Key of the duty's current holder, whose revision is the fencing number.
     pub holder_key: String,
-    /// Fencing number.
+    /// Fencing number of the duty's lease.
     pub fencing: u64,
-    /// Last moment to send.
+    /// Time after which no order may be sent.
     pub deadline: TimePoint,
 }
 
-/// The orders of one failure domain.
+/// Sends and settles the orders of one failure domain.
 pub struct OrderSender<K> {
     kv: K,
     shared: Arc<SharedState>,
     provider: ProviderClient,
     failure_domain: SharedName,
-    settled_under: Option<u64>,
-    sequence: u64,
-    /// Started upstreams that the list may not show yet.
-    starting: BTreeMap<SharedName, (OrderRequest, TimePoint)>,
+    /// Fencing number under which all pending orders were settled; `None` if some may be unsettled.
+    settled_fencing: Option<u64>,
+    /// Number of orders sent by this process, which makes their IDs unique.
+    order_count: u64,
+    /// Started upstreams by VM that may not be on the VM list yet, and the time until which they count as running.
+    starting_upstreams: BTreeMap<SharedName, (OrderRequest, TimePoint)>,
 }
 
 impl<K: KeyValueClient> OrderSender<K> {
-    /// Creates the book of `failure_domain`.
+    /// Creates the sender for `failure_domain`.
     pub fn new(kv: K, shared: Arc<SharedState>, provider: ProviderClient, failure_domain: SharedName) -> Self {
-        Self { kv, shared, provider, failure_domain, settled_under: None, sequence: 0, starting: BTreeMap::new() }
+        Self {
+            kv,
+            shared,
+            provider,
+            failure_domain,
+            settled_fencing: None,
+            order_count: 0,
+            starting_upstreams: BTreeMap::new(),
+        }
     }
 
-    fn prefix(&self) -> String {
+    fn orders_prefix(&self) -> String {
         format!("pimentoslip/{}/orders/{}/", self.shared.settings.site, self.failure_domain)
     }
 
-    fn key(&self, order: &str) -> String {
-        format!("{}{order}", self.prefix())
+    fn order_key(&self, order: &str) -> String {
+        format!("{}{order}", self.orders_prefix())
     }
 
-    /// Orders of `service` and kind that were carried out but are not on the VM list yet.
+    /// Number of upstreams of `service` that were started but are not on the VM list yet.
     pub fn starting_count(&mut self, service: &str, reclaimable: bool) -> u32 {
         let now = self.shared.now();
         let shared = self.shared.clone();
         let routes = shared.routes();
-        self.starting.retain(|vm, (_, deadline)| now < *deadline && !routes.iter().any(|entry| entry.name == *vm));
+        self.starting_upstreams
+            .retain(|vm, (_, deadline)| now < *deadline && !routes.iter().any(|entry| entry.name == *vm));
         let count = self
-            .starting
+            .starting_upstreams
             .values()
             .filter(|(request, _)| &*request.service == service && request.reclaimable == reclaimable)
             .count();
         u32::try_from(count).unwrap_or(u32::MAX)
     }
 
-    /// Settles every open order of former holders, once under each fencing number, before any new one.
+    /// Settles every order whose outcome is not stored. Does so once under each fencing number, before any new order.
     pub async fn settle_pending_orders(&mut self, authority: &OrderAuthority) -> Result<()> {
-        if self.settled_under == Some(authority.fencing) {
+        if self.settled_fencing == Some(authority.fencing) {
             return Ok(());
         }
-        for entry in self.kv.range(&self.prefix(), 0).await?.kvs {
+        for entry in self.kv.range(&self.orders_prefix(), 0).await?.kvs {
             let Ok(stored) = serde_json::from_slice::<StoredOrder>(&entry.value) else { continue };
             match stored.answer {
-                Some(answer) => self.note_started(&stored.request, &answer),
-                None => self.settle(stored.request, entry.mod_revision, authority).await?,
+                Some(answer) => self.track_started_upstream(&stored.request, &answer),
+                None => self.settle_order(stored.request, entry.mod_revision, authority).await?,
             }
         }
-        self.settled_under = Some(authority.fencing);
+        self.settled_fencing = Some(authority.fencing);
         Ok(())
     }
 
-    /// Asks what became of an order; one that never arrived is sent again under the same id.
-    async fn settle(&mut self, request: OrderRequest, revision: u64, authority: &OrderAuthority) -> Result<()> {
-        let known = self.provider.order_state(&request.order).await?;
+    /// Requests the outcome of an order from the provider. An order that never arrived is sent again under the same ID.
+    async fn settle_order(&mut self, request: OrderRequest, revision: u64, authority: &OrderAuthority) -> Result<()> {
+        let reported = self.provider.order_state(&request.order).await?;
         let request = OrderRequest { fencing: authority.fencing, ..request };
-        let answer = match known {
+        let answer = match reported {
             Some(answer) => answer,
             None => self.provider.order(&request, authority.deadline).await?,
         };
@@ -104,25 +116,25 @@
             .field("order", &request.order)
             .field("state", format!("{:?}", answer.state))
             .info();
-        self.record_answer(request, answer, revision, authority).await
+        self.store_answer(request, answer, revision, authority).await
     }
 
-    /// Records an order, sends it, and records the outcome.
+    /// Stores an order, sends it, and stores its outcome. Returns the state reported by the provider.
     pub async fn send_order(&mut self, request: OrderRequest, authority: &OrderAuthority) -> Result<OrderState> {
-        self.sequence += 1;
-        let order = format!("{}-{}-{}", self.failure_domain, authority.fencing, self.sequence).into();
+        self.order_count += 1;
+        let order = format!("{}-{}-{}", self.failure_domain, authority.fencing, self.order_count).into();
         let request = OrderRequest { order, fencing: authority.fencing, ..request };
-        let key = self.key(&request.order);
-        let value = encode(&StoredOrder { request: request.clone(), answer: None })?;
+        let key = self.order_key(&request.order);
+        let value = encode_order(&StoredOrder { request: request.clone(), answer: None })?;
         let txn =
             TxnRequest::default().expect(&authority.holder_key, authority.fencing).expect(&key, 0).put(&key, value, 0);
-        let written = self.kv.commit(&txn).await;
-        let revision = match written {
+        let commit_result = self.kv.commit(&txn).await;
+        let revision = match commit_result {
             Ok(answer) if answer.succeeded => answer.header.revision,
             Ok(_) => return Err(PlatformError::LeaseGone),
             Err(error) => {
-                // The intent may be on record: it is settled before anything else is ordered.
-                self.settled_under = None;
+                // The order may have been stored; it must be settled before another order is sent.
+                self.settled_fencing = None;
                 return Err(error);
             }
         };
@@ -131,26 +143,27 @@
         match self.provider.order(&request, authority.deadline).await {
             Ok(answer) => {
                 let state = answer.state;
-                self.record_answer(request, answer, revision, authority).await?;
+                self.store_answer(request, answer, revision, authority).await?;
                 Ok(state)
             }
             Err(error) => {
-                self.settled_under = None;
+                self.settled_fencing = None;
                 Err(error)
             }
         }
     }
 
-    async fn record_answer(
+    /// Stores the outcome of an order.
+    async fn store_answer(
         &mut self,
         request: OrderRequest,
         answer: OrderAnswer,
         revision: u64,
         authority: &OrderAuthority,
     ) -> Result<()> {
-        self.note_started(&request, &answer);
-        let key = self.key(&request.order);
-        let value = encode(&StoredOrder { request, answer: Some(answer) })?;
+        self.track_started_upstream(&request, &answer);
+        let key = self.order_key(&request.order);
+        let value = encode_order(&StoredOrder { request, answer: Some(answer) })?;
         let lease = self.kv.grant(SETTLED_RETENTION_MS).await?;
         let txn = TxnRequest::default()
             .expect(&authority.holder_key, authority.fencing)
@@ -160,18 +173,19 @@
         Ok(())
     }
 
-    fn note_started(&mut self, request: &OrderRequest, answer: &OrderAnswer) {
+    /// Counts the upstream of a completed order as running until the VM list shows it.
+    fn track_started_upstream(&mut self, request: &OrderRequest, answer: &OrderAnswer) {
         if answer.state != OrderState::Done {
             return;
         }
         if let Some(vm) = &answer.vm {
-            let deadline = self.shared.now().plus_ms(STARTING_MS);
-            self.starting.insert(vm.clone(), (request.clone(), deadline));
+            let deadline = self.shared.now().plus_ms(STARTING_TIMEOUT_MS);
+            self.starting_upstreams.insert(vm.clone(), (request.clone(), deadline));
         }
     }
 }
 
-fn encode(order: &StoredOrder) -> Result<Vec<u8>> {
+fn encode_order(order: &StoredOrder) -> Result<Vec<u8>> {
     serde_json::to_vec(order)
         .map_err(|error| PlatformError::Malformed { endpoint: "this daemon".to_owned(), problem: error.to_string() })
 }
--- a/crates/daemon/src/task/order_task.rs
+++ b/crates/daemon/src/task/order_task.rs
@@ -1,4 +1,5 @@
-//! Orders upstreams and weights in each failure domain whose duty this daemon holds.
+//! Runs the ordering duties: starts and stops upstreams and updates weights in each failure domain whose duty this daemon
+//! holds.
 
 use super::{PeriodicTask, domain_duty::DomainDuty};
 use crate::shared_state::SharedState;
@@ -7,7 +8,7 @@
 use pimentoslip_kernel::{SharedName, SiteConfig};
 use std::{collections::BTreeMap, sync::Arc};
 
-/// Takes part in the ordering duty of every failure domain.
+/// Competes for the ordering duty of every failure domain and performs those that this daemon holds.
 pub struct OrderTask {
     shared: Arc<SharedState>,
     kv: EtcdClient,
@@ -22,7 +23,8 @@
         Self { shared, kv, provider, duties: BTreeMap::new() }
     }
 
-    fn add_domains(&mut self, site: &SiteConfig) {
+    /// Adds the duties of failure domains that are new in the configuration.
+    fn add_missing_duties(&mut self, site: &SiteConfig) {
         for domain in &site.failure_domains {
             let (kv, shared) = (self.kv.clone(), self.shared.clone());
             let provider = self.provider.clone();
@@ -38,10 +40,10 @@
 
     async fn run(&mut self) {
         let Some(site) = self.shared.config().site().cloned() else { return };
-        self.add_domains(&site);
+        self.add_missing_duties(&site);
         let (shared, provider) = (&self.shared, &self.provider);
-        let rounds = self.duties.iter_mut().map(|(domain, duty)| duty.tick(shared, provider, &site, domain));
-        join_all(rounds).await;
+        let ticks = self.duties.iter_mut().map(|(domain, duty)| duty.tick(shared, provider, &site, domain));
+        join_all(ticks).await;
     }
 
     async fn stop(&mut self) {
--- a/crates/daemon/src/task/periodic_actor.rs
+++ b/crates/daemon/src/task/periodic_actor.rs
@@ -1,59 +1,61 @@
-//! Runs a task again and again, never twice at a time.
+//! Runs a task repeatedly, with at most one run at a time.
 
 use actix::{Actor, ActorFutureExt, AsyncContext, Context, Handler, Message, ResponseFuture, WrapFuture};
 use std::{future::Future, time::Duration};
 use tokio::sync::oneshot;
 
-/// Work done in rounds.
+/// Work that is repeated with a pause between runs.
 pub trait PeriodicTask: Unpin + 'static {
-    /// Pause between two rounds in milliseconds.
+    /// Pause between two runs.
     const PAUSE_MS: u64;
 
-    /// One round.
+    /// Runs the task once.
     fn run(&mut self) -> impl Future<Output = ()>;
 
-    /// Called once after the last round.
+    /// Cleans up; called once after the last run.
     fn stop(&mut self) -> impl Future<Output = ()> {
         async {}
     }
 }
 
-/// Begins a round.
+/// Starts a run.
 #[derive(Message)]
 #[rtype(result = "()")]
-struct RoundMessage;
+struct RunMessage;
 
-/// Ends the rounds; answered when the task has stopped.
+/// Stops the task after its current run; answered once the task has stopped.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct StopMessage;
 
-/// The actor around a task. While a round runs, the round owns the task.
+/// Actor that runs a task periodically.
 pub struct PeriodicActor<T> {
+    /// The task; `None` during a run, which owns it, and after the stop.
     task: Option<T>,
-    stopping: Option<oneshot::Sender<()>>,
+    /// Notified when the task has stopped; `None` until a stop is requested.
+    stopped_sender: Option<oneshot::Sender<()>>,
 }
 
 impl<T: PeriodicTask> PeriodicActor<T> {
     /// Wraps `task`.
     pub fn new(task: T) -> Self {
-        Self { task: Some(task), stopping: None }
+        Self { task: Some(task), stopped_sender: None }
     }
 
-    fn round_ended(&mut self, task: T, context: &mut Context<Self>) {
+    fn run_ended(&mut self, task: T, context: &mut Context<Self>) {
         self.task = Some(task);
-        if self.stopping.is_some() {
+        if self.stopped_sender.is_some() {
             self.stop_task(context);
         } else {
-            context.notify_later(RoundMessage, Duration::from_millis(T::PAUSE_MS));
+            context.notify_later(RunMessage, Duration::from_millis(T::PAUSE_MS));
         }
     }
 
     fn stop_task(&mut self, context: &mut Context<Self>) {
         let Some(mut task) = self.task.take() else { return };
         let stop = async move { task.stop().await }.into_actor(self).map(|(), actor, _context| {
-            if let Some(sender) = actor.stopping.take() {
-                // The stopper may have given up waiting.
+            if let Some(sender) = actor.stopped_sender.take() {
+                // The sender of the stop message may have given up waiting.
                 let _ = sender.send(());
             }
         });
@@ -65,20 +67,20 @@
     type Context = Context<Self>;
 
     fn started(&mut self, context: &mut Context<Self>) {
-        context.notify(RoundMessage);
+        context.notify(RunMessage);
     }
 }
 
-impl<T: PeriodicTask> Handler<RoundMessage> for PeriodicActor<T> {
+impl<T: PeriodicTask> Handler<RunMessage> for PeriodicActor<T> {
     type Result = ();
 
-    fn handle(&mut self, _message: RoundMessage, context: &mut Context<Self>) {
+    fn handle(&mut self, _message: RunMessage, context: &mut Context<Self>) {
         let Some(mut task) = self.task.take() else { return };
-        let round = async move {
+        let run = async move {
             task.run().await;
             task
         };
-        context.spawn(round.into_actor(self).map(|task, actor, context| actor.round_ended(task, context)));
+        context.spawn(run.into_actor(self).map(|task, actor, context| actor.run_ended(task, context)));
     }
 }
 
@@ -87,8 +89,8 @@
 
     fn handle(&mut self, _message: StopMessage, context: &mut Context<Self>) -> Self::Result {
         let (sender, receiver) = oneshot::channel();
-        self.stopping = Some(sender);
-        // While a round runs the task is away, and the round's end stops it.
+        self.stopped_sender = Some(sender);
+        // During a run the run owns the task; `run_ended` then stops it.
         self.stop_task(context);
         Box::pin(async move {
             let _ = receiver.await;
