--- a/crates/daemon/src/admission_controller.rs
+++ b/crates/daemon/src/admission_controller.rs
@@ -62,7 +62,7 @@
     /// future is dropped, the request leaves the queue.
     pub async fn wait_for_admission(shared: &Arc<SharedState>, request: AdmissionRequest) -> Option<AdmissionGuard> {
         let (sender, receiver) = oneshot::channel();
-        let ticket = shared.gate.with_queue(&request.service, |service_queue| {
+        let ticket = shared.admission_gate.with_queue(&request.service, |service_queue| {
             let ticket = service_queue.queue.enqueue(
                 &request.organisation,
                 request.weight,
@@ -91,7 +91,7 @@
     /// Replaces the expected cost that was charged to the organisation by the actual number of `tokens`.
     pub fn record_actual_tokens(&self, tokens: u64) {
         let request = &self.request;
-        self.shared.gate.with_queue(&request.service, |service_queue| {
+        self.shared.admission_gate.with_queue(&request.service, |service_queue| {
             service_queue.queue.adjust_cost(&request.organisation, request.weight, request.expected_tokens, tokens);
         });
     }
@@ -99,13 +99,13 @@
     /// Admits as many waiting requests as the service's upstreams have capacity for.
     fn admit_waiting(&self) {
         let running_max = self.shared.routes().capacity(&self.request.service, self.request.inflight_max);
-        self.shared.gate.admit_waiting(&self.request.service, running_max);
+        self.shared.admission_gate.admit_waiting(&self.request.service, running_max);
     }
 }
 
 impl Drop for AdmissionGuard {
     fn drop(&mut self) {
-        self.shared.gate.with_queue(&self.request.service, |service_queue| {
+        self.shared.admission_gate.with_queue(&self.request.service, |service_queue| {
             let waiting = service_queue.waiting.remove(&self.ticket).is_some();
             if waiting {
                 service_queue.queue.cancel(self.ticket);
--- a/crates/daemon/src/claim/claim_client.rs
+++ b/crates/daemon/src/claim/claim_client.rs
@@ -62,7 +62,7 @@
         within_ms: u64,
         id: &RequestId,
     ) -> Result<std::result::Result<ClaimGrant, StoredAnswer>> {
-        let request = ClaimRequest { key: key.clone(), grant: self.shared.draw(), fingerprint, within_ms };
+        let request = ClaimRequest { key: key.clone(), grant: self.shared.random_u64(), fingerprint, within_ms };
         let grant = ClaimGrant { key, number: request.grant };
         let refuse = |reason| Err(ApiError::not_run(reason, id));
         for _ in 0..CLAIM_ATTEMPTS {
--- a/crates/daemon/src/claim/claim_store.rs
+++ b/crates/daemon/src/claim/claim_store.rs
@@ -60,7 +60,7 @@
     async fn owner_record(&self, shard: u64) -> Result<OwnerRecord> {
         let response = self.kv.get(&self.owner_key(shard)).await?;
         let Some(entry) = response.kvs.first() else { return Ok(OwnerRecord::OtherProcess(0)) };
-        if entry.value == self.shared.process().as_bytes() {
+        if entry.value == self.shared.process_name().as_bytes() {
             return Ok(OwnerRecord::OwnProcess(entry.mod_revision));
         }
         Ok(OwnerRecord::OtherProcess(entry.mod_revision))
@@ -87,7 +87,8 @@
     /// Writes the owner record of `shard` if its revision is still `revision`, and returns its new revision.
     async fn write_owner(&self, shard: u64, revision: u64) -> Result<u64> {
         let key = self.owner_key(shard);
-        let txn = TxnRequest::default().expect(&key, revision).put(&key, self.shared.process().as_bytes().to_vec(), 0);
+        let txn =
+            TxnRequest::default().expect(&key, revision).put(&key, self.shared.process_name().as_bytes().to_vec(), 0);
         match self.kv.commit(&txn).await {
             Ok(response) if response.succeeded => Ok(response.header.revision),
             // Another process wrote the record first, or the response was lost. Read the record to find out.
--- a/crates/daemon/src/upstream/dispatcher.rs
+++ b/crates/daemon/src/upstream/dispatcher.rs
@@ -31,7 +31,7 @@
     let mut tried_upstreams: Vec<SharedName> = Vec::new();
     let mut attempt = 0;
     let mut run_state = RunState::NotRun;
-    shared.budget(&request.organisation, &request.service, pimentoslip_kernel::RetryBudget::record_attempt);
+    shared.with_retry_budget(&request.organisation, &request.service, pimentoslip_kernel::RetryBudget::record_attempt);
     loop {
         attempt += 1;
         let now = shared.now();
@@ -111,13 +111,13 @@
     let failed_attempt =
         FailedAttempt { class: &request.class, progress: error.progress, attempt, deadline: request.deadline };
     let decision = shared.with_rng(|rng| {
-        shared.budget(&request.organisation, &request.service, |budget| {
+        shared.with_retry_budget(&request.organisation, &request.service, |budget| {
             RetryPolicy.decide(failed_attempt, now, budget, rng)
         })
     });
     match decision {
         RetryDecision::RetryAt(at) => {
-            shared.metrics.retried(error.failure.retry_reason());
+            shared.metrics.count_retry(error.failure.retry_reason());
             actix_rt::time::sleep(Duration::from_millis(at.since_ms(now))).await;
             Ok(())
         }
--- a/crates/daemon/src/upstream/stream_body.rs
+++ b/crates/daemon/src/upstream/stream_body.rs
@@ -1,12 +1,7 @@
 //! Passes a streamed response from an upstream to the caller.
 
 use super::UpstreamGuard;
-use crate::{
-    admission_controller::AdmissionGuard,
-    api_error::ApiError,
-    request_id::RequestId,
-    shared_state::{InflightGuard, SharedState},
-};
+use crate::{admission_controller::AdmissionGuard, api_error::ApiError, request_id::RequestId, shared_state::{InflightGuard, SharedState}};
 use actix_rt::time::Sleep;
 use bytes::Bytes;
 use futures_util::Stream;
@@ -108,13 +103,13 @@
             return true;
         }
         self.next_key_check = now.plus_ms(KEY_CHECK_INTERVAL_MS);
-        shared.fresh() && shared.config().is_key_valid(&self.context.organisation, &self.context.key_id)
+        shared.is_config_fresh() && shared.config().is_key_valid(&self.context.organisation, &self.context.key_id)
     }
 
     /// Fails the stream with `reason`. Returns the error event to send as its last chunk.
     fn fail(&mut self, reason: RefusalReason) -> Bytes {
         let error = ApiError { reason, run_state: RunState::Ran, request_id: self.context.id.clone() };
-        self.context.shared.metrics.refused(reason);
+        self.context.shared.metrics.count_refusal(reason);
         LogLine::new("stream_failed").field("request_id", &*self.context.id).field("reason", reason.code()).warn();
         let body = serde_json::to_string(&error.refusal()).unwrap_or_default();
         // The connection must not be closed before the event has been sent.
--- a/crates/daemon/src/upstream/upstream_guard.rs
+++ b/crates/daemon/src/upstream/upstream_guard.rs
@@ -28,7 +28,7 @@
     /// Counts the request with `fingerprint` as in flight on `entry`, which was picked for it.
     #[must_use]
     pub fn new(shared: Arc<SharedState>, entry: UpstreamEntry, fingerprint: u64) -> Self {
-        shared.running.request_started(&entry.address, fingerprint);
+        shared.running_requests.request_started(&entry.address, fingerprint);
         let started_at = shared.now();
         Self { shared, entry, fingerprint, started_at, failed: false }
     }
@@ -50,14 +50,14 @@
     /// crashed, the requests that were in flight on it are marked as suspects.
     pub async fn connection_lost(&mut self) {
         self.failed = true;
-        let running = self.shared.running.distinct_fingerprints(&self.entry.address);
+        let running = self.shared.running_requests.distinct_fingerprints(&self.entry.address);
         mark_suspects_if_crashed(&self.shared, &self.entry, &running).await;
     }
 
     /// Does the same as [`connection_lost`](Self::connection_lost) in a background task, for callers that cannot await.
     pub fn connection_lost_in_background(&mut self) {
         self.failed = true;
-        let running = self.shared.running.distinct_fingerprints(&self.entry.address);
+        let running = self.shared.running_requests.distinct_fingerprints(&self.entry.address);
         let (shared, entry) = (self.shared.clone(), self.entry.clone());
         actix_rt::spawn(async move { mark_suspects_if_crashed(&shared, &entry, &running).await });
     }
@@ -94,13 +94,13 @@
         let now = shared.now();
         shared.routes().connection_refused(&entry.name, now);
         shared.suspects().upstream_crashed(running, now);
-        shared.suspicion.notify_one();
+        shared.suspect_added.notify_one();
     }
 }
 
 impl Drop for UpstreamGuard {
     fn drop(&mut self) {
-        self.shared.running.request_ended(&self.entry.address, self.fingerprint);
+        self.shared.running_requests.request_ended(&self.entry.address, self.fingerprint);
         let now = self.shared.now();
         self.shared.routes().request_ended(&self.entry.name, self.failed, now);
     }
