--- a/crates/cli/benches/site/capacity.rs
+++ b/crates/cli/benches/site/capacity.rs
@@ -7,7 +7,7 @@
 use futures_util::StreamExt;
 use pimentoslip_kernel::KeySecret;
 use pimentoslip_wire::{
-    admin::{ChangeAnswer, KeyRequest},
+    admin::{ChangeResponse, KeyRequest},
     provider::{VmRole, VmState},
 };
 use std::time::{Duration, Instant};
@@ -176,7 +176,7 @@
             let began = Instant::now();
             let answer = site.admin_post(change % count, "keys/create", &request).await;
             record(&mut times, began.elapsed());
-            pending += usize::from(!answer.json::<ChangeAnswer>().accepted);
+            pending += usize::from(!answer.json::<ChangeResponse>().accepted);
         }
         let (p50, p99) = (quantile_ms(&times, 0.5), quantile_ms(&times, 0.99));
         println!("changes,{count},200,{p50:.2},{p99:.2},{:.2},{pending}", times.max() as f64 / 1_000.0);
--- a/crates/cli/benches/site/training.rs
+++ b/crates/cli/benches/site/training.rs
@@ -5,7 +5,7 @@
     support::{Site, SiteShape},
 };
 use pimentoslip_kernel::{FetchCursor, KeySecret};
-use pimentoslip_wire::caller::{FetchAnswer, FetchRequest, OpenRequest, PublishRequest};
+use pimentoslip_wire::caller::{FetchRequest, FetchResponse, OpenRequest, PublishRequest};
 use std::time::{Duration, Instant};
 
 const STEPS: u64 = 8;
@@ -107,7 +107,7 @@
             FetchRequest { trainer: "menus".into(), step, cursor: cursor.clone(), published, max: 256, wait_ms: 5_000 };
         let answer = site.call(0, "POST", "/v1/steps/fetch", key, &[], &fetch).await;
         assert_eq!(answer.status, 200, "{answer:?}");
-        let answer: FetchAnswer = answer.json();
+        let answer: FetchResponse = answer.json();
         for sample in &answer.samples {
             cursor.insert(sample.sample);
             let oldest = sample.segments.iter().map(|segment| segment.version).min().expect("a segment");
--- a/crates/cli/src/cmd/apply.rs
+++ b/crates/cli/src/cmd/apply.rs
@@ -4,7 +4,7 @@
 use crate::{CliError, CliResult, config::Config, util};
 use clap::{Arg, ArgMatches, Command};
 use pimentoslip_kernel::SharedName;
-use pimentoslip_wire::admin::{ApplyRequest, ChangeAnswer, RecordBody};
+use pimentoslip_wire::admin::{ApplyRequest, ChangeResponse, RecordBody};
 
 /// Adds the flags.
 pub fn usage(command: Command) -> Command {
@@ -33,12 +33,12 @@
     let records = args.files.read()?.records();
     let records = records.into_iter().map(|(name, record)| RecordBody { name, revision: 0, record }).collect();
     let request = ApplyRequest { change: args.change, records };
-    let answer: ChangeAnswer = util::block_on(async { args.config.open().post("apply", &request).await })?;
+    let answer: ChangeResponse = util::block_on(async { args.config.open().post("apply", &request).await })?;
     report_change(&answer, args.json)
 }
 
 /// Says what became of a change; one that is pending is an error of its own.
-pub fn report_change(answer: &ChangeAnswer, json: bool) -> CliResult<()> {
+pub fn report_change(answer: &ChangeResponse, json: bool) -> CliResult<()> {
     if json {
         util::print_json(answer)?;
     } else {
--- a/crates/cli/src/cmd/diff.rs
+++ b/crates/cli/src/cmd/diff.rs
@@ -4,7 +4,7 @@
 use crate::{CliResult, config::Config, util};
 use clap::{ArgMatches, Command};
 use pimentoslip_kernel::{ConfigRecord, RecordName};
-use pimentoslip_wire::admin::ShowAnswer;
+use pimentoslip_wire::admin::ConfigResponse;
 use serde::Serialize;
 
 /// Adds the flags.
@@ -21,7 +21,7 @@
 /// Compares the files with what is in force.
 pub fn run(args: &ArgMatches) -> CliResult<()> {
     let wanted = FileArgs::from(args).read()?.records();
-    let shown: ShowAnswer = util::block_on(async { Config::from_args(args).open().get("config").await })?;
+    let shown: ConfigResponse = util::block_on(async { Config::from_args(args).open().get("config").await })?;
     let differences = compare(&wanted, &shown);
     if args.get_flag("json") {
         return util::print_json(&differences);
@@ -35,7 +35,7 @@
     Ok(())
 }
 
-fn compare(wanted: &[(RecordName, ConfigRecord)], shown: &ShowAnswer) -> Vec<Difference> {
+fn compare(wanted: &[(RecordName, ConfigRecord)], shown: &ConfigResponse) -> Vec<Difference> {
     let stored = |name: &RecordName| {
         let found = shown.records.iter().find(|body| body.name == *name).map(|body| &body.record);
         found.filter(|record| **record != ConfigRecord::Removed)
--- a/crates/cli/src/cmd/key.rs
+++ b/crates/cli/src/cmd/key.rs
@@ -4,7 +4,7 @@
 use crate::{CliError, CliResult, admin_client::AdminClient, config::Config, util};
 use clap::{Arg, ArgMatches, Command};
 use pimentoslip_kernel::KeySecret;
-use pimentoslip_wire::admin::{ChangeAnswer, KeyCreateAnswer, KeyListAnswer, KeyRequest};
+use pimentoslip_wire::admin::{ChangeResponse, KeyCreateResponse, KeyListResponse, KeyRequest};
 
 /// Adds the flags.
 pub fn usage(command: Command) -> Command {
@@ -47,8 +47,8 @@
         key: secret.id.clone(),
         hash: Some(secret.hash()),
     };
-    let answer: ChangeAnswer = client.post("keys/create", &request).await?;
-    let created = KeyCreateAnswer {
+    let answer: ChangeResponse = client.post("keys/create", &request).await?;
+    let created = KeyCreateResponse {
         organisation: organisation.into(),
         key: secret.expose().to_owned(),
         revision: answer.revision,
@@ -71,12 +71,12 @@
 async fn withdraw(client: &AdminClient, organisation: &str, key: &str, json: bool) -> CliResult<()> {
     let request =
         KeyRequest { change: util::change_id(), organisation: organisation.into(), key: key.into(), hash: None };
-    let answer: ChangeAnswer = client.post("keys/withdraw", &request).await?;
+    let answer: ChangeResponse = client.post("keys/withdraw", &request).await?;
     report_change(&answer, json)
 }
 
 async fn list(client: &AdminClient, json: bool) -> CliResult<()> {
-    let answer: KeyListAnswer = client.get("keys").await?;
+    let answer: KeyListResponse = client.get("keys").await?;
     if json {
         return util::print_json(&answer);
     }
--- a/crates/cli/src/cmd/show.rs
+++ b/crates/cli/src/cmd/show.rs
@@ -2,7 +2,7 @@
 
 use crate::{CliResult, config::Config, util};
 use clap::{ArgMatches, Command};
-use pimentoslip_wire::admin::ShowAnswer;
+use pimentoslip_wire::admin::ConfigResponse;
 
 /// Adds the flags.
 pub fn usage(command: Command) -> Command {
@@ -11,7 +11,7 @@
 
 /// Shows the configuration in force in one daemon.
 pub fn run(args: &ArgMatches) -> CliResult<()> {
-    let answer: ShowAnswer = util::block_on(async { Config::from_args(args).open().get("config").await })?;
+    let answer: ConfigResponse = util::block_on(async { Config::from_args(args).open().get("config").await })?;
     if args.get_flag("json") {
         return util::print_json(&answer);
     }
--- a/crates/cli/src/cmd/status.rs
+++ b/crates/cli/src/cmd/status.rs
@@ -2,7 +2,7 @@
 
 use crate::{CliResult, config::Config, util};
 use clap::{ArgMatches, Command};
-use pimentoslip_wire::admin::StatusAnswer;
+use pimentoslip_wire::admin::StatusResponse;
 
 /// Adds the flags.
 pub fn usage(command: Command) -> Command {
@@ -11,7 +11,7 @@
 
 /// Shows the site as one daemon sees it.
 pub fn run(args: &ArgMatches) -> CliResult<()> {
-    let status: StatusAnswer = util::block_on(async { Config::from_args(args).open().get("status").await })?;
+    let status: StatusResponse = util::block_on(async { Config::from_args(args).open().get("status").await })?;
     if args.get_flag("json") {
         return util::print_json(&status);
     }
@@ -30,7 +30,7 @@
     Ok(())
 }
 
-fn print_sections(status: &StatusAnswer) {
+fn print_sections(status: &StatusResponse) {
     let daemons: Vec<Vec<String>> = status
         .daemons
         .iter()
--- a/crates/cli/src/demo/scenes.rs
+++ b/crates/cli/src/demo/scenes.rs
@@ -7,8 +7,8 @@
 use pimentoslip_standin::{OrderLog, SeenRequest, SpareUpstream, UsageLog};
 use pimentoslip_wire::{
     IDEMPOTENCY_KEY_HEADER, REPLAYED_HEADER,
-    admin::{ApplyRequest, ChangeAnswer, KeyRequest, RecordBody, StatusAnswer},
-    caller::{FetchAnswer, FetchRequest, OpenRequest, PublishRequest, Refusal},
+    admin::{ApplyRequest, ChangeResponse, KeyRequest, RecordBody, StatusResponse},
+    caller::{FetchRequest, FetchResponse, OpenRequest, PublishRequest, Refusal},
 };
 use serde::{Serialize, de::DeserializeOwned};
 use std::{future::Future, time::Duration};
@@ -77,7 +77,7 @@
     let file = ConfigFile::parse(("demo-base.toml", BASE), Some(("demo-overlay.toml", OVERLAY)))?;
     let records = file.records().into_iter().map(|(name, record)| RecordBody { name, revision: 0, record }).collect();
     let request = ApplyRequest { change: util::change_id(), records };
-    let answer: ChangeAnswer = site.admin(0).post("apply", &request).await?;
+    let answer: ChangeResponse = site.admin(0).post("apply", &request).await?;
     check.expect(
         answer.changed >= 3,
         format!("{} records are in force at revision {}", answer.changed, answer.revision),
@@ -89,10 +89,10 @@
         key: secret.id.clone(),
         hash: Some(secret.hash()),
     };
-    let answer: ChangeAnswer = site.admin(1).post("keys/create", &request).await?;
+    let answer: ChangeResponse = site.admin(1).post("keys/create", &request).await?;
     let ready = wait_for(|| async {
         for at in 0..site.daemons.len() {
-            let status: StatusAnswer = site.admin(at).get("status").await.ok()?;
+            let status: StatusResponse = site.admin(at).get("status").await.ok()?;
             (status.fresh && status.revision >= answer.revision && status.upstreams.len() >= 3).then_some(())?;
         }
         Some(())
@@ -171,7 +171,7 @@
             wait_ms: 2_000,
         };
         let (_, _, bytes) = post(site, turn % 3, "/v1/steps/fetch", key, &fetch, &[]).await?;
-        let Ok(answer) = serde_json::from_slice::<FetchAnswer>(&bytes) else { continue };
+        let Ok(answer) = serde_json::from_slice::<FetchResponse>(&bytes) else { continue };
         for sample in &answer.samples {
             doubled += usize::from(cursor.contains(sample.sample));
             cursor.insert(sample.sample);
@@ -226,7 +226,7 @@
     println!("The operator withdraws the key.");
     let request =
         KeyRequest { change: util::change_id(), organisation: "velorio".into(), key: key.id.clone(), hash: None };
-    let _: ChangeAnswer = site.admin(2).post("keys/withdraw", &request).await?;
+    let _: ChangeResponse = site.admin(2).post("keys/withdraw", &request).await?;
     let body = serde_json::json!({ "model": "drafts", "messages": [] });
     for at in 0..site.daemons.len() {
         let (status, _, _) = post(site, at, "/v1/chat/completions", key, &body, &[]).await?;
--- a/crates/cli/tests/processes/configuration.rs
+++ b/crates/cli/tests/processes/configuration.rs
@@ -4,7 +4,7 @@
 use futures_util::{StreamExt, future::join_all};
 use pimentoslip_kernel::KeySecret;
 use pimentoslip_standin::{KvFault, RelayRule, TcpRelay};
-use pimentoslip_wire::admin::{ChangeAnswer, KeyListAnswer, KeyRequest};
+use pimentoslip_wire::admin::{ChangeResponse, KeyListResponse, KeyRequest};
 
 const DOWN: KvFault = KvFault { down: true, slow_ms: 0, lose_answers: 0 };
 
@@ -31,7 +31,7 @@
     assert_eq!(join_all((0..3).map(ask)).await, [200, 200, 200]);
     let answer = site.withdraw_key(1, &key).await;
     assert_eq!(answer.status, 200, "{answer:?}");
-    assert_eq!(answer.json::<ChangeAnswer>().confirmed.len(), 3);
+    assert_eq!(answer.json::<ChangeResponse>().confirmed.len(), 3);
     assert_eq!(join_all((0..3).map(ask)).await, [401, 401, 401], "accepted is in force everywhere");
 }
 
@@ -134,7 +134,7 @@
     site.daemons[2].process.freeze();
     let answer = site.withdraw_key(0, &key).await;
     assert_eq!(answer.status, 202, "{answer:?}");
-    let answer: ChangeAnswer = answer.json();
+    let answer: ChangeResponse = answer.json();
     assert!(!answer.accepted && answer.unconfirmed.iter().any(|name| **name == *site.daemons[2].name));
     // It stays frozen past the bound.
     actix_rt::time::sleep(std::time::Duration::from_secs(3)).await;
@@ -179,7 +179,7 @@
     };
     join_all((0..9).map(create)).await;
     for at in 0..3 {
-        let list: KeyListAnswer = site.admin_get(at, "keys").await.expect("keys");
+        let list: KeyListResponse = site.admin_get(at, "keys").await.expect("keys");
         for request in requests {
             let found =
                 list.keys.iter().filter(|key| key.key == request.key && key.organisation == request.organisation);
@@ -195,7 +195,7 @@
     site.kv_fault(KvFault { lose_answers: 1, ..KvFault::default() }).await;
     let secret = site.create_key(0, 7).await;
     assert_eq!(call(&site, 2, &secret).await.status, 200);
-    let list: KeyListAnswer = site.admin_get(1, "keys").await.expect("keys");
+    let list: KeyListResponse = site.admin_get(1, "keys").await.expect("keys");
     assert_eq!(list.keys.iter().filter(|key| key.key == secret.id).count(), 1);
     assert!(site.status(0).await.expect("status").revision > before);
 }
--- a/crates/cli/tests/processes/path.rs
+++ b/crates/cli/tests/processes/path.rs
@@ -3,7 +3,7 @@
 use super::support::{OPERATOR_KEY, Site, SiteShape, cli, wait_for};
 use pimentoslip_kernel::FetchCursor;
 use pimentoslip_standin::{OrderLog, SpareUpstream, UsageLog};
-use pimentoslip_wire::caller::{FetchAnswer, FetchRequest, OpenRequest, PublishRequest};
+use pimentoslip_wire::caller::{FetchRequest, FetchResponse, OpenRequest, PublishRequest};
 use std::collections::BTreeSet;
 
 /// One service whose upstreams are ordered, so that the ordering duty has work.
@@ -86,7 +86,7 @@
         };
         let answer = site.call(turn % 3, "POST", "/v1/steps/fetch", key, &[], &fetch).await;
         assert_eq!(answer.status, 200, "{answer:?}");
-        let answer: FetchAnswer = answer.json();
+        let answer: FetchResponse = answer.json();
         for sample in &answer.samples {
             assert!(!cursor.contains(sample.sample), "sample {} came twice", sample.sample);
             assert_eq!(sample.segments[0].start, 0);
--- a/crates/cli/tests/processes/samples.rs
+++ b/crates/cli/tests/processes/samples.rs
@@ -3,7 +3,7 @@
 use super::support::{Answer, Site, SiteShape, wait_for};
 use pimentoslip_kernel::{FetchCursor, KeySecret, highest_ranked};
 use pimentoslip_standin::EngineFault;
-use pimentoslip_wire::caller::{FetchAnswer, FetchRequest, OpenRequest, PublishRequest, SampleBody};
+use pimentoslip_wire::caller::{FetchRequest, FetchResponse, OpenRequest, PublishRequest, SampleBody};
 
 const GROUPS: usize = 8;
 const GROUP_SIZE: usize = 8;
@@ -54,7 +54,7 @@
         if answer.status != 200 {
             return false;
         }
-        let answer: FetchAnswer = answer.json();
+        let answer: FetchResponse = answer.json();
         for sample in answer.samples {
             assert!(!self.cursor.contains(sample.sample), "sample {} came twice", sample.sample);
             self.cursor.insert(sample.sample);
--- a/crates/cli/tests/processes/support/site.rs
+++ b/crates/cli/tests/processes/support/site.rs
@@ -5,7 +5,7 @@
 use pimentoslip_standin::{EngineFault, KvFault, PlainFault, SeenRequest};
 use pimentoslip_wire::{
     OPERATOR_KEY_HEADER,
-    admin::{ChangeAnswer, KeyRequest, StatusAnswer},
+    admin::{ChangeResponse, KeyRequest, StatusResponse},
     provider::{VmEntry, VmRole, VmState},
 };
 use serde::{Serialize, de::DeserializeOwned};
@@ -271,7 +271,7 @@
     }
 
     /// Status of daemon `at`, if it answers.
-    pub async fn status(&self, at: usize) -> Option<StatusAnswer> {
+    pub async fn status(&self, at: usize) -> Option<StatusResponse> {
         self.admin_get(at, "status").await
     }
 
@@ -302,7 +302,7 @@
         };
         let answer = self.admin_post(at, "keys/create", &request).await;
         assert_eq!(answer.status, 200, "{answer:?}");
-        let revision = answer.json::<ChangeAnswer>().revision;
+        let revision = answer.json::<ChangeResponse>().revision;
         wait_for("the key is known everywhere", || async {
             for at in 0..self.daemons.len() {
                 (self.status(at).await?.revision >= revision).then_some(())?;
--- a/crates/client/src/deadline_body.rs
+++ b/crates/client/src/deadline_body.rs
@@ -1,6 +1,6 @@
 //! A request body that refuses to be sent late.
 
-use crate::OwnerClock;
+use crate::LeaseClock;
 use actix_web::body::{BodySize, MessageBody};
 use bytes::Bytes;
 use pimentoslip_kernel::TimePoint;
@@ -14,7 +14,7 @@
 /// Checks its deadline in the same poll that hands the bytes to the connection. Past the deadline the
 /// body fails, so the receiver never sees a whole request.
 pub struct DeadlineBody {
-    clock: Arc<OwnerClock>,
+    clock: Arc<LeaseClock>,
     deadline: TimePoint,
     bytes: Option<Bytes>,
     length: u64,
@@ -23,7 +23,7 @@
 impl DeadlineBody {
     /// Creates a body that may be sent before `deadline`.
     #[must_use]
-    pub fn new(clock: Arc<OwnerClock>, deadline: TimePoint, bytes: Bytes) -> Self {
+    pub fn new(clock: Arc<LeaseClock>, deadline: TimePoint, bytes: Bytes) -> Self {
         let length = bytes.len() as u64;
         Self { clock, deadline, bytes: Some(bytes), length }
     }
--- a/crates/client/src/http_client.rs
+++ b/crates/client/src/http_client.rs
@@ -22,7 +22,7 @@
 /// As [`plain_client`], with connections that end when sent bytes stay unacknowledged for `timeout`, so
 /// that the operating system cannot deliver them later on behalf of a frozen process.
 #[must_use]
-pub fn client_with_user_timeout(timeout: Duration) -> Client {
+pub fn client_with_tcp_user_timeout(timeout: Duration) -> Client {
     client(Some(timeout))
 }
 
--- a/crates/client/src/owner_clock.rs
+++ b/crates/client/src/lease_clock.rs
@@ -10,13 +10,13 @@
 /// Never stands still: time is the larger of what boot time and wall time say has passed, so that a
 /// suspended VM finds its leases over when it resumes. It never runs backwards.
 #[derive(Debug)]
-pub struct OwnerClock {
+pub struct LeaseClock {
     boot_origin_ms: u64,
     wall_origin_ms: u64,
     latest: AtomicU64,
 }
 
-impl Default for OwnerClock {
+impl Default for LeaseClock {
     fn default() -> Self {
         Self {
             boot_origin_ms: read(ClockId::CLOCK_BOOTTIME),
@@ -26,7 +26,7 @@
     }
 }
 
-impl OwnerClock {
+impl LeaseClock {
     /// Milliseconds since the clock was created.
     #[must_use]
     pub fn now(&self) -> TimePoint {
--- a/crates/client/src/provider_client.rs
+++ b/crates/client/src/provider_client.rs
@@ -1,12 +1,12 @@
 //! Clients of the ordering, usage and VM list interfaces.
 
-use crate::{CallTimeout, DeadlineBody, OwnerClock, PlatformError, Result, client_with_user_timeout, plain_client};
+use crate::{CallTimeout, DeadlineBody, LeaseClock, PlatformError, Result, client_with_tcp_user_timeout, plain_client};
 use awc::Client;
 use bytes::Bytes;
 use pimentoslip_kernel::TimePoint;
 use pimentoslip_wire::{
     engine::{LoadOrder, LoadReport},
-    provider::{OrderAnswer, OrderRequest, VmList},
+    provider::{OrderRequest, OrderResponse, VmList},
 };
 use serde::{Serialize, de::DeserializeOwned};
 use std::sync::Arc;
@@ -21,7 +21,7 @@
 pub struct ProviderClient {
     plain: Client,
     guarded: Client,
-    clock: Arc<OwnerClock>,
+    clock: Arc<LeaseClock>,
     orders: Arc<str>,
     usage: Arc<str>,
     vms: Arc<str>,
@@ -30,8 +30,15 @@
 impl ProviderClient {
     /// Creates clients of the three interfaces, each given as `ip:port`.
     #[must_use]
-    pub fn new(clock: Arc<OwnerClock>, orders: Arc<str>, usage: Arc<str>, vms: Arc<str>) -> Self {
-        Self { plain: plain_client(), guarded: client_with_user_timeout(CallTimeout::USER), clock, orders, usage, vms }
+    pub fn new(clock: Arc<LeaseClock>, orders: Arc<str>, usage: Arc<str>, vms: Arc<str>) -> Self {
+        Self {
+            plain: plain_client(),
+            guarded: client_with_tcp_user_timeout(CallTimeout::USER),
+            clock,
+            orders,
+            usage,
+            vms,
+        }
     }
 
     /// The VM list.
@@ -40,7 +47,7 @@
     }
 
     /// Sends an order that must have left before `deadline`.
-    pub async fn order(&self, order: &OrderRequest, deadline: TimePoint) -> Result<OrderAnswer> {
+    pub async fn order(&self, order: &OrderRequest, deadline: TimePoint) -> Result<OrderResponse> {
         let body = to_json(order)?;
         let path = format!("/v1/orders/{}", order.order);
         let (status, answer) = self.put(&self.orders, &path, order.fencing, body, deadline).await?;
@@ -51,7 +58,7 @@
     }
 
     /// What became of an order; None when it never arrived.
-    pub async fn order_state(&self, order: &str) -> Result<Option<OrderAnswer>> {
+    pub async fn order_state(&self, order: &str) -> Result<Option<OrderResponse>> {
         match self.get(&self.orders, &format!("/v1/orders/{order}")).await {
             Ok(answer) => Ok(Some(answer)),
             Err(PlatformError::Refused { status: NOT_FOUND, .. }) => Ok(None),
--- a/crates/client/tests/contract/provider.rs
+++ b/crates/client/tests/contract/provider.rs
@@ -1,7 +1,7 @@
 //! The ordering, usage and VM list interfaces, and orders that come too late.
 
 use super::endpoint;
-use pimentoslip_client::{OwnerClock, ProviderClient};
+use pimentoslip_client::{LeaseClock, ProviderClient};
 use pimentoslip_kernel::TimePoint;
 use pimentoslip_standin::{EngineShape, OrderSettings, engine, orders, usage, vms};
 use pimentoslip_wire::{
@@ -14,13 +14,13 @@
 const LATER: TimePoint = TimePoint(u64::MAX);
 
 struct Fixture {
-    clock: Arc<OwnerClock>,
+    clock: Arc<LeaseClock>,
     client: ProviderClient,
     usage: Arc<str>,
 }
 
 fn fixture(checks_fencing: bool) -> Fixture {
-    let clock = Arc::new(OwnerClock::default());
+    let clock = Arc::new(LeaseClock::default());
     let settings = OrderSettings { checks_fencing, ..OrderSettings::default() };
     let usage = endpoint("USAGE", || usage(LOOPBACK, checks_fencing));
     let client = ProviderClient::new(
--- a/crates/daemon/src/claim/claim_actor.rs
+++ b/crates/daemon/src/claim/claim_actor.rs
@@ -12,7 +12,7 @@
 use pimentoslip_client::KeyValueClient;
 use pimentoslip_kernel::{ClaimAnswer, ClaimKey, ClaimTable};
 use pimentoslip_telemetry::LogLine;
-use pimentoslip_wire::peer::{ClaimRequest, ClaimResponse, SettleRequest, SettleState, StoredAnswer};
+use pimentoslip_wire::peer::{ClaimRequest, ClaimResponse, SettleRequest, SettleState, StoredResponse};
 use std::{collections::HashMap, sync::Arc, time::Duration};
 use tokio::sync::oneshot;
 
@@ -27,7 +27,7 @@
 pub struct SettleMessage(pub SettleRequest);
 
 struct ShardState {
-    table: ClaimTable<StoredAnswer>,
+    table: ClaimTable<StoredResponse>,
     loading: bool,
     /// Claims that came while the shard was being taken over.
     parked: Vec<(ClaimRequest, oneshot::Sender<ClaimResponse>)>,
--- a/crates/daemon/src/claim/claim_gate.rs
+++ b/crates/daemon/src/claim/claim_gate.rs
@@ -11,7 +11,7 @@
 use pimentoslip_client::EtcdClient;
 use pimentoslip_kernel::{RefusalReason, RunState, SharedName};
 use pimentoslip_telemetry::LogLine;
-use pimentoslip_wire::peer::{ClaimRequest, ClaimResponse, SettleRequest, SettleState, StoredAnswer};
+use pimentoslip_wire::peer::{ClaimRequest, ClaimResponse, SettleRequest, SettleState, StoredResponse};
 use std::{sync::Arc, time::Duration};
 
 const CLAIM_TIMEOUT_MS: u64 = 2_500;
@@ -52,7 +52,7 @@
         fingerprint: u64,
         within_ms: u64,
         id: &RequestId,
-    ) -> Result<std::result::Result<ClaimTicket, StoredAnswer>> {
+    ) -> Result<std::result::Result<ClaimTicket, StoredResponse>> {
         let request = ClaimRequest { key: key.clone(), grant: self.shared.draw(), fingerprint, within_ms };
         let ticket = ClaimTicket { key, grant: request.grant };
         let refuse = |reason| Err(ApiError::not_run(reason, id));
--- a/crates/daemon/src/http/admin_api.rs
+++ b/crates/daemon/src/http/admin_api.rs
@@ -11,7 +11,7 @@
 use pimentoslip_kernel::{ConfigRecord, MemberState, RecordEntry, RecordName, SharedName};
 use pimentoslip_telemetry::LogLine;
 use pimentoslip_wire::admin::{
-    ApplyRequest, ChangeAnswer, DaemonStatus, DutyStatus, RecordBody, ShowAnswer, StatusAnswer, UpstreamStatus,
+    ApplyRequest, ChangeResponse, ConfigResponse, DaemonStatus, DutyStatus, RecordBody, StatusResponse, UpstreamStatus,
 };
 use std::{
     sync::{PoisonError, atomic::Ordering},
@@ -42,7 +42,7 @@
     let (confirmed, unconfirmed) = push_until_confirmed(worker, entries).await;
     let accepted = unconfirmed.is_empty();
     LogLine::new("change").field("revision", revision).field("accepted", accepted).info();
-    let answer = ChangeAnswer { accepted, revision, changed, confirmed, unconfirmed };
+    let answer = ChangeResponse { accepted, revision, changed, confirmed, unconfirmed };
     if accepted { HttpResponse::Ok().json(answer) } else { HttpResponse::Accepted().json(answer) }
 }
 
@@ -107,7 +107,7 @@
         .filter(|entry| !matches!(entry.name, RecordName::Keys(_)))
         .map(|entry| RecordBody { name: entry.name.clone(), revision: entry.revision, record: (*entry.record).clone() })
         .collect();
-    HttpResponse::Ok().json(ShowAnswer {
+    HttpResponse::Ok().json(ConfigResponse {
         daemon: shared.settings.name.clone(),
         revision: view.newest_revision(),
         age_ms,
@@ -139,7 +139,7 @@
     let published =
         config.service_names().into_iter().map(|name| (name.clone(), config.published_version(&name))).collect();
     let upstreams = upstreams(&worker);
-    let answer = StatusAnswer {
+    let answer = StatusResponse {
         daemon: shared.settings.name.clone(),
         revision: config.newest_revision(),
         fresh,
--- a/crates/daemon/src/http/caller_auth.rs
+++ b/crates/daemon/src/http/caller_auth.rs
@@ -10,7 +10,7 @@
     http::header::{AUTHORIZATION, HeaderMap},
 };
 use pimentoslip_kernel::{KeySecret, RefusalReason, SharedName, TimePoint};
-use pimentoslip_wire::{IDEMPOTENCY_KEY_HEADER, TIMEOUT_HEADER};
+use pimentoslip_wire::{IDEMPOTENCY_KEY_HEADER, TIMEOUT_MS_HEADER};
 
 const BEARER: &str = "Bearer ";
 const IDEMPOTENCY_KEY_CHARS_MAX: usize = 200;
@@ -128,6 +128,6 @@
 /// When the caller stops waiting: its own time, at most the service's.
 #[must_use]
 pub fn deadline(headers: &HeaderMap, timeout_ms: u64, now: TimePoint) -> TimePoint {
-    let asked = headers.get(TIMEOUT_HEADER).and_then(|value| value.to_str().ok()?.parse::<u64>().ok());
+    let asked = headers.get(TIMEOUT_MS_HEADER).and_then(|value| value.to_str().ok()?.parse::<u64>().ok());
     now.plus_ms(asked.map_or(timeout_ms, |asked| asked.min(timeout_ms)))
 }
--- a/crates/daemon/src/http/key_api.rs
+++ b/crates/daemon/src/http/key_api.rs
@@ -7,7 +7,7 @@
 use crate::config_writer::{ConfigWriter, WriteError};
 use actix_web::{HttpResponse, web};
 use pimentoslip_kernel::{ConfigRecord, KeyEntry, KeySet, RecordName, SharedName};
-use pimentoslip_wire::admin::{KeyBody, KeyListAnswer, KeyRequest};
+use pimentoslip_wire::admin::{KeyBody, KeyListResponse, KeyRequest};
 
 const HASH_CHARS: usize = 64;
 
@@ -76,7 +76,7 @@
             keys.extend(set.keys.iter().map(|(key, entry)| body(organisation, key, entry)));
         }
     }
-    HttpResponse::Ok().json(KeyListAnswer { keys })
+    HttpResponse::Ok().json(KeyListResponse { keys })
 }
 
 fn body(organisation: &SharedName, key: &SharedName, entry: &KeyEntry) -> KeyBody {
--- a/crates/daemon/src/http/peer_api.rs
+++ b/crates/daemon/src/http/peer_api.rs
@@ -10,7 +10,7 @@
 use pimentoslip_telemetry::LogLine;
 use pimentoslip_wire::{
     decode, encode,
-    peer::{ClaimRequest, ClaimResponse, ExchangeRequest, ForwardRequest, SettleRequest, TotalsAnswer, TotalsLine},
+    peer::{ClaimRequest, ClaimResponse, ExchangeRequest, ForwardRequest, SettleRequest, TotalsLine, TotalsResponse},
 };
 use serde::Serialize;
 use std::sync::atomic::Ordering;
@@ -75,5 +75,5 @@
     let asked_at = worker.shared.now();
     let lines = worker.shared.usage_totals().into_iter().map(TotalsLine::from).collect();
     worker.shared.gathered_at.store(asked_at.0, Ordering::SeqCst);
-    answer(&TotalsAnswer { incarnation: worker.shared.process(), lines })
+    answer(&TotalsResponse { incarnation: worker.shared.process(), lines })
 }
--- a/crates/daemon/src/http/plain_api.rs
+++ b/crates/daemon/src/http/plain_api.rs
@@ -23,7 +23,7 @@
 use pimentoslip_kernel::{RefusalReason, RequestClass, RunState, ServiceConfig, ServiceKind, SharedName, fingerprint};
 use pimentoslip_wire::{
     REPLAYED_HEADER, REQUEST_ID_HEADER,
-    peer::{SettleState, StoredAnswer},
+    peer::{SettleState, StoredResponse},
 };
 
 const PLAIN_PRIORITY: u32 = 50;
@@ -63,7 +63,7 @@
     worker.finish(&id, began, outcome)
 }
 
-fn reply(answer: &StoredAnswer, replayed: bool, id: &RequestId) -> HttpResponse {
+fn reply(answer: &StoredResponse, replayed: bool, id: &RequestId) -> HttpResponse {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut reply = HttpResponse::build(status);
     reply.insert_header((REQUEST_ID_HEADER, &**id));
@@ -146,7 +146,7 @@
 }
 
 /// Runs the request, under a claim if it has an idempotency key. The flag tells a repeated answer.
-async fn run(worker: &WorkerState, request: &UpstreamRequest) -> Result<(StoredAnswer, bool)> {
+async fn run(worker: &WorkerState, request: &UpstreamRequest) -> Result<(StoredResponse, bool)> {
     let RequestClass::Claimed(key) = &request.class else { return Ok((exchange(worker, request).await?, false)) };
     let claim = format!("{}/{}/{key}", request.organisation, request.service).into();
     let within_ms = request.deadline.since_ms(worker.shared.now()) + CLAIM_MARGIN_MS;
@@ -159,7 +159,7 @@
     Ok((outcome?, false))
 }
 
-async fn settle(worker: &WorkerState, ticket: &ClaimTicket, outcome: &Result<StoredAnswer>) {
+async fn settle(worker: &WorkerState, ticket: &ClaimTicket, outcome: &Result<StoredResponse>) {
     let state = match outcome {
         Ok(answer) if answer.body.len() <= STORED_BYTES_MAX => SettleState::Ran(answer.clone()),
         Ok(_) => SettleState::Lost,
@@ -170,7 +170,7 @@
 }
 
 /// Sends the request and reads the whole answer.
-async fn exchange(worker: &WorkerState, request: &UpstreamRequest) -> Result<StoredAnswer> {
+async fn exchange(worker: &WorkerState, request: &UpstreamRequest) -> Result<StoredResponse> {
     let client = if request.class == RequestClass::Idempotent { &worker.client } else { &worker.once_client };
     let mut dispatched = dispatch(&worker.shared, client, request).await?;
     let content_type =
@@ -189,5 +189,5 @@
     };
     dispatched.guard.ran_clean();
     worker.shared.record_usage(&request.organisation, &request.service, 0);
-    Ok(StoredAnswer { status: dispatched.answer.status().as_u16(), content_type, body: body.to_vec() })
+    Ok(StoredResponse { status: dispatched.answer.status().as_u16(), content_type, body: body.to_vec() })
 }
--- a/crates/daemon/src/http/trainer_api.rs
+++ b/crates/daemon/src/http/trainer_api.rs
@@ -11,7 +11,7 @@
 use pimentoslip_kernel::{ConfigRecord, RecordName, RefusalReason, ServiceKind};
 use pimentoslip_wire::{
     REQUEST_ID_HEADER,
-    caller::{FetchRequest, OpenRequest, PublishAnswer, PublishRequest},
+    caller::{FetchRequest, OpenRequest, PublishRequest, PublishResponse},
 };
 use serde::{Serialize, de::DeserializeOwned};
 
@@ -67,7 +67,7 @@
         check_engine(&worker, &publish.service, &id)?;
         authenticate(&worker.shared, &request, &publish.service, &id)?;
         let version = record_version(&worker, &publish, &id).await?;
-        Ok(json(&PublishAnswer { version }, &id))
+        Ok(json(&PublishResponse { version }, &id))
     };
     let outcome = outcome.await;
     worker.finish(&id, began, outcome)
--- a/crates/daemon/src/shared_state.rs
+++ b/crates/daemon/src/shared_state.rs
@@ -3,7 +3,7 @@
 use crate::{
     DaemonSettings, admission_gate::AdmissionGate, metric_set::MetricSet, request_id::RequestId, upstream::RunningTable,
 };
-use pimentoslip_client::OwnerClock;
+use pimentoslip_client::LeaseClock;
 use pimentoslip_kernel::{
     ConfigView, FreshnessTable, MemberEntry, MemberState, MemberTable, RecordEntry, RetryBudget, RouteTable,
     SharedName, SuspectTable, TimePoint, UsageCount, UsageKey, UsageMeter,
@@ -26,7 +26,7 @@
     /// Settings.
     pub settings: DaemonSettings,
     /// Clock for everything with an owner.
-    pub clock: Arc<OwnerClock>,
+    pub clock: Arc<LeaseClock>,
     /// Incarnation of this process.
     pub incarnation: u64,
     /// Metrics.
@@ -74,7 +74,7 @@
     /// Creates the state of a daemon that knows nothing yet.
     #[must_use]
     pub fn new(settings: DaemonSettings) -> Arc<Self> {
-        let clock = Arc::new(OwnerClock::default());
+        let clock = Arc::new(LeaseClock::default());
         let members = MemberTable::new(settings.name.clone(), settings.failure_domain.clone());
         let routes = RouteTable::new(settings.route_policy);
         Arc::new(Self {
--- a/crates/daemon/src/step/step_actor.rs
+++ b/crates/daemon/src/step/step_actor.rs
@@ -14,7 +14,7 @@
 use pimentoslip_telemetry::LogLine;
 use pimentoslip_wire::{
     admin::StepStatus,
-    caller::{FetchAnswer, FetchRequest, OpenAnswer, OpenRequest},
+    caller::{FetchRequest, FetchResponse, OpenRequest, OpenResponse},
 };
 use std::{
     collections::{BTreeMap, HashMap},
@@ -38,7 +38,7 @@
 
 /// Opens a step.
 #[derive(Message)]
-#[rtype(result = "StepOutcome<OpenAnswer>")]
+#[rtype(result = "StepOutcome<OpenResponse>")]
 pub struct OpenMessage {
     /// Organisation.
     pub organisation: SharedName,
@@ -48,7 +48,7 @@
 
 /// Fetches samples.
 #[derive(Message)]
-#[rtype(result = "StepOutcome<FetchAnswer>")]
+#[rtype(result = "StepOutcome<FetchResponse>")]
 pub struct FetchMessage {
     /// Organisation.
     pub organisation: SharedName,
@@ -84,7 +84,7 @@
         Self { shared, client: plain_client(), steps: BTreeMap::new() }
     }
 
-    fn open(&mut self, organisation: SharedName, open: OpenRequest) -> StepOutcome<OpenAnswer> {
+    fn open(&mut self, organisation: SharedName, open: OpenRequest) -> StepOutcome<OpenResponse> {
         let key = step_key(&organisation, &open.trainer, open.step);
         let spec = StepSpec::from(open);
         if spec.group_size == 0
@@ -96,7 +96,7 @@
         }
         let samples = spec.sample_count();
         if let Some(state) = self.steps.get(&key) {
-            return if *state.spec == spec { Ok(OpenAnswer { samples }) } else { Err(RefusalReason::StepConflict) };
+            return if *state.spec == spec { Ok(OpenResponse { samples }) } else { Err(RefusalReason::StepConflict) };
         }
         let (bound, published) = {
             let config = self.shared.config();
@@ -106,10 +106,10 @@
         let state = StepState::new(organisation, spec, bound, published, idle_at);
         LogLine::new("step_opened").field("step", &key).field("samples", samples).info();
         self.steps.insert(key, state);
-        Ok(OpenAnswer { samples })
+        Ok(OpenResponse { samples })
     }
 
-    fn fetch(&mut self, organisation: &str, fetch: FetchRequest, sender: oneshot::Sender<StepOutcome<FetchAnswer>>) {
+    fn fetch(&mut self, organisation: &str, fetch: FetchRequest, sender: oneshot::Sender<StepOutcome<FetchResponse>>) {
         let key = step_key(organisation, &fetch.trainer, fetch.step);
         let now = self.shared.now();
         let Some(state) = self.steps.get_mut(&key) else {
@@ -244,7 +244,7 @@
 }
 
 impl Handler<FetchMessage> for StepActor {
-    type Result = ResponseFuture<StepOutcome<FetchAnswer>>;
+    type Result = ResponseFuture<StepOutcome<FetchResponse>>;
 
     fn handle(&mut self, message: FetchMessage, _context: &mut Context<Self>) -> Self::Result {
         let (sender, receiver) = oneshot::channel();
--- a/crates/daemon/src/step/step_gate.rs
+++ b/crates/daemon/src/step/step_gate.rs
@@ -11,8 +11,8 @@
 use pimentoslip_kernel::{RefusalReason, RunState, SharedName};
 use pimentoslip_telemetry::LogLine;
 use pimentoslip_wire::{
-    caller::{FetchAnswer, FetchRequest, OpenAnswer, OpenRequest, Refusal},
-    peer::{ForwardAnswer, ForwardRequest},
+    caller::{FetchRequest, FetchResponse, OpenRequest, OpenResponse, Refusal},
+    peer::{ForwardRequest, ForwardResponse},
 };
 use std::sync::Arc;
 
@@ -34,38 +34,38 @@
     }
 
     /// Opens a step at its home.
-    pub async fn open(&self, organisation: SharedName, open: OpenRequest, id: &RequestId) -> Result<OpenAnswer> {
+    pub async fn open(&self, organisation: SharedName, open: OpenRequest, id: &RequestId) -> Result<OpenResponse> {
         let key = step_key(&organisation, &open.trainer, open.step);
         let request = ForwardRequest::Open { organisation, request_id: id.shared(), open };
         match self.forward(&key, request, FORWARD_MARGIN_MS, id).await? {
-            ForwardAnswer::Opened(answer) => Ok(answer),
+            ForwardResponse::Opened(answer) => Ok(answer),
             answer => Err(unexpected(answer, id)),
         }
     }
 
     /// Fetches samples from a step's home.
-    pub async fn fetch(&self, organisation: SharedName, fetch: FetchRequest, id: &RequestId) -> Result<FetchAnswer> {
+    pub async fn fetch(&self, organisation: SharedName, fetch: FetchRequest, id: &RequestId) -> Result<FetchResponse> {
         let key = step_key(&organisation, &fetch.trainer, fetch.step);
         let timeout_ms = fetch.wait_ms + FORWARD_MARGIN_MS;
         let request = ForwardRequest::Fetch { organisation, request_id: id.shared(), fetch };
         match self.forward(&key, request, timeout_ms, id).await? {
-            ForwardAnswer::Fetched(answer) => Ok(answer),
+            ForwardResponse::Fetched(answer) => Ok(answer),
             answer => Err(unexpected(answer, id)),
         }
     }
 
     /// Serves a call whose home is this daemon.
-    pub async fn serve(&self, request: ForwardRequest) -> ForwardAnswer {
+    pub async fn serve(&self, request: ForwardRequest) -> ForwardResponse {
         match request {
             ForwardRequest::Open { organisation, request_id, open } => {
                 LogLine::new("step_open").field("request_id", &request_id).info();
                 let outcome = self.actor.send(OpenMessage { organisation, open }).await;
-                answer(outcome.unwrap_or(Err(RefusalReason::StepUnknown)), &request_id, ForwardAnswer::Opened)
+                answer(outcome.unwrap_or(Err(RefusalReason::StepUnknown)), &request_id, ForwardResponse::Opened)
             }
             ForwardRequest::Fetch { organisation, request_id, fetch } => {
                 LogLine::new("step_fetch").field("request_id", &request_id).info();
                 let outcome = self.actor.send(FetchMessage { organisation, fetch }).await;
-                answer(outcome.unwrap_or(Err(RefusalReason::StepUnknown)), &request_id, ForwardAnswer::Fetched)
+                answer(outcome.unwrap_or(Err(RefusalReason::StepUnknown)), &request_id, ForwardResponse::Fetched)
             }
         }
     }
@@ -76,7 +76,7 @@
         request: ForwardRequest,
         timeout_ms: u64,
         id: &RequestId,
-    ) -> Result<ForwardAnswer> {
+    ) -> Result<ForwardResponse> {
         let control = {
             let members = self.shared.members();
             let home = pimentoslip_kernel::highest_ranked(&format!("step/{key}"), &members.active_names()).cloned();
@@ -90,18 +90,18 @@
     }
 }
 
-fn answer<T>(outcome: StepOutcome<T>, id: &str, wrap: impl FnOnce(T) -> ForwardAnswer) -> ForwardAnswer {
+fn answer<T>(outcome: StepOutcome<T>, id: &str, wrap: impl FnOnce(T) -> ForwardResponse) -> ForwardResponse {
     match outcome {
         Ok(answer) => wrap(answer),
-        Err(reason) => ForwardAnswer::Refused(reason.status(), Refusal::new(reason, RunState::NotRun, id)),
+        Err(reason) => ForwardResponse::Refused(reason.status(), Refusal::new(reason, RunState::NotRun, id)),
     }
 }
 
 /// Turns a refusal by the home into one by this daemon.
-fn unexpected(answer: ForwardAnswer, id: &RequestId) -> ApiError {
+fn unexpected(answer: ForwardResponse, id: &RequestId) -> ApiError {
     let code = match &answer {
-        ForwardAnswer::Refused(_, refusal) => refusal.error.code.as_str(),
-        ForwardAnswer::Opened(_) | ForwardAnswer::Fetched(_) => "",
+        ForwardResponse::Refused(_, refusal) => refusal.error.code.as_str(),
+        ForwardResponse::Opened(_) | ForwardResponse::Fetched(_) => "",
     };
     let known = RefusalReason::ALL.iter().find(|reason| reason.code() == code);
     ApiError::not_run(known.copied().unwrap_or(RefusalReason::PeerUnreachable), id)
--- a/crates/daemon/src/step/step_state.rs
+++ b/crates/daemon/src/step/step_state.rs
@@ -4,7 +4,7 @@
 use crate::shared_state::SharedState;
 use actix_rt::task::JoinHandle;
 use pimentoslip_kernel::{SharedName, StepLedger, StepSpec, TimePoint};
-use pimentoslip_wire::caller::{FetchAnswer, FetchRequest, SampleBody};
+use pimentoslip_wire::caller::{FetchRequest, FetchResponse, SampleBody};
 use std::{collections::HashMap, sync::Arc};
 use tokio::sync::oneshot;
 
@@ -15,7 +15,7 @@
     /// When it is answered without samples.
     pub deadline: TimePoint,
     /// Where the answer goes.
-    pub sender: oneshot::Sender<StepOutcome<FetchAnswer>>,
+    pub sender: oneshot::Sender<StepOutcome<FetchResponse>>,
 }
 
 /// A step at home here, with its trainer's waiting fetches and running attempts.
@@ -65,7 +65,7 @@
             shared.metrics.samples.inc_by(samples.len() as u64);
             let samples = samples.into_iter().map(SampleBody::from).collect();
             // The asker may have gone; it will ask again with the same cursor.
-            let _ = wait.sender.send(Ok(FetchAnswer { samples, complete, total: self.spec.sample_count() }));
+            let _ = wait.sender.send(Ok(FetchResponse { samples, complete, total: self.spec.sample_count() }));
         }
         let wasted = self.ledger.wasted_tokens();
         shared.metrics.wasted_tokens.inc_by(wasted - self.counted_waste);
--- a/crates/daemon/src/task/exchange_task.rs
+++ b/crates/daemon/src/task/exchange_task.rs
@@ -13,7 +13,7 @@
 use pimentoslip_wire::{
     decode, encode,
     kv::KeyValue,
-    peer::{ExchangeAnswer, ExchangeRequest, MemberBody},
+    peer::{ExchangeRequest, ExchangeResponse, MemberBody},
 };
 use std::{
     collections::BTreeMap,
@@ -164,7 +164,7 @@
         Err(_) => return false,
     };
     shared.metrics.exchange_bytes.inc_by((sent + answer.len()) as u64);
-    match decode::<ExchangeAnswer>(&answer) {
+    match decode::<ExchangeResponse>(&answer) {
         Ok(answer) => {
             take_answer(shared, answer, asked_at);
             true
@@ -176,7 +176,7 @@
     }
 }
 
-fn take_answer(shared: &SharedState, answer: ExchangeAnswer, asked_at: TimePoint) {
+fn take_answer(shared: &SharedState, answer: ExchangeResponse, asked_at: TimePoint) {
     let name = answer.from.name.clone();
     let new = shared.apply(answer.records, answer.complete);
     log_applied(&name, &new);
@@ -194,7 +194,7 @@
 
 /// Answers a peer's exchange.
 #[must_use]
-pub fn answer_exchange(shared: &SharedState, request: ExchangeRequest) -> ExchangeAnswer {
+pub fn answer_exchange(shared: &SharedState, request: ExchangeRequest) -> ExchangeResponse {
     let now = shared.now();
     let name = request.from.name.clone();
     let new = shared.apply(request.records, 0);
@@ -207,7 +207,7 @@
     let members = if members_digest(shared) == request.members_digest { Vec::new() } else { known_members(shared) };
     let age_ms = shared.freshness().age_ms(now);
     let config = shared.config();
-    ExchangeAnswer {
+    ExchangeResponse {
         from: shared.me(),
         complete: config.complete_revision(),
         records: config.entries_since(request.complete),
--- a/crates/daemon/src/task/order_book.rs
+++ b/crates/daemon/src/task/order_book.rs
@@ -6,7 +6,7 @@
 use pimentoslip_telemetry::LogLine;
 use pimentoslip_wire::{
     kv::TxnRequest,
-    provider::{OrderAnswer, OrderRequest, OrderState},
+    provider::{OrderRequest, OrderResponse, OrderState},
 };
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, sync::Arc};
@@ -22,7 +22,7 @@
     /// The order.
     pub request: OrderRequest,
     /// Outcome, once known.
-    pub answer: Option<OrderAnswer>,
+    pub answer: Option<OrderResponse>,
 }
 
 /// What gives the right to send an order.
@@ -144,7 +144,7 @@
     async fn record_answer(
         &mut self,
         request: OrderRequest,
-        answer: OrderAnswer,
+        answer: OrderResponse,
         revision: u64,
         authority: &OrderAuthority,
     ) -> Result<()> {
@@ -160,7 +160,7 @@
         Ok(())
     }
 
-    fn note_started(&mut self, request: &OrderRequest, answer: &OrderAnswer) {
+    fn note_started(&mut self, request: &OrderRequest, answer: &OrderResponse) {
         if answer.state != OrderState::Done {
             return;
         }
--- a/crates/daemon/src/task/usage_task.rs
+++ b/crates/daemon/src/task/usage_task.rs
@@ -8,7 +8,7 @@
 use pimentoslip_telemetry::LogLine;
 use pimentoslip_wire::{
     kv::TxnRequest,
-    peer::{TotalsAnswer, TotalsLine},
+    peer::{TotalsLine, TotalsResponse},
     provider::UsageReport,
 };
 use serde::{Deserialize, Serialize};
@@ -77,7 +77,7 @@
             self.shared.members().possibly_running_entries().map(|member| member.control.clone()).collect();
         let calls = controls
             .iter()
-            .map(|control| self.peers.call::<_, TotalsAnswer>(control, "/peer/totals", &(), TOTALS_TIMEOUT_MS));
+            .map(|control| self.peers.call::<_, TotalsResponse>(control, "/peer/totals", &(), TOTALS_TIMEOUT_MS));
         for answer in join_all(calls).await.into_iter().flatten() {
             let lines = answer.lines.into_iter().map(UsageLine::from).collect();
             self.totals.insert(answer.incarnation, lines);
--- a/crates/edge/src/duty/duty_task.rs
+++ b/crates/edge/src/duty/duty_task.rs
@@ -4,11 +4,11 @@
 use crate::{edge_metrics::EdgeMetrics, edge_state::EdgeState, store::StoreAccess};
 use awc::Client;
 use pimentoslip_kernel::{DutyHistory, DutyTerm, LeaseStatus, TimePoint, fingerprint};
-use pimentoslip_platform::{CommitOutcome, StoreCommit, StoreItem};
+use pimentoslip_platform::{CommitOutcome, StoreCommit, StoreEntry};
 use pimentoslip_telemetry::LogLine;
 use pimentoslip_wire::{
     decode, encode,
-    stored::{DaemonEntry, DutyEntry, KeyLayout},
+    stored::{DaemonEntry, DutyHistoryEntry, KeyLayout},
 };
 use std::{cell::RefCell, rc::Rc, sync::Arc, time::Duration};
 
@@ -118,13 +118,14 @@
     let unix_ms = state.unix_ms();
     let wait_ms = history.handover_wait_ms(&state.settings.vm, unix_ms, state.settings.handover_ms);
     let previous = history.last_holder().map_or_else(|| "nobody".into(), Clone::clone);
-    let history_entry = match encode(&DutyEntry::from(&history.with_acquisition(state.settings.vm.clone(), unix_ms))) {
-        Ok(entry) => entry,
-        Err(error) => {
-            LogLine::new("duty_not_taken").field("reason", error).warn();
-            return;
-        }
-    };
+    let history_entry =
+        match encode(&DutyHistoryEntry::from(&history.with_acquisition(state.settings.vm.clone(), unix_ms))) {
+            Ok(entry) => entry,
+            Err(error) => {
+                LogLine::new("duty_not_taken").field("reason", error).warn();
+                return;
+            }
+        };
     let commit = StoreCommit::default().expect(KeyLayout::DUTY, replaces).put(KeyLayout::DUTY, entry, lease).put(
         KeyLayout::DUTY_HISTORY,
         history_entry,
@@ -134,7 +135,7 @@
         Ok(CommitOutcome::Done(revision)) => revision,
         Ok(CommitOutcome::Conflict(items)) => {
             // An earlier commit of this process may have succeeded without a response.
-            let is_own = |item: &&StoreItem| {
+            let is_own = |item: &&StoreEntry| {
                 item.lease == lease
                     && decode::<DaemonEntry>(&item.value).is_ok_and(|entry| entry == state.daemon_entry())
             };
@@ -160,5 +161,5 @@
 /// Reads the previous holders of the duty from the store.
 async fn read_history(store: &StoreAccess) -> anyhow::Result<DutyHistory> {
     let Some(item) = store.get(KeyLayout::DUTY_HISTORY).await? else { return Ok(DutyHistory::default()) };
-    Ok(decode::<DutyEntry>(&item.value)?.into())
+    Ok(decode::<DutyHistoryEntry>(&item.value)?.into())
 }
--- a/crates/edge/src/duty/load_duty.rs
+++ b/crates/edge/src/duty/load_duty.rs
@@ -8,7 +8,9 @@
 use pimentoslip_kernel::{
     LoadOrder, LoadOutcome, ModelDemand, SamplerRecord, ServiceSnapshot, SharedName, VersionPlanner,
 };
-use pimentoslip_platform::{ORDER_PATH, OrderMessage, REPORT_PATH, decode_report, encode_order, header};
+use pimentoslip_platform::{
+    ORDER_PATH, REPORT_PATH, VersionOrder, decode_upstream_report, encode_version_order, header,
+};
 use pimentoslip_telemetry::LogLine;
 use pimentoslip_wire::stored::JobEntry;
 use std::{
@@ -145,7 +147,7 @@
         return (LoadOutcome::Conflict, "duty_lost".to_owned());
     };
     let _call_guard = state.track_duty_call();
-    let message = OrderMessage {
+    let message = VersionOrder {
         model: &order.model,
         version: order.version,
         keep_runs,
@@ -153,7 +155,7 @@
         fencing_token: active_term.fencing_token,
         accepted_before: order.accepted_before,
     };
-    let Ok(body) = encode_order(&message) else { return (LoadOutcome::Refused, "unencodable".to_owned()) };
+    let Ok(body) = encode_version_order(&message) else { return (LoadOutcome::Refused, "unencodable".to_owned()) };
     // A process that is suspended here must not send the order after it resumes, so the body fails at this time.
     let send_deadline = state.clock.now().plus_ms(ORDER_TIMEOUT_MS);
     let body = DeadlineBody::new(state.clock.clone(), send_deadline, Bytes::from(body));
@@ -188,7 +190,7 @@
         return Err(format!("report_{}", response.status().as_u16()));
     }
     let body = response.body().limit(REPORT_BYTES_MAX).await.map_err(|error| error.to_string())?;
-    let report = decode_report(&body).map_err(|error| error.to_string())?;
+    let report = decode_upstream_report(&body).map_err(|error| error.to_string())?;
     if report.order_in_progress {
         return Err("order_in_progress".to_owned());
     }
--- a/crates/edge/src/duty/retire_duty.rs
+++ b/crates/edge/src/duty/retire_duty.rs
@@ -3,7 +3,7 @@
 
 use crate::{edge_state::EdgeState, store::StoreAccess};
 use pimentoslip_kernel::SharedName;
-use pimentoslip_platform::{StoreCommit, encode_retired, retire_status_key};
+use pimentoslip_platform::{StoreCommit, encode_retire_status, retire_status_key};
 use pimentoslip_telemetry::LogLine;
 use std::sync::Arc;
 
@@ -30,7 +30,7 @@
             if self.confirmed.contains(&vm) {
                 continue;
             }
-            let Ok(value) = encode_retired() else { return };
+            let Ok(value) = encode_retire_status() else { return };
             let commit = StoreCommit::default().put(retire_status_key(&vm), value, 0);
             match self.store.commit(&commit).await {
                 Ok(_) => {
--- a/crates/edge/src/duty/size_duty.rs
+++ b/crates/edge/src/duty/size_duty.rs
@@ -3,7 +3,7 @@
 use super::duty_task::SharedTerm;
 use crate::{edge_state::EdgeState, store::StoreAccess};
 use pimentoslip_kernel::{SamplerRecord, ScalingOrder, ScalingOutcome, ScalingPlanner, SharedName, standing_counts};
-use pimentoslip_platform::{CommitOutcome, DutyCall, DutyClient, DutyOutcome, SizeOrder, StoreCommit};
+use pimentoslip_platform::{CommitOutcome, DutyAuthority, DutyCallOutcome, DutyClient, ScaleRequest, StoreCommit};
 use pimentoslip_telemetry::LogLine;
 use pimentoslip_wire::{
     decode, encode,
@@ -124,8 +124,8 @@
     let active_term = term.borrow().filter(|term| term.may_act(now, DutyClient::CALL_MS));
     let Some(term) = active_term else { return ScalingOutcome::Failed };
     let _call_guard = state.track_duty_call();
-    let duty_call = DutyCall { holder: &state.settings.vm, fencing_token: term.fencing_token };
-    let message = SizeOrder {
+    let duty_call = DutyAuthority { holder: &state.settings.vm, fencing_token: term.fencing_token };
+    let message = ScaleRequest {
         service: service.clone(),
         failure_domain: order.failure_domain.clone(),
         reclaimable: order.reclaimable,
@@ -142,8 +142,8 @@
         .field("result", format!("{outcome:?}").to_lowercase())
         .info();
     match outcome {
-        DutyOutcome::Accepted => ScalingOutcome::Accepted,
-        DutyOutcome::Refused(NONE_AVAILABLE_STATUS) => ScalingOutcome::Unavailable,
-        DutyOutcome::Refused(_) | DutyOutcome::Unanswered => ScalingOutcome::Failed,
+        DutyCallOutcome::Accepted => ScalingOutcome::Accepted,
+        DutyCallOutcome::Refused(NONE_AVAILABLE_STATUS) => ScalingOutcome::Unavailable,
+        DutyCallOutcome::Refused(_) | DutyCallOutcome::Unanswered => ScalingOutcome::Failed,
     }
 }
--- a/crates/edge/src/duty/usage_collector.rs
+++ b/crates/edge/src/duty/usage_collector.rs
@@ -6,7 +6,7 @@
 use pimentoslip_wire::{
     encode,
     peer::UsagePush,
-    stored::{KeyLayout, UsagePart, UsageParts},
+    stored::{KeyLayout, UsageBatchEntry, UsageBatchesEntry},
 };
 use std::{cell::RefCell, collections::BTreeMap, rc::Rc, sync::Arc, time::Duration};
 use tokio::sync::oneshot;
@@ -68,12 +68,12 @@
     /// Writes all pending counts, and reports the outcome to those who wait for it.
     async fn flush(&self) {
         let pending = self.pending.take();
-        let mut windows: BTreeMap<u64, Vec<UsagePart>> = BTreeMap::new();
+        let mut windows: BTreeMap<u64, Vec<UsageBatchEntry>> = BTreeMap::new();
         for entry in &pending {
             windows.entry(entry.push.window).or_default().push(entry.push.part.clone());
         }
         let mut all_written = true;
-        let windows: Vec<(u64, Vec<UsagePart>)> = windows.into_iter().collect();
+        let windows: Vec<(u64, Vec<UsageBatchEntry>)> = windows.into_iter().collect();
         for window_group in windows.chunks(WINDOWS_PER_COMMIT_MAX) {
             all_written &= write_parts(&self.state, &self.store, window_group).await;
         }
@@ -85,10 +85,10 @@
 }
 
 /// Stores the counts of the windows in one commit. Returns false if they may not be stored.
-pub async fn write_parts(state: &EdgeState, store: &StoreAccess, windows: &[(u64, Vec<UsagePart>)]) -> bool {
+pub async fn write_parts(state: &EdgeState, store: &StoreAccess, windows: &[(u64, Vec<UsageBatchEntry>)]) -> bool {
     let mut commit = StoreCommit::default();
     for (window, parts) in windows {
-        let value = match encode(&UsageParts { parts: parts.clone() }) {
+        let value = match encode(&UsageBatchesEntry { parts: parts.clone() }) {
             Ok(value) => value,
             Err(error) => {
                 LogLine::new("usage_not_encoded").field("window", window).field("reason", error).warn();
--- a/crates/edge/src/duty/usage_count_task.rs
+++ b/crates/edge/src/duty/usage_count_task.rs
@@ -4,7 +4,7 @@
 use crate::{edge_state::EdgeState, peer_client::PeerClient, store::StoreAccess};
 use pimentoslip_kernel::UsageBatch;
 use pimentoslip_telemetry::LogLine;
-use pimentoslip_wire::{peer::UsagePush, stored::UsagePart};
+use pimentoslip_wire::{peer::UsagePush, stored::UsageBatchEntry};
 use std::{sync::Arc, time::Duration};
 
 /// Time between two checks for windows that have ended.
@@ -38,7 +38,7 @@
 /// by the tally again.
 async fn store_batch(state: &EdgeState, store: &StoreAccess, peers: &PeerClient, batch: UsageBatch) {
     let UsageBatch { number, window, counts } = batch;
-    let part = UsagePart { daemon: state.settings.vm.clone(), incarnation: state.incarnation, number, counts };
+    let part = UsageBatchEntry { daemon: state.settings.vm.clone(), incarnation: state.incarnation, number, counts };
     let push = UsagePush { window, part };
     if send_to_collector(state, peers, &push).await || write_parts(state, store, &[(window, vec![push.part])]).await {
         state.usage().batch_stored(number);
--- a/crates/edge/src/duty/usage_duty.rs
+++ b/crates/edge/src/duty/usage_duty.rs
@@ -4,11 +4,13 @@
 use super::duty_task::SharedTerm;
 use crate::{edge_state::EdgeState, store::StoreAccess};
 use pimentoslip_kernel::{SharedName, UsageTally};
-use pimentoslip_platform::{CommitOutcome, DutyCall, DutyClient, DutyOutcome, RangePage, StoreCommit, StoreItem};
+use pimentoslip_platform::{
+    CommitOutcome, DutyAuthority, DutyCallOutcome, DutyClient, RangePage, StoreCommit, StoreEntry,
+};
 use pimentoslip_telemetry::LogLine;
 use pimentoslip_wire::{
     decode, encode,
-    stored::{KeyLayout, UsageEntry, UsageParts},
+    stored::{KeyLayout, SealedUsageEntry, UsageBatchesEntry},
 };
 use serde::de::DeserializeOwned;
 use std::{collections::BTreeMap, sync::Arc};
@@ -82,7 +84,7 @@
             let Some(window) = KeyLayout::sealed_window(&item.key) else { continue };
             last_sealed = last_sealed.max(Some(window));
             if window + LOOK_BACK_WINDOWS >= current
-                && let Some(entry) = decode_logged::<UsageEntry>(&item)
+                && let Some(entry) = decode_logged::<SealedUsageEntry>(&item)
             {
                 // The previous holder may have sealed this window without reporting it.
                 self.unreported.insert(window, entry.counts);
@@ -106,7 +108,7 @@
         let parts = unique_parts(&page);
         let batch_count = parts.len();
         let counts = UsageTally::sum_counts(parts.into_values());
-        let value = match encode(&UsageEntry { counts: counts.clone() }) {
+        let value = match encode(&SealedUsageEntry { counts: counts.clone() }) {
             Ok(value) => value,
             Err(error) => {
                 LogLine::new("usage_not_sealed").field("window", window).field("reason", error).warn();
@@ -125,7 +127,7 @@
             Ok(CommitOutcome::Done(_)) => counts,
             Ok(CommitOutcome::Conflict(items)) => {
                 // The window is sealed already, by whichever daemon; the stored sums are reported.
-                let sealed = items.first().and_then(decode_logged::<UsageEntry>);
+                let sealed = items.first().and_then(decode_logged::<SealedUsageEntry>);
                 let Some(sealed) = sealed else { return false };
                 sealed.counts
             }
@@ -149,7 +151,7 @@
         while let Some((window, counts)) = self.unreported.first_key_value() {
             let now = self.state.now();
             let Some(term) = self.term.borrow().filter(|term| term.may_act(now, DutyClient::CALL_MS)) else { return };
-            let duty_call = DutyCall { holder: &self.state.settings.vm, fencing_token: term.fencing_token };
+            let duty_call = DutyAuthority { holder: &self.state.settings.vm, fencing_token: term.fencing_token };
             let call_guard = self.state.track_duty_call();
             let outcome = provider.report(duty_call, *window, counts).await;
             drop(call_guard);
@@ -160,11 +162,11 @@
                 .info();
             match outcome {
                 // A report that was refused with one of these statuses is refused permanently, so it is not sent again.
-                DutyOutcome::Accepted | DutyOutcome::Refused(400 | 404 | 409 | 412 | 422) => {
+                DutyCallOutcome::Accepted | DutyCallOutcome::Refused(400 | 404 | 409 | 412 | 422) => {
                     let window = *window;
                     self.unreported.remove(&window);
                 }
-                DutyOutcome::Refused(_) | DutyOutcome::Unanswered => return,
+                DutyCallOutcome::Refused(_) | DutyCallOutcome::Unanswered => return,
             }
         }
     }
@@ -173,13 +175,13 @@
 /// Batches of counts by daemon, incarnation and number of the batch. A batch may be stored in several entries and
 /// counts once.
 fn unique_parts(page: &RangePage) -> BTreeMap<(SharedName, u64, u64), BTreeMap<SharedName, u64>> {
-    let entries = page.items.iter().filter_map(decode_logged::<UsageParts>);
+    let entries = page.items.iter().filter_map(decode_logged::<UsageBatchesEntry>);
     let parts = entries.flat_map(|entry| entry.parts);
     parts.map(|part| ((part.daemon, part.incarnation, part.number), part.counts)).collect()
 }
 
 /// Decodes a stored entry. `None` if it is malformed, which is logged.
-fn decode_logged<T: DeserializeOwned>(item: &StoreItem) -> Option<T> {
+fn decode_logged<T: DeserializeOwned>(item: &StoreEntry) -> Option<T> {
     match decode(&item.value) {
         Ok(entry) => Some(entry),
         Err(error) => {
--- a/crates/edge/src/edge_state.rs
+++ b/crates/edge/src/edge_state.rs
@@ -1,7 +1,7 @@
 //! State shared by all listeners and tasks of a daemon.
 
 use crate::{edge_metrics::EdgeMetrics, job::JobIndex, steady_time::SteadyTime};
-use pimentoslip_client::OwnerClock;
+use pimentoslip_client::LeaseClock;
 use pimentoslip_kernel::{
     OwnershipTable, PathSelector, RunReports, SamplerTable, SharedName, TimePoint, TrafficConfig, UsageTally,
     fingerprint,
@@ -27,7 +27,7 @@
     /// Settings read from the settings file at start.
     pub settings: ProcessSettings,
     /// Clock for leases, deadlines and ownership; it counts the time for which the VM was suspended.
-    pub clock: Arc<OwnerClock>,
+    pub clock: Arc<LeaseClock>,
     /// Start of this process in milliseconds since the Unix epoch.
     pub incarnation: u64,
     /// Whether this daemon is draining before it stops.
@@ -104,7 +104,7 @@
     /// Creates the state of a daemon; its incarnation is the current time.
     #[must_use]
     pub fn new(settings: ProcessSettings) -> Arc<Self> {
-        let clock = Arc::new(OwnerClock::default());
+        let clock = Arc::new(LeaseClock::default());
         let incarnation = clock.unix_ms();
         Arc::new(Self {
             incarnation,
--- a/crates/edge/src/http/front_app.rs
+++ b/crates/edge/src/http/front_app.rs
@@ -7,7 +7,7 @@
     http::{Method, header},
     web,
 };
-use pimentoslip_platform::{BATCH_PATH, ITEM_PATH};
+use pimentoslip_platform::{BATCH_PATH_PREFIX, ITEM_PATH_PREFIX};
 use pimentoslip_telemetry::LogLine;
 
 const MS_PER_SECOND: f64 = 1_000.0;
@@ -52,14 +52,14 @@
     request: &HttpRequest,
     payload: web::Payload,
 ) -> Result<HttpResponse, ApiRefusal> {
-    if let Some(job) = context.path.strip_prefix(BATCH_PATH) {
+    if let Some(job) = context.path.strip_prefix(BATCH_PATH_PREFIX) {
         return match *request.method() {
             Method::GET => batch_api::read_results(parts, context, request, job).await,
             Method::DELETE => batch_api::end_job(parts, context, request, job).await,
             _ => Err(ApiRefusal::RouteNotFound),
         };
     }
-    if let Some(job) = context.path.strip_prefix(ITEM_PATH) {
+    if let Some(job) = context.path.strip_prefix(ITEM_PATH_PREFIX) {
         return batch_api::read_item(parts, context, request, job).await;
     }
     let rule = context.config.route(&context.host, &context.path).ok_or(ApiRefusal::RouteNotFound)?.clone();
--- a/crates/edge/src/http/peer_api.rs
+++ b/crates/edge/src/http/peer_api.rs
@@ -11,7 +11,7 @@
 use pimentoslip_telemetry::LogLine;
 use pimentoslip_wire::{
     CodecError, decode, encode,
-    peer::{ItemRequest, JobPush, NewsRequest, ResultsRequest, RunReport, UsagePush},
+    peer::{ChangesRequest, ItemRequest, JobPush, ResultsRequest, RunReport, UsagePush},
 };
 use serde::Serialize;
 use std::sync::Arc;
@@ -38,7 +38,7 @@
 
 /// Tells another daemon of changes in the store.
 pub async fn read_changes(parts: web::Data<WorkerParts>, body: web::Bytes) -> HttpResponse {
-    match decode::<NewsRequest>(&body) {
+    match decode::<ChangesRequest>(&body) {
         Ok(request) => message_response(&parts.change_hub.answer(request).await),
         Err(error) => malformed_response(&error),
     }
--- a/crates/edge/src/http/proxy.rs
+++ b/crates/edge/src/http/proxy.rs
@@ -69,7 +69,7 @@
         organisation: grant.map(|grant| grant.organisation),
         body,
         deadline: context.deadline.min(context.arrived_at.plus_ms(rule.timeout_ms)),
-        last_event_id: header_text(request.headers(), header::LAST_EVENT).and_then(|text| text.parse().ok()),
+        last_event_id: header_text(request.headers(), header::LAST_EVENT_ID).and_then(|text| text.parse().ok()),
     };
     let watch = request.conn_data::<ClientWatch>().cloned();
     let work = try_upstreams(parts, context, &call, &service, rule);
--- a/crates/edge/src/job/item_run.rs
+++ b/crates/edge/src/job/item_run.rs
@@ -158,7 +158,8 @@
             return FinishedRun::from_failure(AttemptFailure::Malformed);
         }
     }
-    let version = response.headers().get(header::VERSION).and_then(|value| value.to_str().ok()?.trim().parse().ok());
+    let version =
+        response.headers().get(header::WEIGHTS_VERSION).and_then(|value| value.to_str().ok()?.trim().parse().ok());
     let mut version: Option<u64> = version;
     let headers = response.headers().clone();
     let mut events = EventReader::default();
--- a/crates/edge/src/job/job_reader.rs
+++ b/crates/edge/src/job/job_reader.rs
@@ -7,11 +7,11 @@
 use crate::{edge_state::EdgeState, peer_client::PeerClient, store::StoreAccess};
 use bytes::{Bytes, BytesMut};
 use pimentoslip_kernel::{SharedName, TextCheckpoint, TimePoint};
-use pimentoslip_platform::{BatchSubmission, RangePage, StoreChange, StoreError, StoreItem, decode_submission};
+use pimentoslip_platform::{BatchSubmission, RangePage, StoreChange, StoreEntry, StoreError, decode_submission};
 use pimentoslip_telemetry::LogLine;
 use pimentoslip_wire::{
     decode,
-    stored::{JobEntry, KeyLayout, ResultEntry, ResultsEntry, TextsEntry},
+    stored::{JobEntry, KeyLayout, ResultEntry, ResultsEntry, TextCheckpointEntry},
 };
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -147,7 +147,7 @@
 fn append_consecutive(
     state: &EdgeState,
     job: &str,
-    items: impl Iterator<Item = StoreItem>,
+    items: impl Iterator<Item = StoreEntry>,
     position: usize,
     bytes_max: usize,
     results: &mut Vec<Arc<ResultEntry>>,
@@ -216,7 +216,7 @@
 /// generation of its texts starts again.
 pub async fn read_checkpoints(store: &StoreAccess, job: &str) -> Result<Vec<TextCheckpoint>> {
     let page = store.range(&KeyLayout::texts(job)).await?;
-    let checkpoints = page.items.iter().map(|item| match decode::<TextsEntry>(&item.value) {
+    let checkpoints = page.items.iter().map(|item| match decode::<TextCheckpointEntry>(&item.value) {
         Ok(entry) => TextCheckpoint::from(entry),
         Err(error) => {
             LogLine::new("entry_unreadable").field("key", &item.key).field("reason", error).warn();
--- a/crates/edge/src/job/ledger_writer.rs
+++ b/crates/edge/src/job/ledger_writer.rs
@@ -3,11 +3,11 @@
 use super::owned_job::OwnedJob;
 use bytes::Bytes;
 use pimentoslip_kernel::TimePoint;
-use pimentoslip_platform::{CommitOutcome, StoreCommit, StoreItem};
+use pimentoslip_platform::{CommitOutcome, StoreCommit, StoreEntry};
 use pimentoslip_telemetry::LogLine;
 use pimentoslip_wire::{
     CodecResult, encode,
-    stored::{KeyLayout, ResultsEntry, TextsEntry},
+    stored::{KeyLayout, ResultsEntry, TextCheckpointEntry},
 };
 
 /// Least time between two writes, so that one write stores several results.
@@ -96,7 +96,7 @@
 fn checkpoint_write(job: &OwnedJob) -> Option<CheckpointWrite> {
     let mut ledger = job.ledger.borrow_mut();
     let (number, checkpoint) = ledger.next_checkpoint(CHECKPOINT_BYTES_MAX)?;
-    let value = encoded_entry(job, encode(&TextsEntry::from(checkpoint)))?;
+    let value = encoded_entry(job, encode(&TextCheckpointEntry::from(checkpoint)))?;
     Some(CheckpointWrite { key: KeyLayout::text(&job.id, number), number, value })
 }
 
@@ -150,7 +150,7 @@
     job: &OwnedJob,
     results: Option<&ResultsWrite>,
     checkpoint: Option<&CheckpointWrite>,
-    items: &[StoreItem],
+    items: &[StoreEntry],
 ) -> WriteOutcome {
     let stored_item = |key: &str| items.iter().find(|item| item.key == key);
     if let Some(checkpoint) = checkpoint
--- a/crates/edge/src/job/owner_read.rs
+++ b/crates/edge/src/job/owner_read.rs
@@ -6,7 +6,7 @@
 use pimentoslip_kernel::SharedName;
 use pimentoslip_telemetry::LogLine;
 use pimentoslip_wire::{
-    peer::{ItemAnswer, ItemRequest, ResultsAnswer, ResultsRequest},
+    peer::{ItemRequest, ItemResponse, ResultsRequest, ResultsResponse},
     stored::ResultEntry,
 };
 use std::{sync::Arc, time::Duration};
@@ -20,23 +20,23 @@
 
 /// Reads results from the memory of this process. Waits for the first one if this process owns the job; is unsure if it
 /// does not and no results are cached.
-pub async fn local_results(state: &EdgeState, job: &str, query: &ResultsQuery) -> ResultsAnswer {
+pub async fn local_results(state: &EdgeState, job: &str, query: &ResultsQuery) -> ResultsResponse {
     loop {
         let change = state.results_listed.notified();
         let Some(results) = state.jobs().cached_results(job, query.position, query.bytes_max) else {
-            return ResultsAnswer::Unsure;
+            return ResultsResponse::Unsure;
         };
         if !results.is_empty() {
-            return ResultsAnswer::Listed(results);
+            return ResultsResponse::Listed(results);
         }
         // Only the owner can tell that no further result is stored.
         let is_owner = state.ownership().is_owned_here(job) && state.jobs().has_state(job) && state.is_lease_valid();
         if !is_owner {
-            return ResultsAnswer::Unsure;
+            return ResultsResponse::Unsure;
         }
         let left_ms = query.wait_until.since_ms(state.now());
         if left_ms == 0 || state.jobs().is_ended(job) {
-            return ResultsAnswer::Listed(results);
+            return ResultsResponse::Listed(results);
         }
         // The next iteration checks for results, whether notified or timed out.
         let _ = actix_rt::time::timeout(Duration::from_millis(left_ms), change).await;
@@ -50,7 +50,7 @@
     job: &SharedName,
     query: &ResultsQuery,
 ) -> Option<Vec<Arc<ResultEntry>>> {
-    if let ResultsAnswer::Listed(results) = local_results(state, job, query).await {
+    if let ResultsResponse::Listed(results) = local_results(state, job, query).await {
         return Some(results);
     }
     let control = owner_control(state, job)?;
@@ -58,8 +58,8 @@
     let ResultsQuery { position, bytes_max, .. } = *query;
     let request = ResultsRequest { job: job.clone(), position, bytes_max, wait_ms };
     match peers.call(&control, RESULTS_PATH, &request, wait_ms + CALL_SLACK_MS).await {
-        Ok(ResultsAnswer::Listed(results)) => Some(results),
-        Ok(ResultsAnswer::Unsure) => None,
+        Ok(ResultsResponse::Listed(results)) => Some(results),
+        Ok(ResultsResponse::Unsure) => None,
         Err(error) => {
             LogLine::new("owner_read_failed").field("job", job).field("owner", control).field("reason", error).warn();
             None
@@ -76,7 +76,7 @@
     item: &str,
 ) -> Option<Option<Bytes>> {
     let answer = match local_item(state, job, item) {
-        ItemAnswer::Unsure => {
+        ItemResponse::Unsure => {
             let control = owner_control(state, job)?;
             let request = ItemRequest { job: job.clone(), item: item.into() };
             peers.call(&control, ITEM_BODY_PATH, &request, CALL_SLACK_MS).await
@@ -84,9 +84,9 @@
         local_answer => Ok(local_answer),
     };
     match answer {
-        Ok(ItemAnswer::Body(body)) => Some(Some(body.into())),
-        Ok(ItemAnswer::Unknown) => Some(None),
-        Ok(ItemAnswer::Unsure) => None,
+        Ok(ItemResponse::Body(body)) => Some(Some(body.into())),
+        Ok(ItemResponse::Unknown) => Some(None),
+        Ok(ItemResponse::Unsure) => None,
         Err(error) => {
             LogLine::new("owner_read_failed").field("job", job).field("item", item).field("reason", error).warn();
             None
@@ -95,10 +95,10 @@
 }
 
 /// Reads the body of an item from the memory of this process; is unsure unless this process runs the job.
-pub fn local_item(state: &EdgeState, job: &str, item: &str) -> ItemAnswer {
-    let Some(submission) = state.jobs().running_submission(job) else { return ItemAnswer::Unsure };
+pub fn local_item(state: &EdgeState, job: &str, item: &str) -> ItemResponse {
+    let Some(submission) = state.jobs().running_submission(job) else { return ItemResponse::Unsure };
     let matching_item = submission.items.iter().find(|candidate| *candidate.id == *item);
-    matching_item.map_or(ItemAnswer::Unknown, |item| ItemAnswer::Body(item.body.to_vec()))
+    matching_item.map_or(ItemResponse::Unknown, |item| ItemResponse::Body(item.body.to_vec()))
 }
 
 /// Control address of the process that owns `job`, if that is another process and it is present.
--- a/crates/edge/src/job/score_run.rs
+++ b/crates/edge/src/job/score_run.rs
@@ -106,7 +106,7 @@
         }
     };
     guard.set_outcome(SamplerOutcome::Answered(Some(job.state.now().since_ms(now))));
-    let signature = response.headers.get(header::SIGNATURE).and_then(|value| value.to_str().ok());
+    let signature = response.headers.get(header::UPSTREAM_SIGNATURE).and_then(|value| value.to_str().ok());
     match (response.status, signature) {
         (status, Some(signature)) if status.is_success() => (ScoreOutcome::Signed(signature.to_owned()), SIGNED_RESULT),
         (StatusCode::INTERNAL_SERVER_ERROR, _) => (ScoreOutcome::Failed, "scorer_failed"),
--- a/crates/edge/src/peer_client.rs
+++ b/crates/edge/src/peer_client.rs
@@ -1,7 +1,7 @@
 //! HTTP client for calls to the control listeners of other daemons.
 
 use awc::Client;
-use pimentoslip_client::client_with_user_timeout;
+use pimentoslip_client::client_with_tcp_user_timeout;
 use pimentoslip_wire::{decode, encode};
 use serde::{Serialize, de::DeserializeOwned};
 use std::time::Duration;
@@ -49,7 +49,7 @@
 
 impl Default for PeerClient {
     fn default() -> Self {
-        Self { client: client_with_user_timeout(PEER_USER_TIMEOUT) }
+        Self { client: client_with_tcp_user_timeout(PEER_USER_TIMEOUT) }
     }
 }
 
--- a/crates/edge/src/relay/attempt.rs
+++ b/crates/edge/src/relay/attempt.rs
@@ -106,7 +106,7 @@
         request = request.insert_header((header::ORGANISATION, &**organisation));
     }
     if let Some(last) = call.last_event_id {
-        request = request.insert_header((header::LAST_EVENT, last.to_string()));
+        request = request.insert_header((header::LAST_EVENT_ID, last.to_string()));
     }
     let answer = match request.send_body(call.body.clone()).await {
         Ok(answer) => answer,
@@ -146,7 +146,7 @@
 
 /// Requests running and waiting at the upstream.
 fn load(headers: &HeaderMap) -> Option<u64> {
-    let mut fields = headers.get(header::LOAD)?.to_str().ok()?.split(',');
+    let mut fields = headers.get(header::UPSTREAM_LOAD)?.to_str().ok()?.split(',');
     let running: u64 = fields.next()?.trim().parse().ok()?;
     let waiting: u64 = fields.next()?.trim().parse().ok()?;
     Some(running + waiting)
--- a/crates/edge/src/steady_time.rs
+++ b/crates/edge/src/steady_time.rs
@@ -1,6 +1,6 @@
 //! Wall-clock time that does not follow jumps of the VM's clock.
 
-use pimentoslip_client::OwnerClock;
+use pimentoslip_client::LeaseClock;
 use pimentoslip_kernel::WallClockOffset;
 use std::sync::{Mutex, PoisonError};
 
@@ -14,13 +14,13 @@
 impl SteadyTime {
     /// Starts with the current offset between the VM's wall clock and its monotonic clock.
     #[must_use]
-    pub fn new(clock: &OwnerClock) -> Self {
+    pub fn new(clock: &LeaseClock) -> Self {
         Self { offset: Mutex::new(WallClockOffset::new(clock.steady(), clock.unix_ms())) }
     }
 
     /// Wall-clock time in milliseconds since the Unix epoch.
     #[must_use]
-    pub fn unix_ms(&self, clock: &OwnerClock) -> u64 {
+    pub fn unix_ms(&self, clock: &LeaseClock) -> u64 {
         let mut offset = self.offset.lock().unwrap_or_else(PoisonError::into_inner);
         offset.corrected_unix_ms(clock.steady(), clock.unix_ms())
     }
--- a/crates/edge/src/store/change_feed.rs
+++ b/crates/edge/src/store/change_feed.rs
@@ -7,9 +7,9 @@
 };
 use bytes::Bytes;
 use pimentoslip_kernel::{SharedName, TimePoint};
-use pimentoslip_platform::{Result, StoreChange, StoreError, StoreItem, WatchBatch};
+use pimentoslip_platform::{Result, StoreChange, StoreEntry, StoreError, WatchBatch};
 use pimentoslip_telemetry::LogLine;
-use pimentoslip_wire::peer::{NewsAnswer, NewsChange, NewsEntry, NewsRequest};
+use pimentoslip_wire::peer::{ChangeBody, ChangesRequest, ChangesResponse, EntryBody};
 use std::{cell::RefCell, collections::HashMap, rc::Rc, sync::Arc};
 
 /// Path at which daemons ask for changes.
@@ -75,14 +75,14 @@
                 (false, true) => REGION_WAIT_MS,
                 (false, false) => PEER_WAIT_MS,
             };
-            let request = NewsRequest { prefix: prefix.to_owned(), revision, wait_ms };
+            let request = ChangesRequest { prefix: prefix.to_owned(), revision, wait_ms };
             match self.peers.call(&source.control, CHANGES_PATH, &request, wait_ms + ANSWER_SLACK_MS).await {
-                Ok(NewsAnswer::Changes { changes, revision }) => {
+                Ok(ChangesResponse::Changes { changes, revision }) => {
                     return Ok(WatchBatch { changes: changes.into_iter().map(store_change).collect(), revision });
                 }
-                Ok(NewsAnswer::HistoryGone) => return Err(StoreError::HistoryGone),
+                Ok(ChangesResponse::HistoryGone) => return Err(StoreError::HistoryGone),
                 // It has asked further up itself. Only this VM's own way is left.
-                Ok(NewsAnswer::StoreAway) => break,
+                Ok(ChangesResponse::StoreAway) => break,
                 Err(error) => self.silent(&source.daemon, &error),
             }
             is_retry = true;
@@ -114,25 +114,25 @@
 }
 
 /// The message for what happened to an entry.
-pub fn change_message(change: &StoreChange) -> NewsChange {
+pub fn change_message(change: &StoreChange) -> ChangeBody {
     match change {
-        StoreChange::Written(item) => NewsChange {
+        StoreChange::Written(item) => ChangeBody {
             key: item.key.clone(),
             revision: item.revision,
-            written: Some(NewsEntry {
+            written: Some(EntryBody {
                 value: item.value.to_vec(),
                 created_revision: item.created_rev,
                 lease: item.lease,
             }),
         },
-        StoreChange::Removed { key, revision } => NewsChange { key: key.clone(), revision: *revision, written: None },
+        StoreChange::Removed { key, revision } => ChangeBody { key: key.clone(), revision: *revision, written: None },
     }
 }
 
-fn store_change(change: NewsChange) -> StoreChange {
-    let NewsChange { key, revision, written } = change;
+fn store_change(change: ChangeBody) -> StoreChange {
+    let ChangeBody { key, revision, written } = change;
     match written {
-        Some(entry) => StoreChange::Written(StoreItem {
+        Some(entry) => StoreChange::Written(StoreEntry {
             key,
             value: Bytes::from(entry.value),
             revision,
--- a/crates/edge/src/store/change_hub.rs
+++ b/crates/edge/src/store/change_hub.rs
@@ -6,7 +6,7 @@
     future::{LocalBoxFuture, Shared},
 };
 use pimentoslip_platform::{Result, StoreError, WatchBatch};
-use pimentoslip_wire::peer::{NewsAnswer, NewsRequest};
+use pimentoslip_wire::peer::{ChangesRequest, ChangesResponse};
 use std::{cell::RefCell, collections::HashMap, rc::Rc, time::Duration};
 
 /// Watches that are remembered; daemons follow three prefixes and are at most some changes apart.
@@ -36,7 +36,7 @@
     }
 
     /// Answers another daemon: with changes as soon as there are any, with none when its time is up.
-    pub async fn answer(&self, request: NewsRequest) -> NewsAnswer {
+    pub async fn answer(&self, request: ChangesRequest) -> ChangesResponse {
         let key = (request.prefix, request.revision);
         let flight = self.join(&key);
         let news = match actix_rt::time::timeout(Duration::from_millis(request.wait_ms), flight).await {
@@ -44,12 +44,12 @@
             Err(_) => Rc::new(Ok(WatchBatch { changes: Vec::new(), revision: key.1 })),
         };
         match &*news {
-            Ok(news) => NewsAnswer::Changes {
+            Ok(news) => ChangesResponse::Changes {
                 changes: news.changes.iter().map(change_message).collect(),
                 revision: news.revision,
             },
-            Err(StoreError::HistoryGone) => NewsAnswer::HistoryGone,
-            Err(_) => NewsAnswer::StoreAway,
+            Err(StoreError::HistoryGone) => ChangesResponse::HistoryGone,
+            Err(_) => ChangesResponse::StoreAway,
         }
     }
 
--- a/crates/edge/src/store/coordination_keys.rs
+++ b/crates/edge/src/store/coordination_keys.rs
@@ -3,7 +3,7 @@
 use super::PrefixHandler;
 use crate::edge_state::EdgeState;
 use pimentoslip_kernel::{DaemonPresence, TimePoint};
-use pimentoslip_platform::{RangePage, StoreChange, StoreItem};
+use pimentoslip_platform::{RangePage, StoreChange, StoreEntry};
 use pimentoslip_telemetry::LogLine;
 use pimentoslip_wire::{
     decode,
@@ -25,7 +25,7 @@
         Self { state, known: BTreeSet::new() }
     }
 
-    fn written(&mut self, item: &StoreItem, now: TimePoint) {
+    fn written(&mut self, item: &StoreEntry, now: TimePoint) {
         self.known.insert(item.key.clone());
         if let Some(job) = KeyLayout::parse_job(&item.key) {
             match decode::<JobEntry>(&item.value) {
@@ -61,7 +61,7 @@
     }
 
     /// A record signed by a daemon.
-    fn signed(&self, item: &StoreItem, entry: DaemonEntry, now: TimePoint) {
+    fn signed(&self, item: &StoreEntry, entry: DaemonEntry, now: TimePoint) {
         if let Some(job) = KeyLayout::parse_owner(&item.key) {
             self.state.ownership().owner_recorded(job.into(), entry.into_owner(item.revision), now);
         } else if item.key == KeyLayout::DUTY {
@@ -89,7 +89,7 @@
     }
 }
 
-fn unreadable(item: &StoreItem, error: &impl std::fmt::Display) {
+fn unreadable(item: &StoreEntry, error: &impl std::fmt::Display) {
     LogLine::new("entry_unreadable").field("key", &item.key).field("reason", error).warn();
 }
 
--- a/crates/edge/src/store/operator_keys.rs
+++ b/crates/edge/src/store/operator_keys.rs
@@ -4,7 +4,7 @@
 use crate::edge_state::EdgeState;
 use pimentoslip_kernel::TimePoint;
 use pimentoslip_platform::{
-    CONFIG_KEY, OPERATOR_PREFIX, RangePage, StoreChange, StoreItem, decode_config, decode_named_version, retired_vm,
+    CONFIG_KEY, OPERATOR_PREFIX, RangePage, StoreChange, StoreEntry, decode_config, decode_named_version, retired_vm,
     versioned_model,
 };
 use pimentoslip_telemetry::LogLine;
@@ -23,7 +23,7 @@
         Self { state }
     }
 
-    fn written(&self, item: &StoreItem) {
+    fn written(&self, item: &StoreEntry) {
         if item.key == CONFIG_KEY {
             self.config_written(item);
         } else if versioned_model(&item.key).is_some() {
@@ -34,7 +34,7 @@
         }
     }
 
-    fn config_written(&self, item: &StoreItem) {
+    fn config_written(&self, item: &StoreEntry) {
         match decode_config(&item.value) {
             Ok(config) => {
                 let version = config.version;
@@ -52,7 +52,7 @@
         }
     }
 
-    fn version_written(&self, item: &StoreItem) {
+    fn version_written(&self, item: &StoreEntry) {
         match decode_named_version(&item.value) {
             Ok((model, version)) => {
                 let mut named = self.state.newest_versions();
--- a/crates/edge/src/store/store_access.rs
+++ b/crates/edge/src/store/store_access.rs
@@ -3,7 +3,7 @@
 use crate::edge_state::EdgeState;
 use pimentoslip_kernel::{ServicePath, SharedName, TimePoint, rank};
 use pimentoslip_platform::{
-    CommitOutcome, RangePage, Result, StoreClient, StoreCommit, StoreError, StoreItem, WatchBatch,
+    CommitOutcome, RangePage, Result, StoreClient, StoreCommit, StoreEntry, StoreError, WatchBatch,
 };
 use pimentoslip_telemetry::LogLine;
 use std::{cell::RefCell, collections::HashMap, net::SocketAddr, rc::Rc, sync::Arc};
@@ -114,7 +114,7 @@
     }
 
     /// As [`StoreClient::get`].
-    pub async fn get(&self, key: &str) -> Result<Option<StoreItem>> {
+    pub async fn get(&self, key: &str) -> Result<Option<StoreEntry>> {
         self.call(true, async |client, _| client.get(key).await).await
     }
 
--- a/crates/edge/src/store/upstream_keys.rs
+++ b/crates/edge/src/store/upstream_keys.rs
@@ -3,7 +3,7 @@
 use super::PrefixHandler;
 use crate::edge_state::EdgeState;
 use pimentoslip_kernel::{SharedName, TimePoint};
-use pimentoslip_platform::{RangePage, StoreChange, StoreItem, UPSTREAM_PREFIX, decode_record, upstream_id};
+use pimentoslip_platform::{RangePage, StoreChange, StoreEntry, UPSTREAM_PREFIX, decode_upstream_record, upstream_id};
 use pimentoslip_telemetry::LogLine;
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -26,10 +26,10 @@
         Self { state, missing: BTreeMap::new() }
     }
 
-    fn written(&mut self, item: &StoreItem) {
+    fn written(&mut self, item: &StoreEntry) {
         let Some(id) = upstream_id(&item.key) else { return };
         self.missing.remove(id);
-        match decode_record(id, &item.value) {
+        match decode_upstream_record(id, &item.value) {
             Ok(record) => {
                 let mut samplers = self.state.upstreams();
                 let before = samplers.get(id);
--- a/crates/edge/src/worker_parts.rs
+++ b/crates/edge/src/worker_parts.rs
@@ -8,7 +8,7 @@
     store::{ChangeFeed, ChangeHub, StoreAccess},
 };
 use awc::Client;
-use pimentoslip_client::client_with_user_timeout;
+use pimentoslip_client::client_with_tcp_user_timeout;
 use pimentoslip_platform::StoreClient;
 use std::{sync::Arc, time::Duration};
 
@@ -52,7 +52,7 @@
         let peer_client = PeerClient::default();
         let change_feed = ChangeFeed::new(state.clone(), store.clone(), peer_client.clone());
         Self {
-            upstream_client: client_with_user_timeout(UPSTREAM_USER_TIMEOUT),
+            upstream_client: client_with_tcp_user_timeout(UPSTREAM_USER_TIMEOUT),
             change_hub: ChangeHub::new(change_feed.with_purpose("news")),
             usage_collector: UsageCollector::new(state.clone(), store.with_purpose("usage")),
             relay_client: direct_client.purposed("relay"),
--- a/crates/standin/src/kv_service.rs
+++ b/crates/standin/src/kv_service.rs
@@ -4,7 +4,7 @@
 use actix_web::{App, HttpResponse, web};
 use bytes::Bytes;
 use pimentoslip_wire::kv::{
-    KeepAliveAnswer, KeepAliveResponse, LeaseGrantRequest, LeaseGrantResponse, LeaseId, RangeRequest, RangeResponse,
+    KeepAliveResponse, KeepAliveResult, LeaseGrantRequest, LeaseGrantResponse, LeaseId, RangeRequest, RangeResponse,
     ResponseHeader, TxnRequest, TxnResponse, WatchEvent, WatchRequest, WatchResponse, WatchResult,
 };
 use std::{
@@ -126,7 +126,7 @@
     if state.loses_answer() {
         return HttpResponse::GatewayTimeout().finish();
     }
-    let result = KeepAliveAnswer { ttl_seconds: ttl.map_or(0, |ttl| ttl.as_secs()) };
+    let result = KeepAliveResult { ttl_seconds: ttl.map_or(0, |ttl| ttl.as_secs()) };
     HttpResponse::Ok().json(KeepAliveResponse { result })
 }
 
--- a/crates/standin/src/orders_service.rs
+++ b/crates/standin/src/orders_service.rs
@@ -3,7 +3,7 @@
 
 use crate::{Result, RunningStandin, running::start};
 use actix_web::{App, HttpResponse, web};
-use pimentoslip_wire::provider::{OrderAction, OrderAnswer, OrderRequest, OrderState, VmEntry, VmRole, VmState};
+use pimentoslip_wire::provider::{OrderAction, OrderRequest, OrderResponse, OrderState, VmEntry, VmRole, VmState};
 use serde::{Deserialize, Serialize};
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -80,7 +80,7 @@
         .iter()
         .find(|entry| entry.request.order == request.order)
         .and_then(|entry| entry.vm.clone());
-    let answer = OrderAnswer { order: request.order, state: outcome, vm };
+    let answer = OrderResponse { order: request.order, state: outcome, vm };
     if outcome == OrderState::Fenced {
         return HttpResponse::Conflict().json(answer);
     }
@@ -145,7 +145,7 @@
 async fn get(state: web::Data<OrderBook>, id: web::Path<String>) -> HttpResponse {
     let log = state.log.lock().unwrap_or_else(PoisonError::into_inner);
     match log.iter().find(|entry| *entry.request.order == **id) {
-        Some(entry) => HttpResponse::Ok().json(OrderAnswer {
+        Some(entry) => HttpResponse::Ok().json(OrderResponse {
             order: entry.request.order.clone(),
             state: entry.state,
             vm: entry.vm.clone(),
--- a/crates/wire/src/admin/change.rs
+++ b/crates/wire/src/admin/change.rs
@@ -28,7 +28,7 @@
 /// What became of a change. It is on record in any case; it is accepted once every daemon that may be
 /// running holds it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ChangeAnswer {
+pub struct ChangeResponse {
     /// Whether every daemon that may be running has confirmed. Otherwise the change is pending.
     pub accepted: bool,
     /// Highest revision written, or the one in force when nothing changed.
@@ -43,7 +43,7 @@
 
 /// The configuration in force in the daemon asked.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ShowAnswer {
+pub struct ConfigResponse {
     /// Daemon.
     pub daemon: Arc<str>,
     /// Highest revision of any record.
--- a/crates/wire/src/admin/key_change.rs
+++ b/crates/wire/src/admin/key_change.rs
@@ -19,7 +19,7 @@
 
 /// A new key, shown once by the operator's tool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeyCreateAnswer {
+pub struct KeyCreateResponse {
     /// Organisation.
     pub organisation: Arc<str>,
     /// The whole key.
@@ -41,7 +41,7 @@
 
 /// All keys.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeyListAnswer {
+pub struct KeyListResponse {
     /// Keys sorted by organisation and id.
     pub keys: Vec<KeyBody>,
 }
--- a/crates/wire/src/admin/mod.rs
+++ b/crates/wire/src/admin/mod.rs
@@ -4,6 +4,6 @@
 mod key_change;
 mod status;
 
-pub use change::{ApplyRequest, ChangeAnswer, RecordBody, ShowAnswer};
-pub use key_change::{KeyBody, KeyCreateAnswer, KeyListAnswer, KeyRequest};
-pub use status::{DaemonStatus, DutyStatus, StatusAnswer, StepStatus, UpstreamStatus};
+pub use change::{ApplyRequest, ChangeResponse, ConfigResponse, RecordBody};
+pub use key_change::{KeyBody, KeyCreateResponse, KeyListResponse, KeyRequest};
+pub use status::{DaemonStatus, DutyStatus, StatusResponse, StepStatus, UpstreamStatus};
--- a/crates/wire/src/admin/status.rs
+++ b/crates/wire/src/admin/status.rs
@@ -65,7 +65,7 @@
 
 /// The daemon asked, as it sees the site.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StatusAnswer {
+pub struct StatusResponse {
     /// Daemon.
     pub daemon: Arc<str>,
     /// Highest revision of any record.
--- a/crates/wire/src/caller/mod.rs
+++ b/crates/wire/src/caller/mod.rs
@@ -5,5 +5,5 @@
 mod weights;
 
 pub use refusal::{Refusal, RefusalBody};
-pub use step::{FetchAnswer, FetchRequest, OpenAnswer, OpenRequest, SampleBody, SegmentBody};
-pub use weights::{PublishAnswer, PublishRequest};
+pub use step::{FetchRequest, FetchResponse, OpenRequest, OpenResponse, SampleBody, SegmentBody};
+pub use weights::{PublishRequest, PublishResponse};
--- a/crates/wire/src/caller/step.rs
+++ b/crates/wire/src/caller/step.rs
@@ -35,7 +35,7 @@
 
 /// A step is open.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OpenAnswer {
+pub struct OpenResponse {
     /// Samples in the step.
     pub samples: usize,
 }
@@ -103,7 +103,7 @@
 
 /// Samples handed over. Add them to the cursor of the next fetch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FetchAnswer {
+pub struct FetchResponse {
     /// Samples that the cursor lacked.
     pub samples: Vec<SampleBody>,
     /// Whether the cursor held every sample already.
--- a/crates/wire/src/caller/weights.rs
+++ b/crates/wire/src/caller/weights.rs
@@ -15,7 +15,7 @@
 
 /// The version is on record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PublishAnswer {
+pub struct PublishResponse {
     /// Newest published version.
     pub version: u64,
 }
--- a/crates/wire/src/headers.rs
+++ b/crates/wire/src/headers.rs
@@ -9,7 +9,7 @@
 /// See [`RUN_STATE_HEADER`].
 pub const NOT_RUN: &str = "not-run";
 /// The caller's time for the request in milliseconds.
-pub const TIMEOUT_HEADER: &str = "x-timeout-ms";
+pub const TIMEOUT_MS_HEADER: &str = "x-timeout-ms";
 /// The cluster's secret, on calls between daemons.
 pub const CLUSTER_SECRET_HEADER: &str = "x-cluster-secret";
 /// The operator's key, on calls to the administration API.
--- a/crates/wire/src/kv/lease.rs
+++ b/crates/wire/src/kv/lease.rs
@@ -34,7 +34,7 @@
 
 /// Outcome of a renewal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeepAliveAnswer {
+pub struct KeepAliveResult {
     /// Remaining lifetime in seconds, zero when the lease is gone.
     #[serde(rename = "TTL", with = "super::int_string", default)]
     pub ttl_seconds: u64,
@@ -44,5 +44,5 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeepAliveResponse {
     /// Outcome.
-    pub result: KeepAliveAnswer,
+    pub result: KeepAliveResult,
 }
--- a/crates/wire/src/kv/mod.rs
+++ b/crates/wire/src/kv/mod.rs
@@ -10,7 +10,7 @@
 mod watch;
 
 pub use key_value::{KeyValue, ResponseHeader};
-pub use lease::{KeepAliveAnswer, KeepAliveResponse, LeaseGrantRequest, LeaseGrantResponse, LeaseId};
+pub use lease::{KeepAliveResponse, KeepAliveResult, LeaseGrantRequest, LeaseGrantResponse, LeaseId};
 pub use range::{RangeRequest, RangeResponse, prefix_end};
 pub use txn::{Compare, CompareTarget, PutRequest, RequestOp, TxnRequest, TxnResponse};
 pub use watch::{WatchCreate, WatchEvent, WatchRequest, WatchResponse, WatchResult};
--- a/crates/wire/src/peer/news.rs
+++ b/crates/wire/src/peer/changes.rs
@@ -4,7 +4,7 @@
 
 /// Asks for changes below a prefix after a revision.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct NewsRequest {
+pub struct ChangesRequest {
     /// Prefix of the keys.
     pub prefix: String,
     /// Revision up to which the asker knows everything.
@@ -15,7 +15,7 @@
 
 /// The value of a written entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NewsEntry {
+pub struct EntryBody {
     /// Value.
     #[serde(with = "serde_bytes")]
     pub value: Vec<u8>,
@@ -27,22 +27,22 @@
 
 /// One change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NewsChange {
+pub struct ChangeBody {
     /// Key.
     pub key: String,
     /// Revision of the change.
     pub revision: u64,
     /// What was written; none if the entry was removed.
-    pub written: Option<NewsEntry>,
+    pub written: Option<EntryBody>,
 }
 
 /// What a watching daemon knows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum NewsAnswer {
+pub enum ChangesResponse {
     /// Changes in order.
     Changes {
         /// Changes.
-        changes: Vec<NewsChange>,
+        changes: Vec<ChangeBody>,
         /// Revision from which to go on.
         revision: u64,
     },
--- a/crates/wire/src/peer/claim.rs
+++ b/crates/wire/src/peer/claim.rs
@@ -5,7 +5,7 @@
 
 /// An answer kept for repeats.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StoredAnswer {
+pub struct StoredResponse {
     /// HTTP status.
     pub status: u16,
     /// Content type.
@@ -37,7 +37,7 @@
     /// Another attempt may still be running.
     InProgress,
     /// The request ran; this is its answer.
-    Replay(StoredAnswer),
+    Replay(StoredResponse),
     /// The request may have run.
     Unknown,
     /// The key was used with a different request.
@@ -53,7 +53,7 @@
 #[serde(rename_all = "snake_case")]
 pub enum SettleState {
     /// It ran to this answer.
-    Ran(StoredAnswer),
+    Ran(StoredResponse),
     /// It may have run.
     Lost,
     /// It certainly did not run.
--- a/crates/wire/src/peer/exchange.rs
+++ b/crates/wire/src/peer/exchange.rs
@@ -62,7 +62,7 @@
 
 /// The peer's side.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ExchangeAnswer {
+pub struct ExchangeResponse {
     /// Who answers.
     pub from: MemberBody,
     /// Revision up to which the peer holds everything.
--- a/crates/wire/src/peer/forward.rs
+++ b/crates/wire/src/peer/forward.rs
@@ -1,6 +1,6 @@
 //! A trainer's call, passed on to the home of its step.
 
-use crate::caller::{FetchAnswer, FetchRequest, OpenAnswer, OpenRequest, Refusal};
+use crate::caller::{FetchRequest, FetchResponse, OpenRequest, OpenResponse, Refusal};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -31,11 +31,11 @@
 /// The home's answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum ForwardAnswer {
+pub enum ForwardResponse {
     /// The step is open.
-    Opened(OpenAnswer),
+    Opened(OpenResponse),
     /// Samples.
-    Fetched(FetchAnswer),
+    Fetched(FetchResponse),
     /// Refused, with its HTTP status.
     Refused(u16, Refusal),
 }
--- a/crates/wire/src/peer/job_read.rs
+++ b/crates/wire/src/peer/job_read.rs
@@ -20,7 +20,7 @@
 
 /// What the owner has.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum ResultsAnswer {
+pub enum ResultsResponse {
     /// Results from the position on. Empty only if there are none on record.
     Listed(Vec<Arc<ResultEntry>>),
     /// The asked daemon is not sure: the store tells.
@@ -38,7 +38,7 @@
 
 /// What the owner has.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum ItemAnswer {
+pub enum ItemResponse {
     /// The body.
     Body(#[serde(with = "serde_bytes")] Vec<u8>),
     /// The job has no such item.
--- a/crates/wire/src/peer/mod.rs
+++ b/crates/wire/src/peer/mod.rs
@@ -1,21 +1,21 @@
 //! Messages between daemons.
 
+mod changes;
 mod claim;
 mod exchange;
 mod forward;
 mod job_push;
 mod job_read;
-mod news;
 mod run_report;
 mod usage_push;
 mod usage_totals;
 
-pub use claim::{ClaimRequest, ClaimResponse, SettleRequest, SettleState, StoredAnswer};
-pub use exchange::{ExchangeAnswer, ExchangeRequest, MemberBody};
-pub use forward::{ForwardAnswer, ForwardRequest};
+pub use changes::{ChangeBody, ChangesRequest, ChangesResponse, EntryBody};
+pub use claim::{ClaimRequest, ClaimResponse, SettleRequest, SettleState, StoredResponse};
+pub use exchange::{ExchangeRequest, ExchangeResponse, MemberBody};
+pub use forward::{ForwardRequest, ForwardResponse};
 pub use job_push::JobPush;
-pub use job_read::{ItemAnswer, ItemRequest, ResultsAnswer, ResultsRequest};
-pub use news::{NewsAnswer, NewsChange, NewsEntry, NewsRequest};
+pub use job_read::{ItemRequest, ItemResponse, ResultsRequest, ResultsResponse};
 pub use run_report::RunReport;
 pub use usage_push::UsagePush;
-pub use usage_totals::{TotalsAnswer, TotalsLine};
+pub use usage_totals::{TotalsLine, TotalsResponse};
--- a/crates/wire/src/peer/usage_push.rs
+++ b/crates/wire/src/peer/usage_push.rs
@@ -1,6 +1,6 @@
 //! Usage counts on their way to the daemon that puts them on record for a region.
 
-use crate::stored::UsagePart;
+use crate::stored::UsageBatchEntry;
 use serde::{Deserialize, Serialize};
 
 /// Answered once the counts are on record.
@@ -9,5 +9,5 @@
     /// Window.
     pub window: u64,
     /// Counts of the sender.
-    pub part: UsagePart,
+    pub part: UsageBatchEntry,
 }
--- a/crates/wire/src/peer/usage_totals.rs
+++ b/crates/wire/src/peer/usage_totals.rs
@@ -32,7 +32,7 @@
 
 /// All counters of a daemon incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TotalsAnswer {
+pub struct TotalsResponse {
     /// `NAME/INCARNATION`.
     pub incarnation: Arc<str>,
     /// Counters.
--- a/crates/wire/src/provider/mod.rs
+++ b/crates/wire/src/provider/mod.rs
@@ -4,6 +4,6 @@
 mod usage_report;
 mod vm_list;
 
-pub use order::{OrderAction, OrderAnswer, OrderRequest, OrderState};
+pub use order::{OrderAction, OrderRequest, OrderResponse, OrderState};
 pub use usage_report::{UsageReport, UsageReportLine};
 pub use vm_list::{VmEntry, VmList, VmRole, VmState};
--- a/crates/wire/src/provider/order.rs
+++ b/crates/wire/src/provider/order.rs
@@ -46,7 +46,7 @@
 
 /// Answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OrderAnswer {
+pub struct OrderResponse {
     /// Id.
     pub order: Arc<str>,
     /// Outcome.
--- a/crates/wire/src/stored/duty_entry.rs
+++ b/crates/wire/src/stored/duty_history_entry.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct TakerEntry {
+struct AcquisitionEntry {
     /// Daemon.
     daemon: SharedName,
     /// When it took the duty, in milliseconds since the Unix epoch.
@@ -13,13 +13,13 @@
 
 /// Former holders, newest last; outlives their leases.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DutyEntry {
-    takers: Vec<TakerEntry>,
+pub struct DutyHistoryEntry {
+    takers: Vec<AcquisitionEntry>,
 }
 
-impl From<&DutyHistory> for DutyEntry {
+impl From<&DutyHistory> for DutyHistoryEntry {
     fn from(history: &DutyHistory) -> Self {
-        let entry = |taker: &DutyAcquisition| TakerEntry {
+        let entry = |taker: &DutyAcquisition| AcquisitionEntry {
             daemon: taker.daemon.clone(),
             taken_unix_ms: taker.acquired_unix_ms,
         };
@@ -27,9 +27,10 @@
     }
 }
 
-impl From<DutyEntry> for DutyHistory {
-    fn from(stored: DutyEntry) -> Self {
-        let taker = |entry: TakerEntry| DutyAcquisition { daemon: entry.daemon, acquired_unix_ms: entry.taken_unix_ms };
+impl From<DutyHistoryEntry> for DutyHistory {
+    fn from(stored: DutyHistoryEntry) -> Self {
+        let taker =
+            |entry: AcquisitionEntry| DutyAcquisition { daemon: entry.daemon, acquired_unix_ms: entry.taken_unix_ms };
         Self { acquisitions: stored.takers.into_iter().map(taker).collect() }
     }
 }
--- a/crates/wire/src/stored/mod.rs
+++ b/crates/wire/src/stored/mod.rs
@@ -1,19 +1,19 @@
 //! What the service keeps in the platform's store.
 
 mod daemon_entry;
-mod duty_entry;
+mod duty_history_entry;
 mod floor_entry;
 mod job_entry;
 mod key_layout;
 mod result_entry;
-mod texts_entry;
+mod text_checkpoint_entry;
 mod usage_entry;
 
 pub use daemon_entry::{DaemonEntry, PresenceEntry};
-pub use duty_entry::DutyEntry;
+pub use duty_history_entry::DutyHistoryEntry;
 pub use floor_entry::FloorEntry;
 pub use job_entry::JobEntry;
 pub use key_layout::KeyLayout;
 pub use result_entry::{ResultEntry, ResultsEntry};
-pub use texts_entry::TextsEntry;
-pub use usage_entry::{UsageEntry, UsagePart, UsageParts};
+pub use text_checkpoint_entry::TextCheckpointEntry;
+pub use usage_entry::{SealedUsageEntry, UsageBatchEntry, UsageBatchesEntry};
--- a/crates/wire/src/stored/texts_entry.rs
+++ b/crates/wire/src/stored/text_checkpoint_entry.rs
@@ -20,11 +20,11 @@
 
 /// A stored checkpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TextsEntry {
+pub struct TextCheckpointEntry {
     texts: Vec<TextEntry>,
 }
 
-impl From<&TextCheckpoint> for TextsEntry {
+impl From<&TextCheckpoint> for TextCheckpointEntry {
     fn from(checkpoint: &TextCheckpoint) -> Self {
         let entry = |part: &TextPart| TextEntry {
             index: part.index,
@@ -37,8 +37,8 @@
     }
 }
 
-impl From<TextsEntry> for TextCheckpoint {
-    fn from(stored: TextsEntry) -> Self {
+impl From<TextCheckpointEntry> for TextCheckpoint {
+    fn from(stored: TextCheckpointEntry) -> Self {
         let part = |entry: TextEntry| TextPart {
             index: entry.index,
             first_event: entry.first,
--- a/crates/wire/src/stored/usage_entry.rs
+++ b/crates/wire/src/stored/usage_entry.rs
@@ -6,14 +6,14 @@
 
 /// The sealed counts of all daemons.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UsageEntry {
+pub struct SealedUsageEntry {
     /// Requests begun, by organisation.
     pub counts: BTreeMap<SharedName, u64>,
 }
 
 /// One batch of counts of one process. The same one may stand in several entries, and counts once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UsagePart {
+pub struct UsageBatchEntry {
     /// Daemon.
     pub daemon: SharedName,
     /// Start of its process in milliseconds since the Unix epoch.
@@ -26,7 +26,7 @@
 
 /// Counts of several processes, as put on record together.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UsageParts {
+pub struct UsageBatchesEntry {
     /// Parts.
-    pub parts: Vec<UsagePart>,
+    pub parts: Vec<UsageBatchEntry>,
 }
