--- a/crates/daemon/src/claim/claim_actor.rs
+++ b/crates/daemon/src/claim/claim_actor.rs
@@ -1,10 +1,6 @@
 //! Grants the claims of the shards that this daemon owns, after storing them in group commits.
 
-use super::{
-    CLAIM_SHARDS,
-    claim_store::{ClaimStore, StoredClaim},
-    shard_of, shard_owner,
-};
+use super::{CLAIM_SHARDS, claim_store::{ClaimStore, StoredClaim}, shard_of, shard_owner};
 use crate::shared_state::SharedState;
 use actix::{
     Actor, ActorFutureExt, AsyncContext, Context, Handler, Message, MessageResult, ResponseFuture, WrapFuture,
@@ -12,7 +8,7 @@
 use pimentoslip_client::KeyValueClient;
 use pimentoslip_kernel::{ClaimAnswer, ClaimKey, ClaimTable};
 use pimentoslip_telemetry::LogLine;
-use pimentoslip_wire::peer::{ClaimRequest, ClaimResponse, SettleRequest, SettleState, StoredAnswer};
+use pimentoslip_wire::peer::{ClaimRequest, ClaimResponse, SettleRequest, SettleState, StoredResponse};
 use std::{collections::HashMap, sync::Arc, time::Duration};
 use tokio::sync::oneshot;
 
@@ -28,7 +24,7 @@
 
 /// State of one claim shard, whether or not this daemon owns it.
 struct ShardState {
-    table: ClaimTable<StoredAnswer>,
+    table: ClaimTable<StoredResponse>,
     /// Whether this daemon is taking the shard over.
     loading: bool,
     /// Claims that were requested while the shard was being taken over, with the channels for their responses.
--- a/crates/daemon/src/claim/claim_client.rs
+++ b/crates/daemon/src/claim/claim_client.rs
@@ -11,7 +11,7 @@
 use pimentoslip_client::EtcdClient;
 use pimentoslip_kernel::{RefusalReason, RunState, SharedName};
 use pimentoslip_telemetry::LogLine;
-use pimentoslip_wire::peer::{ClaimRequest, ClaimResponse, SettleRequest, SettleState, StoredAnswer};
+use pimentoslip_wire::peer::{ClaimRequest, ClaimResponse, SettleRequest, SettleState, StoredResponse};
 use std::{sync::Arc, time::Duration};
 
 /// Timeout of a call to the shard's owner, including the wait for its group commit.
@@ -61,7 +61,7 @@
         fingerprint: u64,
         within_ms: u64,
         id: &RequestId,
-    ) -> Result<std::result::Result<ClaimGrant, StoredAnswer>> {
+    ) -> Result<std::result::Result<ClaimGrant, StoredResponse>> {
         let request = ClaimRequest { key: key.clone(), grant: self.shared.random_u64(), fingerprint, within_ms };
         let grant = ClaimGrant { key, number: request.grant };
         let refuse = |reason| Err(ApiError::not_run(reason, id));
--- a/crates/daemon/src/http/admin_api.rs
+++ b/crates/daemon/src/http/admin_api.rs
@@ -6,9 +6,7 @@
 use pimentoslip_client::KeyValueClient;
 use pimentoslip_kernel::{ConfigRecord, MemberState, RecordEntry, RecordName, SharedName};
 use pimentoslip_telemetry::LogLine;
-use pimentoslip_wire::admin::{
-    ApplyRequest, ChangeAnswer, DaemonStatus, DutyStatus, RecordBody, ShowAnswer, StatusAnswer, UpstreamStatus,
-};
+use pimentoslip_wire::admin::{ApplyRequest, ChangeResponse, ConfigResponse, DaemonStatus, DutyStatus, RecordBody, StatusResponse, UpstreamStatus};
 use std::{
     sync::{PoisonError, atomic::Ordering},
     time::Duration,
@@ -38,7 +36,7 @@
     let (confirmed, unconfirmed) = push_until_confirmed(worker, entries).await;
     let accepted = unconfirmed.is_empty();
     LogLine::new("change").field("revision", revision).field("accepted", accepted).info();
-    let answer = ChangeAnswer { accepted, revision, changed, confirmed, unconfirmed };
+    let answer = ChangeResponse { accepted, revision, changed, confirmed, unconfirmed };
     if accepted { HttpResponse::Ok().json(answer) } else { HttpResponse::Accepted().json(answer) }
 }
 
@@ -103,7 +101,7 @@
         .filter(|entry| !matches!(entry.name, RecordName::Keys(_)))
         .map(|entry| RecordBody { name: entry.name.clone(), revision: entry.revision, record: (*entry.record).clone() })
         .collect();
-    HttpResponse::Ok().json(ShowAnswer {
+    HttpResponse::Ok().json(ConfigResponse {
         daemon: shared.settings.name.clone(),
         revision: view.newest_revision(),
         age_ms,
@@ -135,7 +133,7 @@
     let published =
         config.service_names().into_iter().map(|name| (name.clone(), config.published_version(&name))).collect();
     let upstreams = upstreams(&worker);
-    let answer = StatusAnswer {
+    let answer = StatusResponse {
         daemon: shared.settings.name.clone(),
         revision: config.newest_revision(),
         fresh,
--- a/crates/daemon/src/http/peer_api.rs
+++ b/crates/daemon/src/http/peer_api.rs
@@ -8,10 +8,7 @@
 use actix_web::{HttpResponse, web};
 use bytes::Bytes;
 use pimentoslip_telemetry::LogLine;
-use pimentoslip_wire::{
-    decode, encode,
-    peer::{ClaimRequest, ClaimResponse, ExchangeRequest, ForwardRequest, SettleRequest, TotalsAnswer, TotalsLine},
-};
+use pimentoslip_wire::{decode, encode, peer::{ClaimRequest, ClaimResponse, ExchangeRequest, ForwardRequest, SettleRequest, TotalsLine, TotalsResponse}};
 use serde::Serialize;
 use std::sync::atomic::Ordering;
 
@@ -75,5 +72,5 @@
     let asked_at = worker.shared.now();
     let lines = worker.shared.usage_totals().into_iter().map(TotalsLine::from).collect();
     worker.shared.totals_requested_at_ms.store(asked_at.0, Ordering::SeqCst);
-    answer(&TotalsAnswer { incarnation: worker.shared.process_name(), lines })
+    answer(&TotalsResponse { incarnation: worker.shared.process_name(), lines })
 }
--- a/crates/daemon/src/http/trainer_api.rs
+++ b/crates/daemon/src/http/trainer_api.rs
@@ -9,10 +9,7 @@
 };
 use actix_web::{HttpRequest, HttpResponse, web};
 use pimentoslip_kernel::{ConfigRecord, RecordName, RefusalReason, ServiceKind};
-use pimentoslip_wire::{
-    REQUEST_ID_HEADER,
-    caller::{FetchRequest, OpenRequest, PublishAnswer, PublishRequest},
-};
+use pimentoslip_wire::{REQUEST_ID_HEADER, caller::{FetchRequest, OpenRequest, PublishRequest, PublishResponse}};
 use serde::{Serialize, de::DeserializeOwned};
 
 const NAME_CHARS_MAX: usize = 64;
@@ -71,7 +68,7 @@
         check_engine(&worker, &publish.service, &id)?;
         authenticate(&worker.shared, &request, &publish.service, &id)?;
         let version = record_version(&worker, &publish, &id).await?;
-        Ok(json(&PublishAnswer { version }, &id))
+        Ok(json(&PublishResponse { version }, &id))
     };
     let outcome = outcome.await;
     worker.record_outcome(&id, began, outcome)
--- a/crates/daemon/src/shared_state.rs
+++ b/crates/daemon/src/shared_state.rs
@@ -1,7 +1,7 @@
 //! What all parts of a daemon share.
 
 use crate::{DaemonSettings, admission_controller::AdmissionController, metric_set::MetricSet, request_id::RequestId, upstream::InflightTable};
-use pimentoslip_client::OwnerClock;
+use pimentoslip_client::LeaseClock;
 use pimentoslip_kernel::{
     ConfigView, FreshnessTable, MemberEntry, MemberState, MemberTable, RecordEntry, RetryBudget, RouteTable,
     SharedName, SuspectTable, TimePoint, UsageCount, UsageKey, UsageMeter,
@@ -24,7 +24,7 @@
     /// Settings.
     pub settings: DaemonSettings,
     /// Clock for everything with an owner.
-    pub clock: Arc<OwnerClock>,
+    pub clock: Arc<LeaseClock>,
     /// Incarnation of this process.
     pub incarnation: u64,
     /// Metrics.
@@ -72,7 +72,7 @@
     /// Creates the state of a daemon that knows nothing yet.
     #[must_use]
     pub fn new(settings: DaemonSettings) -> Arc<Self> {
-        let clock = Arc::new(OwnerClock::default());
+        let clock = Arc::new(LeaseClock::default());
         let members = MemberTable::new(settings.name.clone(), settings.failure_domain.clone());
         let routes = RouteTable::new(settings.route_policy);
         Arc::new(Self {
--- a/crates/daemon/src/step/step_actor.rs
+++ b/crates/daemon/src/step/step_actor.rs
@@ -1,10 +1,6 @@
 //! Runs the samples of the steps that this daemon owns, and delivers them to the trainers.
 
-use super::{
-    sample_attempt::{SampleAttempt, SampleError},
-    step_key,
-    step_state::{StepState, WaitingFetch},
-};
+use super::{sample_attempt::{SampleAttempt, SampleError}, step_key, step_state::{StepState, WaitingFetch}};
 use crate::shared_state::SharedState;
 use actix::{Actor, AsyncContext, Context, Handler, Message, MessageResult, ResponseFuture};
 use actix_rt::task::JoinHandle;
@@ -12,10 +8,7 @@
 use pimentoslip_client::plain_client;
 use pimentoslip_kernel::{DispatchOrder, RefusalReason, SampleResult, SharedName, StepSpec, TimePoint};
 use pimentoslip_telemetry::LogLine;
-use pimentoslip_wire::{
-    admin::StepStatus,
-    caller::{FetchAnswer, FetchRequest, OpenAnswer, OpenRequest},
-};
+use pimentoslip_wire::{admin::StepStatus, caller::{FetchRequest, FetchResponse, OpenRequest, OpenResponse}};
 use std::{
     collections::{BTreeMap, HashMap},
     sync::Arc,
@@ -40,7 +33,7 @@
 
 /// Opens a step on this daemon, its owner. Opening it again with the same specification has no effect.
 #[derive(Message)]
-#[rtype(result = "StepOutcome<OpenAnswer>")]
+#[rtype(result = "StepOutcome<OpenResponse>")]
 pub struct OpenStepMessage {
     /// Organisation of the trainer.
     pub organisation: SharedName,
@@ -50,7 +43,7 @@
 
 /// Fetches complete samples of a step that this daemon owns.
 #[derive(Message)]
-#[rtype(result = "StepOutcome<FetchAnswer>")]
+#[rtype(result = "StepOutcome<FetchResponse>")]
 pub struct FetchSamplesMessage {
     /// Organisation of the trainer.
     pub organisation: SharedName,
@@ -91,7 +84,7 @@
     }
 
     /// Opens a step. Returns an error if the specification is invalid, or if the step was opened with another one.
-    fn open_step(&mut self, organisation: SharedName, open: OpenRequest) -> StepOutcome<OpenAnswer> {
+    fn open_step(&mut self, organisation: SharedName, open: OpenRequest) -> StepOutcome<OpenResponse> {
         let key = step_key(&organisation, &open.trainer, open.step);
         let spec = StepSpec::from(open);
         if spec.group_size == 0
@@ -103,7 +96,7 @@
         }
         let samples = spec.sample_count();
         if let Some(state) = self.steps.get(&key) {
-            return if *state.spec == spec { Ok(OpenAnswer { samples }) } else { Err(RefusalReason::StepConflict) };
+            return if *state.spec == spec { Ok(OpenResponse { samples }) } else { Err(RefusalReason::StepConflict) };
         }
         let (staleness_bound, published_version) = {
             let config = self.shared.config();
@@ -113,7 +106,7 @@
         let state = StepState::new(organisation, spec, staleness_bound, published_version, expires_at);
         LogLine::new("step_opened").field("step", &key).field("samples", samples).info();
         self.steps.insert(key, state);
-        Ok(OpenAnswer { samples })
+        Ok(OpenResponse { samples })
     }
 
     /// Sends the response to a fetch to `sender`: at once, or when there are samples or the wait times out.
@@ -121,7 +114,7 @@
         &mut self,
         organisation: &str,
         fetch: FetchRequest,
-        sender: oneshot::Sender<StepOutcome<FetchAnswer>>,
+        sender: oneshot::Sender<StepOutcome<FetchResponse>>,
     ) {
         let key = step_key(organisation, &fetch.trainer, fetch.step);
         let now = self.shared.now();
@@ -261,7 +254,7 @@
 }
 
 impl Handler<FetchSamplesMessage> for StepActor {
-    type Result = ResponseFuture<StepOutcome<FetchAnswer>>;
+    type Result = ResponseFuture<StepOutcome<FetchResponse>>;
 
     fn handle(&mut self, message: FetchSamplesMessage, _context: &mut Context<Self>) -> Self::Result {
         let (sender, receiver) = oneshot::channel();
--- a/crates/daemon/src/step/step_client.rs
+++ b/crates/daemon/src/step/step_client.rs
@@ -10,10 +10,7 @@
 use actix::Addr;
 use pimentoslip_kernel::{RefusalReason, RunState, SharedName};
 use pimentoslip_telemetry::LogLine;
-use pimentoslip_wire::{
-    caller::{FetchAnswer, FetchRequest, OpenAnswer, OpenRequest, Refusal},
-    peer::{ForwardAnswer, ForwardRequest},
-};
+use pimentoslip_wire::{caller::{FetchRequest, FetchResponse, OpenRequest, OpenResponse, Refusal}, peer::{ForwardRequest, ForwardResponse}};
 use std::sync::Arc;
 
 /// Timeout of a forwarded call, in addition to the time for which the call itself may wait.
@@ -36,38 +33,38 @@
     }
 
     /// Opens a step on the daemon that owns it.
-    pub async fn open(&self, organisation: SharedName, open: OpenRequest, id: &RequestId) -> Result<OpenAnswer> {
+    pub async fn open(&self, organisation: SharedName, open: OpenRequest, id: &RequestId) -> Result<OpenResponse> {
         let key = step_key(&organisation, &open.trainer, open.step);
         let request = ForwardRequest::Open { organisation, request_id: id.to_arc(), open };
         match self.forward(&key, request, FORWARD_TIMEOUT_MS, id).await? {
-            ForwardAnswer::Opened(answer) => Ok(answer),
+            ForwardResponse::Opened(answer) => Ok(answer),
             answer => Err(refusal_error(answer, id)),
         }
     }
 
     /// Fetches samples from the daemon that owns the step.
-    pub async fn fetch(&self, organisation: SharedName, fetch: FetchRequest, id: &RequestId) -> Result<FetchAnswer> {
+    pub async fn fetch(&self, organisation: SharedName, fetch: FetchRequest, id: &RequestId) -> Result<FetchResponse> {
         let key = step_key(&organisation, &fetch.trainer, fetch.step);
         let timeout_ms = fetch.wait_ms + FORWARD_TIMEOUT_MS;
         let request = ForwardRequest::Fetch { organisation, request_id: id.to_arc(), fetch };
         match self.forward(&key, request, timeout_ms, id).await? {
-            ForwardAnswer::Fetched(answer) => Ok(answer),
+            ForwardResponse::Fetched(answer) => Ok(answer),
             answer => Err(refusal_error(answer, id)),
         }
     }
 
     /// Serves a call for a step that this daemon owns.
-    pub async fn serve_locally(&self, request: ForwardRequest) -> ForwardAnswer {
+    pub async fn serve_locally(&self, request: ForwardRequest) -> ForwardResponse {
         match request {
             ForwardRequest::Open { organisation, request_id, open } => {
                 LogLine::new("step_open").field("request_id", &request_id).info();
                 let outcome = self.actor.send(OpenStepMessage { organisation, open }).await;
-                forward_answer(outcome.unwrap_or(Err(RefusalReason::StepUnknown)), &request_id, ForwardAnswer::Opened)
+                forward_answer(outcome.unwrap_or(Err(RefusalReason::StepUnknown)), &request_id, ForwardResponse::Opened)
             }
             ForwardRequest::Fetch { organisation, request_id, fetch } => {
                 LogLine::new("step_fetch").field("request_id", &request_id).info();
                 let outcome = self.actor.send(FetchSamplesMessage { organisation, fetch }).await;
-                forward_answer(outcome.unwrap_or(Err(RefusalReason::StepUnknown)), &request_id, ForwardAnswer::Fetched)
+                forward_answer(outcome.unwrap_or(Err(RefusalReason::StepUnknown)), &request_id, ForwardResponse::Fetched)
             }
         }
     }
@@ -80,7 +77,7 @@
         request: ForwardRequest,
         timeout_ms: u64,
         id: &RequestId,
-    ) -> Result<ForwardAnswer> {
+    ) -> Result<ForwardResponse> {
         let control = {
             let members = self.shared.members();
             let owner = pimentoslip_kernel::highest_ranked(&format!("step/{key}"), &members.active_names()).cloned();
@@ -95,18 +92,18 @@
 }
 
 /// Wraps the outcome of a call for the daemon that forwarded it.
-fn forward_answer<T>(outcome: StepOutcome<T>, id: &str, wrap: impl FnOnce(T) -> ForwardAnswer) -> ForwardAnswer {
+fn forward_answer<T>(outcome: StepOutcome<T>, id: &str, wrap: impl FnOnce(T) -> ForwardResponse) -> ForwardResponse {
     match outcome {
         Ok(answer) => wrap(answer),
-        Err(reason) => ForwardAnswer::Refused(reason.status(), Refusal::new(reason, RunState::NotRun, id)),
+        Err(reason) => ForwardResponse::Refused(reason.status(), Refusal::new(reason, RunState::NotRun, id)),
     }
 }
 
 /// Converts a refusal by the step's owner into one by this daemon. Any other answer becomes `PeerUnreachable`.
-fn refusal_error(answer: ForwardAnswer, id: &RequestId) -> ApiError {
+fn refusal_error(answer: ForwardResponse, id: &RequestId) -> ApiError {
     let code = match &answer {
-        ForwardAnswer::Refused(_, refusal) => refusal.error.code.as_str(),
-        ForwardAnswer::Opened(_) | ForwardAnswer::Fetched(_) => "",
+        ForwardResponse::Refused(_, refusal) => refusal.error.code.as_str(),
+        ForwardResponse::Opened(_) | ForwardResponse::Fetched(_) => "",
     };
     let reason = RefusalReason::ALL.iter().find(|reason| reason.code() == code);
     ApiError::not_run(reason.copied().unwrap_or(RefusalReason::PeerUnreachable), id)
--- a/crates/daemon/src/task/exchange_task.rs
+++ b/crates/daemon/src/task/exchange_task.rs
@@ -11,11 +11,7 @@
 use pimentoslip_client::{EtcdClient, KeyValueClient};
 use pimentoslip_kernel::{MemberEntry, RecordEntry, RecordName, SharedName, TimePoint};
 use pimentoslip_telemetry::LogLine;
-use pimentoslip_wire::{
-    decode, encode,
-    kv::KeyValue,
-    peer::{ExchangeAnswer, ExchangeRequest, MemberBody},
-};
+use pimentoslip_wire::{decode, encode, kv::KeyValue, peer::{ExchangeRequest, ExchangeResponse, MemberBody}};
 use std::{
     collections::BTreeMap,
     sync::{Arc, PoisonError},
@@ -173,7 +169,7 @@
         Err(_) => return false,
     };
     shared.metrics.exchange_bytes.inc_by((request_bytes + answer.len()) as u64);
-    match decode::<ExchangeAnswer>(&answer) {
+    match decode::<ExchangeResponse>(&answer) {
         Ok(answer) => {
             apply_answer(shared, answer, requested_at);
             true
@@ -185,7 +181,7 @@
     }
 }
 
-fn apply_answer(shared: &SharedState, answer: ExchangeAnswer, requested_at: TimePoint) {
+fn apply_answer(shared: &SharedState, answer: ExchangeResponse, requested_at: TimePoint) {
     let name = answer.from.name.clone();
     let applied = shared.apply_records(answer.records, answer.complete);
     log_applied(&name, &applied);
@@ -203,7 +199,7 @@
 
 /// Applies the exchange request of a peer and returns the answer to it.
 #[must_use]
-pub fn answer_exchange(shared: &SharedState, request: ExchangeRequest) -> ExchangeAnswer {
+pub fn answer_exchange(shared: &SharedState, request: ExchangeRequest) -> ExchangeResponse {
     let now = shared.now();
     let name = request.from.name.clone();
     let applied = shared.apply_records(request.records, 0);
@@ -216,7 +212,7 @@
     let members = if members_digest(shared) == request.members_digest { Vec::new() } else { member_bodies(shared) };
     let age_ms = shared.freshness().age_ms(now);
     let config = shared.config();
-    ExchangeAnswer {
+    ExchangeResponse {
         from: shared.own_member(),
         complete: config.complete_revision(),
         records: config.entries_since(request.complete),
--- a/crates/daemon/src/task/order_sender.rs
+++ b/crates/daemon/src/task/order_sender.rs
@@ -5,10 +5,7 @@
 use pimentoslip_client::{KeyValueClient, PlatformError, ProviderClient, Result};
 use pimentoslip_kernel::{SharedName, TimePoint};
 use pimentoslip_telemetry::LogLine;
-use pimentoslip_wire::{
-    kv::TxnRequest,
-    provider::{OrderAnswer, OrderRequest, OrderState},
-};
+use pimentoslip_wire::{kv::TxnRequest, provider::{OrderRequest, OrderResponse, OrderState}};
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -23,7 +20,7 @@
     /// Order as sent to the provider.
     pub request: OrderRequest,
     /// Outcome; `None` until the provider's answer is stored.
-    pub answer: Option<OrderAnswer>,
+    pub answer: Option<OrderResponse>,
 }
 
 /// Proof that this daemon holds the ordering duty.
@@ -157,7 +154,7 @@
     async fn store_answer(
         &mut self,
         request: OrderRequest,
-        answer: OrderAnswer,
+        answer: OrderResponse,
         revision: u64,
         authority: &OrderAuthority,
     ) -> Result<()> {
@@ -174,7 +171,7 @@
     }
 
     /// Counts the upstream of a completed order as running until the VM list shows it.
-    fn track_started_upstream(&mut self, request: &OrderRequest, answer: &OrderAnswer) {
+    fn track_started_upstream(&mut self, request: &OrderRequest, answer: &OrderResponse) {
         if answer.state != OrderState::Done {
             return;
         }
--- a/crates/daemon/src/task/usage_task.rs
+++ b/crates/daemon/src/task/usage_task.rs
@@ -6,11 +6,7 @@
 use pimentoslip_client::{EtcdClient, KeyValueClient, PlatformError, ProviderClient, Result};
 use pimentoslip_kernel::{SharedName, TimePoint, UsageLine, UsageWindow};
 use pimentoslip_telemetry::LogLine;
-use pimentoslip_wire::{
-    kv::TxnRequest,
-    peer::{TotalsAnswer, TotalsLine},
-    provider::UsageReport,
-};
+use pimentoslip_wire::{kv::TxnRequest, peer::{TotalsLine, TotalsResponse}, provider::UsageReport};
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -83,7 +79,7 @@
             self.shared.members().possibly_running_entries().map(|member| member.control.clone()).collect();
         let calls = control_addresses
             .iter()
-            .map(|control| self.peers.call::<_, TotalsAnswer>(control, "/peer/totals", &(), TOTALS_TIMEOUT_MS));
+            .map(|control| self.peers.call::<_, TotalsResponse>(control, "/peer/totals", &(), TOTALS_TIMEOUT_MS));
         for answer in join_all(calls).await.into_iter().flatten() {
             let lines = answer.lines.into_iter().map(UsageLine::from).collect();
             self.totals.insert(answer.incarnation, lines);
--- a/crates/edge/src/http/peer_api.rs
+++ b/crates/edge/src/http/peer_api.rs
@@ -9,10 +9,7 @@
 use pimentoslip_kernel::OwnerRecord;
 use pimentoslip_platform::{StoreError, decode_submission};
 use pimentoslip_telemetry::LogLine;
-use pimentoslip_wire::{
-    CodecError, decode, encode,
-    peer::{ItemRequest, JobPush, NewsRequest, ResultsRequest, RunReport, UsagePush},
-};
+use pimentoslip_wire::{CodecError, decode, encode, peer::{ChangesRequest, ItemRequest, JobPush, ResultsRequest, RunReport, UsagePush}};
 use serde::Serialize;
 use std::sync::Arc;
 
@@ -39,7 +36,7 @@
 
 /// Responds to a peer with changes of the store.
 pub async fn read_changes(parts: web::Data<WorkerParts>, body: web::Bytes) -> HttpResponse {
-    match decode::<NewsRequest>(&body) {
+    match decode::<ChangesRequest>(&body) {
         Ok(request) => message_response(&parts.change_hub.answer(request).await),
         Err(error) => malformed_response(&error),
     }
--- a/crates/edge/src/relay/attempt.rs
+++ b/crates/edge/src/relay/attempt.rs
@@ -107,7 +107,7 @@
         request = request.insert_header((header::ORGANISATION, &**organisation));
     }
     if let Some(event_id) = call.last_event_id {
-        request = request.insert_header((header::LAST_EVENT, event_id.to_string()));
+        request = request.insert_header((header::LAST_EVENT_ID, event_id.to_string()));
     }
     let response = match request.send_body(call.body.clone()).await {
         Ok(response) => response,
@@ -147,7 +147,7 @@
 
 /// Number of requests that are running and queued at the upstream, as reported in a response header.
 fn reported_load(headers: &HeaderMap) -> Option<u64> {
-    let mut fields = headers.get(header::LOAD)?.to_str().ok()?.split(',');
+    let mut fields = headers.get(header::UPSTREAM_LOAD)?.to_str().ok()?.split(',');
     let running: u64 = fields.next()?.trim().parse().ok()?;
     let queued: u64 = fields.next()?.trim().parse().ok()?;
     Some(running + queued)
--- a/crates/edge/src/store/change_hub.rs
+++ b/crates/edge/src/store/change_hub.rs
@@ -6,7 +6,7 @@
     future::{LocalBoxFuture, Shared},
 };
 use pimentoslip_platform::{Result, StoreError, WatchBatch};
-use pimentoslip_wire::peer::{NewsAnswer, NewsRequest};
+use pimentoslip_wire::peer::{ChangesRequest, ChangesResponse};
 use std::{cell::RefCell, collections::HashMap, rc::Rc, time::Duration};
 
 /// Number of cached watches beyond which completed ones are dropped; daemons follow three prefixes and are at most some
@@ -38,7 +38,7 @@
     }
 
     /// Responds to another daemon: with changes as soon as there are any, or with none once its wait has passed.
-    pub async fn answer(&self, request: NewsRequest) -> NewsAnswer {
+    pub async fn answer(&self, request: ChangesRequest) -> ChangesResponse {
         let key = (request.prefix, request.revision);
         let shared_watch = self.join_watch(&key);
         let batch = match actix_rt::time::timeout(Duration::from_millis(request.wait_ms), shared_watch).await {
@@ -46,12 +46,12 @@
             Err(_) => Rc::new(Ok(WatchBatch { changes: Vec::new(), revision: key.1 })),
         };
         match &*batch {
-            Ok(batch) => NewsAnswer::Changes {
+            Ok(batch) => ChangesResponse::Changes {
                 changes: batch.changes.iter().map(change_message).collect(),
                 revision: batch.revision,
             },
-            Err(StoreError::HistoryGone) => NewsAnswer::HistoryGone,
-            Err(_) => NewsAnswer::StoreAway,
+            Err(StoreError::HistoryGone) => ChangesResponse::HistoryGone,
+            Err(_) => ChangesResponse::StoreAway,
         }
     }
 
--- a/crates/edge/src/store/coordination_keys.rs
+++ b/crates/edge/src/store/coordination_keys.rs
@@ -3,7 +3,7 @@
 use super::PrefixHandler;
 use crate::edge_state::EdgeState;
 use pimentoslip_kernel::{DaemonPresence, TimePoint};
-use pimentoslip_platform::{RangePage, StoreChange, StoreItem};
+use pimentoslip_platform::{RangePage, StoreChange, StoreEntry};
 use pimentoslip_telemetry::LogLine;
 use pimentoslip_wire::{
     decode,
@@ -27,7 +27,7 @@
     }
 
     /// Applies an entry that is in the snapshot or was written after it.
-    fn entry_written(&mut self, item: &StoreItem, now: TimePoint) {
+    fn entry_written(&mut self, item: &StoreEntry, now: TimePoint) {
         self.stored_keys.insert(item.key.clone());
         if let Some(job) = KeyLayout::parse_job(&item.key) {
             match decode::<JobEntry>(&item.value) {
@@ -63,7 +63,7 @@
     }
 
     /// Applies an entry whose value is the daemon that owns a job or holds the duty.
-    fn owner_written(&self, item: &StoreItem, entry: DaemonEntry, now: TimePoint) {
+    fn owner_written(&self, item: &StoreEntry, entry: DaemonEntry, now: TimePoint) {
         if let Some(job) = KeyLayout::parse_owner(&item.key) {
             self.state.ownership().owner_recorded(job.into(), entry.into_owner(item.revision), now);
         } else if item.key == KeyLayout::DUTY {
@@ -93,7 +93,7 @@
 }
 
 /// Logs an entry whose value cannot be decoded; it is otherwise ignored.
-fn log_unreadable(item: &StoreItem, error: &impl std::fmt::Display) {
+fn log_unreadable(item: &StoreEntry, error: &impl std::fmt::Display) {
     LogLine::new("entry_unreadable").field("key", &item.key).field("reason", error).warn();
 }
 
--- a/crates/edge/src/store/operator_keys.rs
+++ b/crates/edge/src/store/operator_keys.rs
@@ -4,10 +4,7 @@
 use super::PrefixHandler;
 use crate::edge_state::EdgeState;
 use pimentoslip_kernel::TimePoint;
-use pimentoslip_platform::{
-    CONFIG_KEY, OPERATOR_PREFIX, RangePage, StoreChange, StoreItem, decode_config, decode_named_version, retired_vm,
-    versioned_model,
-};
+use pimentoslip_platform::{CONFIG_KEY, OPERATOR_PREFIX, RangePage, StoreChange, StoreEntry, decode_config, decode_named_version, retired_vm, versioned_model};
 use pimentoslip_telemetry::LogLine;
 use std::sync::Arc;
 
@@ -25,7 +22,7 @@
     }
 
     /// Applies an entry that is in the snapshot or was written after it.
-    fn entry_written(&self, item: &StoreItem) {
+    fn entry_written(&self, item: &StoreEntry) {
         if item.key == CONFIG_KEY {
             self.config_written(item);
         } else if versioned_model(&item.key).is_some() {
@@ -37,7 +34,7 @@
     }
 
     /// Applies a configuration if it is newer than the applied one. One that cannot be decoded is ignored.
-    fn config_written(&self, item: &StoreItem) {
+    fn config_written(&self, item: &StoreEntry) {
         match decode_config(&item.value) {
             Ok(config) => {
                 let version = config.version;
@@ -56,7 +53,7 @@
     }
 
     /// Records the newest weight version of a model; older versions are ignored.
-    fn version_written(&self, item: &StoreItem) {
+    fn version_written(&self, item: &StoreEntry) {
         match decode_named_version(&item.value) {
             Ok((model, version)) => {
                 let mut newest_versions = self.state.newest_versions();
--- a/crates/edge/src/store/upstream_keys.rs
+++ b/crates/edge/src/store/upstream_keys.rs
@@ -3,7 +3,7 @@
 use super::PrefixHandler;
 use crate::edge_state::EdgeState;
 use pimentoslip_kernel::{SharedName, TimePoint};
-use pimentoslip_platform::{RangePage, StoreChange, StoreItem, UPSTREAM_PREFIX, decode_record, upstream_id};
+use pimentoslip_platform::{RangePage, StoreChange, StoreEntry, UPSTREAM_PREFIX, decode_upstream_record, upstream_id};
 use pimentoslip_telemetry::LogLine;
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -27,10 +27,10 @@
     }
 
     /// Applies the entry of an upstream that is in the snapshot or was written after it.
-    fn entry_written(&mut self, item: &StoreItem) {
+    fn entry_written(&mut self, item: &StoreEntry) {
         let Some(id) = upstream_id(&item.key) else { return };
         self.missing.remove(id);
-        match decode_record(id, &item.value) {
+        match decode_upstream_record(id, &item.value) {
             Ok(record) => {
                 let mut upstreams = self.state.upstreams();
                 let previous = upstreams.get(id);
