--- a/crates/daemon/src/config_writer.rs
+++ b/crates/daemon/src/config_writer.rs
@@ -1,4 +1,4 @@
-//! Writes configuration records, so that racing operators do not lose each other's changes.
+//! Writes configuration records by compare-and-swap, so that concurrent changes do not overwrite each other.
 
 use crate::shared_state::SharedState;
 use pimentoslip_client::{KeyValueClient, PlatformError};
@@ -7,57 +7,58 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Result of a change.
+/// Result of reading or changing a stored record.
 pub type Result<T> = std::result::Result<T, WriteError>;
 
 const ATTEMPTS_MAX: u32 = 8;
 
-/// Why a change was not accepted.
+/// Reason why a change of the configuration failed.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum WriteError {
-    /// The service failed before anything was known to be written.
-    #[error("the change may or may not be in force: {0}; send it again with the same change id")]
+    /// The key-value service failed, and the change may or may not have been written.
+    #[error("the change may or may not have been written: {0}; send it again with the same change ID")]
     Unconfirmed(#[from] PlatformError),
-    /// Others kept changing the record.
-    #[error("others changed {0} at the same time; look at it and send the change again")]
+    /// Every attempt was overtaken by a concurrent change of the record.
+    #[error("{0} was changed by others at the same time; check its content and send the change again")]
     Conflicting(String),
-    /// The stored record cannot be read.
-    #[error("the stored record {0} is malformed; run the same release everywhere")]
+    /// The stored record cannot be parsed.
+    #[error("the stored record {0} is malformed; run the same release on all daemons")]
     Malformed(String),
-    /// The change contradicts what is stored.
+    /// The change is invalid or contradicts the stored configuration.
     #[error("{0}")]
     Rejected(String),
 }
 
-/// A record as stored, with the change that wrote it.
+/// Configuration record as stored, with the change that wrote it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredRecord {
-    /// Change that wrote it.
+    /// ID of the change that wrote the record, by which a repeated change is recognised.
     pub change: SharedName,
-    /// Content.
+    /// Content of the record.
     pub record: Arc<ConfigRecord>,
 }
 
-/// Prefix of a site's configuration in the key-value service.
+/// Key prefix of a site's configuration records in the key-value service.
 #[must_use]
 pub fn config_prefix(site: &str) -> String {
     format!("pimentoslip/{site}/config/")
 }
 
-/// Reads, changes and writes single records by compare-and-swap.
+/// Reads and changes single configuration records.
 pub struct ConfigWriter<'a, K> {
     kv: &'a K,
     shared: &'a SharedState,
 }
 
 impl<'a, K: KeyValueClient> ConfigWriter<'a, K> {
-    /// Creates a writer through `kv`.
+    /// Creates a writer that uses the client `kv`.
     pub fn new(kv: &'a K, shared: &'a SharedState) -> Self {
         Self { kv, shared }
     }
 
-    /// Replaces the record called `name` by what `edit` makes of it; None leaves it as it is. A change
-    /// that is already in force is not made twice.
+    /// Replaces the record `name` by the result of `edit`, which is passed the stored record and may be called again
+    /// after a concurrent change. If `edit` returns `None`, the record stays as it is and `None` is returned. A change
+    /// that was already written is not repeated.
     pub async fn update(
         &self,
         name: &RecordName,
@@ -66,7 +67,7 @@
     ) -> Result<Option<RecordEntry>> {
         let key = format!("{}{}", config_prefix(&self.shared.settings.site), name.path());
         for _ in 0..ATTEMPTS_MAX {
-            let (revision, stored) = self.read(&key).await?;
+            let (revision, stored) = self.read_record(&key).await?;
             if let Some(stored) = stored.as_ref().filter(|stored| stored.change == *change) {
                 return Ok(Some(RecordEntry { name: name.clone(), revision, record: stored.record.clone() }));
             }
@@ -79,21 +80,23 @@
                 Ok(answer) if answer.succeeded => {
                     return Ok(Some(RecordEntry { name: name.clone(), revision: answer.header.revision, record }));
                 }
-                // Lost the race, or lost the answer: reading back tells which by the change id.
+                // Either a concurrent change was faster or the answer was lost. The next read shows which, by the
+                // change ID.
                 Ok(_) | Err(_) => {}
             }
         }
         Err(WriteError::Conflicting(name.path()))
     }
 
-    /// The stored content of `name`, whether or not it has reached this daemon yet.
+    /// The record `name` as stored, which this daemon may not have cached yet; `None` if there is none.
     pub async fn stored_record(&self, name: &RecordName) -> Result<Option<Arc<ConfigRecord>>> {
         let key = format!("{}{}", config_prefix(&self.shared.settings.site), name.path());
-        let (_, stored) = self.read(&key).await?;
+        let (_, stored) = self.read_record(&key).await?;
         Ok(stored.map(|stored| stored.record))
     }
 
-    async fn read(&self, key: &str) -> Result<(u64, Option<StoredRecord>)> {
+    /// Revision and content stored under `key`; revision 0 if there is none.
+    async fn read_record(&self, key: &str) -> Result<(u64, Option<StoredRecord>)> {
         let answer = self.kv.get(key).await?;
         let Some(entry) = answer.kvs.first() else { return Ok((0, None)) };
         let stored = serde_json::from_slice(&entry.value).map_err(|_| WriteError::Malformed(key.to_owned()))?;
--- a/crates/daemon/src/daemon_settings.rs
+++ b/crates/daemon/src/daemon_settings.rs
@@ -1,112 +1,140 @@
-//! Settings of one daemon, from flags and environment variables.
+//! Reads the settings of a daemon from flags and environment variables.
 
 use clap::{Arg, ArgMatches, Command};
 use pimentoslip_kernel::{AdmissionPolicy, RoutePolicy, SharedName, route_policy_names};
 use std::net::SocketAddr;
 
+/// Minimum length of the cluster secret and the operator key.
 const SECRET_CHARS_MIN: usize = 16;
 
-/// A setting that cannot be used.
+/// Missing or invalid setting.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("--{flag} ({variable}): {problem}; {remedy}")]
 pub struct SettingError {
-    /// Flag without its dashes.
+    /// Name of the flag, without the leading dashes.
     pub flag: &'static str,
-    /// Environment variable.
+    /// Environment variable that sets the same value.
     pub variable: String,
-    /// What is wrong.
+    /// Reason why the value cannot be used.
     pub problem: String,
-    /// How to mend it.
+    /// Action that corrects the setting.
     pub remedy: String,
 }
 
-/// Checked settings.
+/// Settings of a daemon, checked when they are read.
 #[derive(Clone, Debug)]
 pub struct DaemonSettings {
-    /// Name of the daemon, the same as its VM's on the platform's list.
+    /// Name of the daemon, which must equal the name of its VM on the platform's VM list.
     pub name: SharedName,
-    /// Failure domain of its VM.
+    /// Failure domain of the daemon's VM.
     pub failure_domain: SharedName,
-    /// Site, which prefixes everything in the key-value service.
+    /// Name of the site, which is part of every key in the key-value service.
     pub site: SharedName,
-    /// Where callers connect.
+    /// Address of the public listener, for callers and trainers.
     pub listen_address: SocketAddr,
-    /// Where peers, operators and probes connect.
+    /// Address of the control listener, for peers, operators and probes.
     pub control_listen_address: SocketAddr,
-    /// Key-value service.
+    /// Address of the key-value service, as `ip:port`.
     pub kv_address: SharedName,
-    /// Ordering interface.
+    /// Address of the interface that takes orders for upstreams, as `ip:port`.
     pub orders_address: SharedName,
-    /// Usage interface.
+    /// Address of the interface that takes usage reports, as `ip:port`.
     pub usage_address: SharedName,
-    /// VM list.
+    /// Address of the interface that serves the VM list, as `ip:port`.
     pub vm_list_address: SharedName,
-    /// Secret shared by all daemons of the site.
+    /// Secret by which the daemons of the site authenticate to each other.
     pub cluster_secret: SharedName,
-    /// Key of the operators.
+    /// Key by which operators authenticate.
     pub operator_key: SharedName,
-    /// How upstreams are chosen.
+    /// Policy that chooses the upstream of a request.
     pub route_policy: RoutePolicy,
-    /// In which order waiting requests are admitted.
+    /// Policy that orders the waiting requests.
     pub admission_policy: AdmissionPolicy,
-    /// Threads that serve callers.
+    /// Number of threads that serve the public listener.
     pub workers: usize,
-    /// Largest request body in bytes.
+    /// Maximum size of a request body.
     pub body_bytes_max: usize,
-    /// Most connections of callers.
+    /// Maximum number of connections of callers.
     pub connections_max: usize,
-    /// Least time between two group commits of claims, in milliseconds.
+    /// Minimum time between two group commits of claims.
     pub claim_interval_ms: u64,
-    /// Time for the balancer to notice that the daemon leaves, in milliseconds.
+    /// Time for which a shutdown still accepts requests, so that the balancer can notice the failing readiness probe.
     pub drain_grace_ms: u64,
-    /// Longest wait for requests to end, in milliseconds.
+    /// Maximum time for which a shutdown waits for running requests.
     pub drain_timeout_ms: u64,
-    /// Whether stragglers are hedged.
+    /// Whether slow samples are hedged, that is started a second time while the first attempt is still running.
     pub hedging: bool,
 }
 
+/// Command line flag of a setting.
 struct SettingSpec {
     flag: &'static str,
     help: &'static str,
+    /// Default value; a setting without one is required.
     default: Option<&'static str>,
 }
 
 const SPECS: &[SettingSpec] = &[
-    SettingSpec { flag: "name", help: "Name of this daemon, as on the VM list", default: None },
+    SettingSpec {
+        flag: "name",
+        help: "Name of this daemon, equal to the name of its VM on the VM list",
+        default: None,
+    },
     SettingSpec { flag: "failure-domain", help: "Failure domain of this VM", default: None },
     SettingSpec { flag: "site", help: "Name of the site", default: None },
-    SettingSpec { flag: "listen", help: "Address for callers, ip:port", default: Some("127.0.0.1:8080") },
+    SettingSpec {
+        flag: "listen",
+        help: "Address to listen on for callers and trainers, ip:port",
+        default: Some("127.0.0.1:8080"),
+    },
     SettingSpec {
         flag: "control-listen",
-        help: "Address for peers and operators, ip:port",
+        help: "Address to listen on for peers, operators and probes, ip:port",
         default: Some("127.0.0.1:8081"),
     },
-    SettingSpec { flag: "kv", help: "Key-value service, ip:port", default: None },
-    SettingSpec { flag: "orders", help: "Ordering interface, ip:port", default: None },
-    SettingSpec { flag: "usage", help: "Usage interface, ip:port", default: None },
-    SettingSpec { flag: "vms", help: "VM list, ip:port", default: None },
+    SettingSpec { flag: "kv", help: "Address of the key-value service, ip:port", default: None },
+    SettingSpec { flag: "orders", help: "Address of the interface for orders, ip:port", default: None },
+    SettingSpec { flag: "usage", help: "Address of the interface for usage reports, ip:port", default: None },
+    SettingSpec { flag: "vms", help: "Address of the interface with the VM list, ip:port", default: None },
     SettingSpec { flag: "cluster-secret", help: "Secret shared by all daemons of the site", default: None },
-    SettingSpec { flag: "operator-key", help: "Key of the operators", default: None },
-    SettingSpec { flag: "route-policy", help: "How upstreams are chosen", default: Some("prefix-two-choices") },
-    SettingSpec { flag: "admission-policy", help: "Order of waiting requests", default: Some("fair") },
-    SettingSpec { flag: "workers", help: "Threads that serve callers", default: Some("1") },
-    SettingSpec { flag: "body-bytes-max", help: "Largest request body in bytes", default: Some("4194304") },
-    SettingSpec { flag: "connections-max", help: "Most connections of callers", default: Some("4096") },
-    SettingSpec { flag: "claim-interval-ms", help: "Least time between group commits of claims", default: Some("20") },
+    SettingSpec { flag: "operator-key", help: "Key by which operators authenticate", default: None },
+    SettingSpec {
+        flag: "route-policy",
+        help: "Policy that chooses the upstream of a request",
+        default: Some("prefix-two-choices"),
+    },
+    SettingSpec { flag: "admission-policy", help: "Policy that orders the waiting requests", default: Some("fair") },
+    SettingSpec { flag: "workers", help: "Number of threads that serve callers", default: Some("1") },
+    SettingSpec { flag: "body-bytes-max", help: "Maximum size of a request body in bytes", default: Some("4194304") },
+    SettingSpec { flag: "connections-max", help: "Maximum number of connections of callers", default: Some("4096") },
+    SettingSpec {
+        flag: "claim-interval-ms",
+        help: "Minimum time between group commits of claims, in milliseconds",
+        default: Some("20"),
+    },
     SettingSpec {
         flag: "drain-grace-ms",
-        help: "Time for the balancer to notice a planned stop",
+        help: "Time for the balancer to notice a shutdown, in milliseconds",
         default: Some("2000"),
     },
-    SettingSpec { flag: "drain-timeout-ms", help: "Longest wait for requests to end", default: Some("600000") },
-    SettingSpec { flag: "hedging", help: "Whether straggling samples are hedged", default: Some("true") },
+    SettingSpec {
+        flag: "drain-timeout-ms",
+        help: "Maximum time that a shutdown waits for requests, in milliseconds",
+        default: Some("600000"),
+    },
+    SettingSpec {
+        flag: "hedging",
+        help: "Whether slow samples are started a second time, true or false",
+        default: Some("true"),
+    },
 ];
 
-/// The daemon's command line.
+/// Command line of the daemon.
 #[must_use]
 pub fn command() -> Command {
     let args = SPECS.iter().map(|spec| {
-        let arg = Arg::new(spec.flag).long(spec.flag).env(variable(spec.flag)).help(spec.help).hide_env_values(true);
+        let arg =
+            Arg::new(spec.flag).long(spec.flag).env(variable_name(spec.flag)).help(spec.help).hide_env_values(true);
         match spec.default {
             Some(default) => arg.default_value(default),
             None => arg,
@@ -115,27 +143,29 @@
     Command::new("pimentoslipd").about("Rollout service daemon").version(env!("CARGO_PKG_VERSION")).args(args)
 }
 
-fn variable(flag: &str) -> String {
+/// Environment variable for `flag`.
+fn variable_name(flag: &str) -> String {
     format!("PIMENTOSLIP_{}", flag.to_uppercase().replace('-', "_"))
 }
 
-/// Reads settings and gathers every fault.
+/// Reads settings and collects all errors, so that they can be reported together. Every method returns a placeholder
+/// for an invalid setting.
 struct SettingReader<'a> {
     matches: &'a ArgMatches,
-    faults: Vec<SettingError>,
+    errors: Vec<SettingError>,
 }
 
 impl SettingReader<'_> {
-    fn fault(&mut self, flag: &'static str, problem: impl Into<String>, remedy: impl Into<String>) {
-        let variable = variable(flag);
-        self.faults.push(SettingError { flag, variable, problem: problem.into(), remedy: remedy.into() });
+    fn add_error(&mut self, flag: &'static str, problem: impl Into<String>, remedy: impl Into<String>) {
+        let variable = variable_name(flag);
+        self.errors.push(SettingError { flag, variable, problem: problem.into(), remedy: remedy.into() });
     }
 
     fn text(&mut self, flag: &'static str) -> SharedName {
         match self.matches.get_one::<String>(flag) {
             Some(text) if !text.is_empty() => text.as_str().into(),
             _ => {
-                self.fault(flag, "missing", "set the flag or the variable");
+                self.add_error(flag, "missing", "set the flag or the environment variable");
                 "".into()
             }
         }
@@ -145,10 +175,10 @@
         let text = self.text(flag);
         text.parse().unwrap_or_else(|_| {
             if !text.is_empty() {
-                self.fault(
+                self.add_error(
                     flag,
-                    format!("{text} is no address"),
-                    "write an IP number and a port, such as 10.0.0.1:8080",
+                    format!("{text} is not an address"),
+                    "use an IP address and a port, such as 10.0.0.1:8080",
                 );
             }
             SocketAddr::from(([127, 0, 0, 1], 0))
@@ -159,17 +189,17 @@
         self.address(flag).to_string().into()
     }
 
-    fn number(&mut self, flag: &'static str, least: u64) -> u64 {
+    fn number(&mut self, flag: &'static str, min: u64) -> u64 {
         let text = self.text(flag);
         match text.parse() {
-            Ok(number) if number >= least => number,
+            Ok(number) if number >= min => number,
             _ => {
-                self.fault(
+                self.add_error(
                     flag,
-                    format!("{text} is no usable number"),
-                    format!("use a whole number of at least {least}"),
+                    format!("{text} is not a number in the allowed range"),
+                    format!("use an integer of at least {min}"),
                 );
-                least
+                min
             }
         }
     }
@@ -181,15 +211,15 @@
     fn secret(&mut self, flag: &'static str) -> SharedName {
         let text = self.text(flag);
         if !text.is_empty() && text.len() < SECRET_CHARS_MIN {
-            self.fault(flag, "too short", format!("use at least {SECRET_CHARS_MIN} characters"));
+            self.add_error(flag, "too short", format!("use at least {SECRET_CHARS_MIN} characters"));
         }
         text
     }
 
-    fn policy(&mut self, flag: &'static str) -> RoutePolicy {
+    fn route_policy(&mut self, flag: &'static str) -> RoutePolicy {
         let text = self.text(flag);
         RoutePolicy::from_name(&text).unwrap_or_else(|| {
-            self.fault(
+            self.add_error(
                 flag,
                 format!("unknown policy {text}"),
                 format!("use one of {}", route_policy_names().join(", ")),
@@ -198,28 +228,28 @@
         })
     }
 
-    fn admission(&mut self, flag: &'static str) -> AdmissionPolicy {
+    fn admission_policy(&mut self, flag: &'static str) -> AdmissionPolicy {
         let text = self.text(flag);
         AdmissionPolicy::from_name(&text).unwrap_or_else(|| {
             let remedy = format!("use one of {}", AdmissionPolicy::names().join(", "));
-            self.fault(flag, format!("unknown policy {text}"), remedy);
+            self.add_error(flag, format!("unknown policy {text}"), remedy);
             AdmissionPolicy::default()
         })
     }
 
-    fn switch(&mut self, flag: &'static str) -> bool {
+    fn boolean(&mut self, flag: &'static str) -> bool {
         let text = self.text(flag);
         text.parse().unwrap_or_else(|_| {
-            self.fault(flag, format!("{text} is neither true nor false"), "use true or false");
+            self.add_error(flag, format!("{text} is neither true nor false"), "use true or false");
             false
         })
     }
 }
 
 impl DaemonSettings {
-    /// Reads and checks all settings; on failure every fault is listed.
+    /// Reads and checks all settings. Returns every error if a setting is missing or invalid.
     pub fn from_matches(matches: &ArgMatches) -> Result<Self, Vec<SettingError>> {
-        let mut reader = SettingReader { matches, faults: Vec::new() };
+        let mut reader = SettingReader { matches, errors: Vec::new() };
         let settings = Self {
             name: reader.text("name"),
             failure_domain: reader.text("failure-domain"),
@@ -232,16 +262,16 @@
             vm_list_address: reader.endpoint("vms"),
             cluster_secret: reader.secret("cluster-secret"),
             operator_key: reader.secret("operator-key"),
-            route_policy: reader.policy("route-policy"),
-            admission_policy: reader.admission("admission-policy"),
+            route_policy: reader.route_policy("route-policy"),
+            admission_policy: reader.admission_policy("admission-policy"),
             workers: reader.size("workers"),
             body_bytes_max: reader.size("body-bytes-max"),
             connections_max: reader.size("connections-max"),
             claim_interval_ms: reader.number("claim-interval-ms", 1),
             drain_grace_ms: reader.number("drain-grace-ms", 0),
             drain_timeout_ms: reader.number("drain-timeout-ms", 1),
-            hedging: reader.switch("hedging"),
+            hedging: reader.boolean("hedging"),
         };
-        if reader.faults.is_empty() { Ok(settings) } else { Err(reader.faults) }
+        if reader.errors.is_empty() { Ok(settings) } else { Err(reader.errors) }
     }
 }
--- a/crates/daemon/src/http/admin_api.rs
+++ b/crates/daemon/src/http/admin_api.rs
@@ -1,4 +1,4 @@
-//! The administration API.
+//! Administration API for operators.
 
 use super::WorkerState;
 use crate::{
@@ -18,11 +18,11 @@
     time::Duration,
 };
 
-/// How long a change waits for confirmations before its answer says that it is pending.
-const CONFIRM_MS: u64 = 2_500;
-const CONFIRM_PAUSE: Duration = Duration::from_millis(200);
+/// Time for which a change waits for confirmations before it is answered as pending.
+const CONFIRM_TIMEOUT_MS: u64 = 2_500;
+const CONFIRM_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// Turns a failed change into an answer.
+/// Response to a failed change.
 pub fn error_response(error: &WriteError) -> HttpResponse {
     let body = serde_json::json!({ "error": error.to_string() });
     match error {
@@ -32,8 +32,9 @@
     }
 }
 
-/// Applies written records here and tells the peers. The change is accepted when every daemon that may be
-/// running has confirmed it, so that no crash afterwards can lose it from all memories at once.
+/// Applies written records on this daemon, sends them to the peers, and returns the response to the change. The change
+/// is accepted once every daemon that may be running has confirmed it, so that a later crash cannot remove it from all
+/// daemons at once.
 pub async fn distribute_change(worker: &WorkerState, entries: Vec<RecordEntry>) -> HttpResponse {
     worker.shared.apply_records(entries.clone(), 0);
     let changed = entries.len();
@@ -46,27 +47,30 @@
     if accepted { HttpResponse::Ok().json(answer) } else { HttpResponse::Accepted().json(answer) }
 }
 
+/// Sends records until every daemon has confirmed them or the time is up. Returns the names of the daemons that
+/// confirmed, and of those that did not.
 async fn push_until_confirmed(worker: &WorkerState, entries: Vec<RecordEntry>) -> (Vec<SharedName>, Vec<SharedName>) {
-    let deadline = worker.shared.now().plus_ms(CONFIRM_MS);
+    let deadline = worker.shared.now().plus_ms(CONFIRM_TIMEOUT_MS);
     loop {
         let (confirmed, unconfirmed) = push_records(&worker.shared, &worker.peers, entries.clone()).await;
         if unconfirmed.is_empty() || worker.shared.now() >= deadline {
             return (confirmed, unconfirmed);
         }
-        actix_rt::time::sleep(CONFIRM_PAUSE).await;
+        actix_rt::time::sleep(CONFIRM_RETRY_PAUSE).await;
     }
 }
 
-/// Handles `POST /apply`.
+/// Handles `POST /apply`: replaces the configuration of the site, its services and organisations.
 pub async fn apply(worker: web::Data<WorkerState>, request: web::Json<ApplyRequest>) -> HttpResponse {
     let request = request.into_inner();
-    match write_all(&worker, request).await {
+    match write_records(&worker, request).await {
         Ok(entries) => distribute_change(&worker, entries).await,
         Err(error) => error_response(&error),
     }
 }
 
-async fn write_all(worker: &WorkerState, request: ApplyRequest) -> Result<Vec<RecordEntry>, WriteError> {
+/// Writes the records that differ from the stored ones, and marks missing ones as removed. Returns the written entries.
+async fn write_records(worker: &WorkerState, request: ApplyRequest) -> Result<Vec<RecordEntry>, WriteError> {
     let writer = ConfigWriter::new(&worker.kv, &worker.shared);
     let mut wanted: Vec<(RecordName, ConfigRecord)> =
         request.records.into_iter().map(|body| (body.name, body.record)).collect();
@@ -81,7 +85,7 @@
     Ok(entries)
 }
 
-/// Stored services and organisations that are not wanted any more.
+/// Names of the stored services and organisations that `wanted` lacks.
 async fn removed_names(
     worker: &WorkerState,
     wanted: &[(RecordName, ConfigRecord)],
@@ -90,13 +94,13 @@
     let stored = worker.kv.range(&prefix, 0).await?;
     let names = stored.kvs.iter().filter_map(|entry| {
         let name = RecordName::parse(std::str::from_utf8(&entry.key).ok()?.strip_prefix(&prefix)?)?;
-        let owned = matches!(name, RecordName::Service(_) | RecordName::Organisation(_));
-        (owned && !wanted.iter().any(|(kept, _)| *kept == name)).then_some(name)
+        let is_removable = matches!(name, RecordName::Service(_) | RecordName::Organisation(_));
+        (is_removable && !wanted.iter().any(|(kept, _)| *kept == name)).then_some(name)
     });
     Ok(names.collect())
 }
 
-/// Handles `GET /config`.
+/// Handles `GET /config`: the cached configuration, without keys.
 pub async fn config(worker: web::Data<WorkerState>) -> HttpResponse {
     let shared = &worker.shared;
     let now = shared.now();
@@ -115,13 +119,13 @@
     })
 }
 
-/// Handles `POST /drain`: the daemon leaves as if told by its supervisor.
+/// Handles `POST /drain`: the daemon shuts down as if its supervisor had sent a termination signal.
 pub async fn drain(worker: web::Data<WorkerState>) -> HttpResponse {
     worker.shared.drain_requested.notify_one();
     HttpResponse::Accepted().json(serde_json::json!({ "draining": &worker.shared.settings.name }))
 }
 
-/// Handles `GET /usage`: sealed windows, newest last.
+/// Handles `GET /usage`: the reports of the sealed windows, oldest first.
 pub async fn usage(worker: web::Data<WorkerState>) -> HttpResponse {
     match crate::task::sealed_reports(&worker.kv, &worker.shared.settings.site).await {
         Ok(reports) => HttpResponse::Ok().json(reports),
@@ -129,7 +133,7 @@
     }
 }
 
-/// Handles `GET /status`.
+/// Handles `GET /status`: the state of the site as this daemon sees it.
 pub async fn status(worker: web::Data<WorkerState>) -> HttpResponse {
     let steps = worker.step_actor.send(StepListMessage).await.unwrap_or_default();
     let shared = &worker.shared;
@@ -138,15 +142,15 @@
     let site = config.site();
     let published =
         config.service_names().into_iter().map(|name| (name.clone(), config.published_version(&name))).collect();
-    let upstreams = upstreams(&worker);
+    let upstreams = upstream_statuses(&worker);
     let answer = StatusAnswer {
         daemon: shared.settings.name.clone(),
         revision: config.newest_revision(),
         fresh,
         draining: shared.draining.load(Ordering::SeqCst),
-        daemons: daemons(&worker),
-        duties: duties(&worker),
-        spend_cents_per_hour: spend(&config, &upstreams),
+        daemons: daemon_statuses(&worker),
+        duties: duty_statuses(&worker),
+        spend_cents_per_hour: spend_cents_per_hour(&config, &upstreams),
         upstreams,
         steps,
         staleness_bound: site.map_or(0, |site| site.staleness_bound),
@@ -157,26 +161,27 @@
     HttpResponse::Ok().json(answer)
 }
 
-fn daemons(worker: &WorkerState) -> Vec<DaemonStatus> {
-    let me = worker.shared.own_member();
-    let state = |state: MemberState| format!("{state:?}").to_lowercase();
-    let own = DaemonStatus {
-        name: me.name,
-        failure_domain: me.failure_domain,
-        state: state(me.state),
-        incarnation: me.incarnation,
+/// Status of this daemon and the other members.
+fn daemon_statuses(worker: &WorkerState) -> Vec<DaemonStatus> {
+    let own_member = worker.shared.own_member();
+    let state_name = |state: MemberState| format!("{state:?}").to_lowercase();
+    let own_status = DaemonStatus {
+        name: own_member.name,
+        failure_domain: own_member.failure_domain,
+        state: state_name(own_member.state),
+        incarnation: own_member.incarnation,
     };
     let members = worker.shared.members();
     let others = members.iter().map(|member| DaemonStatus {
         name: member.name.clone(),
         failure_domain: member.failure_domain.clone(),
-        state: state(member.state),
+        state: state_name(member.state),
         incarnation: member.incarnation,
     });
-    std::iter::once(own).chain(others).collect()
+    std::iter::once(own_status).chain(others).collect()
 }
 
-fn duties(worker: &WorkerState) -> Vec<DutyStatus> {
+fn duty_statuses(worker: &WorkerState) -> Vec<DutyStatus> {
     let duties = worker.shared.duty_states.lock().unwrap_or_else(PoisonError::into_inner);
     let status = |(duty, (state, fencing)): (&SharedName, &(&'static str, Option<u64>))| DutyStatus {
         duty: duty.clone(),
@@ -186,7 +191,7 @@
     duties.iter().map(status).collect()
 }
 
-fn upstreams(worker: &WorkerState) -> Vec<UpstreamStatus> {
+fn upstream_statuses(worker: &WorkerState) -> Vec<UpstreamStatus> {
     let routes = worker.shared.routes();
     let status = routes.iter().map(|entry| UpstreamStatus {
         name: entry.name.clone(),
@@ -200,12 +205,13 @@
     status.collect()
 }
 
-fn spend(config: &pimentoslip_kernel::ConfigView, upstreams: &[UpstreamStatus]) -> u64 {
-    let rate = |upstream: &UpstreamStatus| {
+/// Price of all upstreams together, in cents per hour.
+fn spend_cents_per_hour(config: &pimentoslip_kernel::ConfigView, upstreams: &[UpstreamStatus]) -> u64 {
+    let cents_per_hour = |upstream: &UpstreamStatus| {
         config.service(&upstream.service).map_or(0, |service| match upstream.reclaimable {
             true => service.reclaimable_cents_per_hour,
             false => service.standing_cents_per_hour,
         })
     };
-    upstreams.iter().map(rate).sum()
+    upstreams.iter().map(cents_per_hour).sum()
 }
--- a/crates/daemon/src/http/caller_auth.rs
+++ b/crates/daemon/src/http/caller_auth.rs
@@ -1,4 +1,4 @@
-//! Who calls, and what of the call may go on to an upstream.
+//! Authenticates callers, and checks the parts of a request that depend on its caller.
 
 use crate::{
     api_error::{ApiError, Result},
@@ -14,28 +14,30 @@
 
 const BEARER: &str = "Bearer ";
 const IDEMPOTENCY_KEY_CHARS_MAX: usize = 200;
-const OPEN_ORGANISATION: &str = "open";
+/// Organisation for which requests without a key are counted.
+const ANONYMOUS_ORGANISATION: &str = "open";
 
-/// An admitted caller.
+/// Authenticated caller.
 #[derive(Clone, Debug)]
 pub struct CallerIdentity {
-    /// Organisation whose key came with the request.
+    /// Organisation that the key of the request belongs to.
     pub organisation: SharedName,
-    /// Id of the key; empty on open routes.
+    /// ID of the key; empty on paths that need no key.
     pub key_id: SharedName,
-    /// Its weight.
+    /// The organisation's weight in fair admission.
     pub weight: u64,
 }
 
 impl CallerIdentity {
-    /// The caller of an open route.
+    /// Caller of a path that needs no key.
     #[must_use]
     pub fn anonymous() -> Self {
-        Self { organisation: OPEN_ORGANISATION.into(), key_id: "".into(), weight: 1 }
+        Self { organisation: ANONYMOUS_ORGANISATION.into(), key_id: "".into(), weight: 1 }
     }
 }
 
-/// Finds out who calls. The key must be fresh, not withdrawn, and granted `service`.
+/// Authenticates the caller by the key in the `Authorization` header. Fails if the cached keys are stale, the key is
+/// missing, unknown or withdrawn, or its organisation may not use `service`.
 pub fn authenticate(
     shared: &SharedState,
     request: &HttpRequest,
@@ -43,7 +45,7 @@
     id: &RequestId,
 ) -> Result<CallerIdentity> {
     let refuse = |reason| ApiError::not_run(reason, id);
-    let secret = presented(request.headers()).map_err(refuse)?;
+    let secret = bearer_key(request.headers()).map_err(refuse)?;
     if !shared.is_config_fresh() {
         return Err(refuse(RefusalReason::ConfigStale));
     }
@@ -56,7 +58,8 @@
     Ok(CallerIdentity { weight: settings.weight, key_id: secret.id.clone(), organisation })
 }
 
-fn presented(headers: &HeaderMap) -> std::result::Result<KeySecret, RefusalReason> {
+/// Key in the `Authorization` header, or the reason why the request is refused.
+fn bearer_key(headers: &HeaderMap) -> std::result::Result<KeySecret, RefusalReason> {
     let mut values = headers.get_all(AUTHORIZATION);
     let value = values.next().ok_or(RefusalReason::KeyMissing)?;
     if values.next().is_some() {
@@ -66,28 +69,28 @@
     KeySecret::parse(token.trim()).ok_or(RefusalReason::KeyUnknown)
 }
 
-/// Refuses a request that carries a key of this site where an upstream would see it. Looks at the
-/// path, query and body as sent, percent-decoded, and with JSON escapes resolved.
+/// Refuses a request with a key of this site in a place that an upstream would see. Checks the path, query and body as
+/// sent, the path and query percent-decoded, and the body with its JSON escapes resolved.
 pub fn check_misplaced_key(shared: &SharedState, uri: &str, body: &[u8], id: &RequestId) -> Result<()> {
     let decoded: Vec<u8> = form_urlencoded::parse(uri.as_bytes())
         .flat_map(|(name, value)| [name.into_owned().into_bytes(), value.into_owned().into_bytes()])
         .flatten()
         .collect();
-    let escaped = memchr::memchr(b'\\', body).is_some();
-    let unescaped = if escaped { unescape(body) } else { Vec::new() };
+    let has_escapes = memchr::memchr(b'\\', body).is_some();
+    let unescaped = if has_escapes { unescaped_strings(body) } else { Vec::new() };
     let config = shared.config();
-    let misplaced = [uri.as_bytes(), &decoded, body, &unescaped]
+    let is_misplaced = [uri.as_bytes(), &decoded, body, &unescaped]
         .into_iter()
         .flat_map(KeySecret::find_ids)
         .any(|key| config.has_key(&key));
-    if misplaced {
+    if is_misplaced {
         return Err(ApiError::not_run(RefusalReason::KeyMisplaced, id));
     }
     Ok(())
 }
 
-/// All strings of a JSON body with their escapes resolved; empty when it is no JSON.
-fn unescape(body: &[u8]) -> Vec<u8> {
+/// All strings of a JSON body with their escapes resolved; empty if the body is not JSON.
+fn unescaped_strings(body: &[u8]) -> Vec<u8> {
     let Ok(value) = serde_json::from_slice::<serde_json::Value>(body) else { return Vec::new() };
     let mut strings = Vec::new();
     collect_strings(&value, &mut strings);
@@ -112,7 +115,7 @@
     }
 }
 
-/// The caller's idempotency key, if it sent one.
+/// The request's idempotency key, if it has one. Fails if it is malformed, repeated or contains an API key.
 pub fn idempotency_key(headers: &HeaderMap, id: &RequestId) -> Result<Option<SharedName>> {
     let mut values = headers.get_all(IDEMPOTENCY_KEY_HEADER);
     let Some(value) = values.next() else { return Ok(None) };
@@ -125,9 +128,9 @@
     Ok(Some(text.into()))
 }
 
-/// When the caller stops waiting: its own time, at most the service's.
+/// Time until which the caller waits: the timeout in its request, limited to the service's `timeout_ms`.
 #[must_use]
 pub fn request_deadline(headers: &HeaderMap, timeout_ms: u64, now: TimePoint) -> TimePoint {
-    let asked = headers.get(TIMEOUT_HEADER).and_then(|value| value.to_str().ok()?.parse::<u64>().ok());
-    now.plus_ms(asked.map_or(timeout_ms, |asked| asked.min(timeout_ms)))
+    let requested_ms = headers.get(TIMEOUT_HEADER).and_then(|value| value.to_str().ok()?.parse::<u64>().ok());
+    now.plus_ms(requested_ms.map_or(timeout_ms, |requested_ms| requested_ms.min(timeout_ms)))
 }
--- a/crates/daemon/src/http/control_app.rs
+++ b/crates/daemon/src/http/control_app.rs
@@ -1,17 +1,18 @@
-//! Routes of peers, operators and probes.
+//! Routes of the control listener, for peers, operators and probes.
 
 use super::{WorkerState, admin_api, health, key_api, peer_api, secret_guard::has_secret};
 use actix_web::web;
 use pimentoslip_wire::{CLUSTER_SECRET_HEADER, OPERATOR_KEY_HEADER};
 
-const PEER_BYTES_MAX: usize = 64 << 20;
+/// Maximum size of a request body on the control listener.
+const CONTROL_BODY_BYTES_MAX: usize = 64 << 20;
 
-/// Adds the routes. Without the right secret they do not exist.
+/// Adds the routes. Those of peers and operators answer 404 unless the request carries the right secret.
 pub fn configure_control(app: &mut web::ServiceConfig, worker: &WorkerState) {
     let cluster = worker.shared.settings.cluster_secret.clone();
     let operator = worker.shared.settings.operator_key.clone();
-    app.app_data(web::PayloadConfig::new(PEER_BYTES_MAX))
-        .app_data(web::JsonConfig::default().limit(PEER_BYTES_MAX))
+    app.app_data(web::PayloadConfig::new(CONTROL_BODY_BYTES_MAX))
+        .app_data(web::JsonConfig::default().limit(CONTROL_BODY_BYTES_MAX))
         .route("/healthz", web::get().to(health::healthz))
         .route("/readyz", web::get().to(health::readyz))
         .route("/metrics", web::get().to(health::metrics))
--- a/crates/daemon/src/http/engine_api.rs
+++ b/crates/daemon/src/http/engine_api.rs
@@ -1,4 +1,4 @@
-//! Calls to model engines, in the OpenAI-compatible form.
+//! OpenAI-compatible API for calls to model engines.
 
 use super::{
     WorkerState,
@@ -23,10 +23,13 @@
     engine::{CompletionRequest, TokenUsage},
 };
 
-/// Engines run customers' calls before trainers' work.
-const CUSTOMER_PRIORITY: u32 = 50;
+/// Priority of callers' requests, which engines run before the samples of trainers.
+const CALLER_PRIORITY: u32 = 50;
+/// Number of generated tokens assumed for a request without `max_tokens`.
 const EXPECTED_TOKENS: u32 = 256;
+/// Length of the prompt prefix by which upstreams with the same prefix cached are preferred.
 const PREFIX_BYTES: usize = 256;
+/// Maximum size of an answer that is not streamed.
 const ANSWER_BYTES_MAX: usize = 16 << 20;
 const EVENT_STREAM: &str = "text/event-stream";
 
@@ -37,13 +40,13 @@
     payload: web::Payload,
 ) -> Result<HttpResponse> {
     let id = worker.shared.next_request_id();
-    let began = worker.shared.now();
+    let started_at = worker.shared.now();
     let inflight = worker.shared.inflight_guard();
-    let outcome = run(&worker, &request, payload, &id, inflight).await;
-    worker.record_outcome(&id, began, outcome)
+    let outcome = run_completion(&worker, &request, payload, &id, inflight).await;
+    worker.record_outcome(&id, started_at, outcome)
 }
 
-async fn run(
+async fn run_completion(
     worker: &WorkerState,
     request: &HttpRequest,
     payload: web::Payload,
@@ -53,13 +56,13 @@
     let shared = &worker.shared;
     worker.check_draining(id)?;
     let body = read_body(shared, payload, id).await?;
-    let question: CompletionRequest =
+    let completion: CompletionRequest =
         serde_json::from_slice(&body).map_err(|_| ApiError::not_run(RefusalReason::BodyMalformed, id))?;
-    let service = engine_service(worker, &question, id)?;
-    let caller = authenticate(shared, request, &question.model, id)?;
+    let service = engine_service(worker, &completion, id)?;
+    let caller = authenticate(shared, request, &completion.model, id)?;
     check_misplaced_key(shared, request.path(), &body, id)?;
-    let upstream = upstream_request(worker, request, &question, &caller, &service, body, id)?;
-    let admission = admit(worker, &upstream, &caller, &service, &question, id).await?;
+    let upstream = upstream_request(worker, request, &completion, &caller, &service, body, id)?;
+    let admission = admit(worker, &upstream, &caller, &service, &completion, id).await?;
     let dispatched = dispatch(shared, &worker.upstream_client, &upstream).await?;
     if dispatched
         .answer
@@ -71,7 +74,7 @@
             shared: shared.clone(),
             organisation: caller.organisation,
             key: caller.key_id,
-            service: question.model,
+            service: completion.model,
             id: id.clone(),
         };
         let body = StreamBody::new(owner, dispatched.answer, dispatched.guard, admission, inflight);
@@ -80,13 +83,14 @@
             .content_type(EVENT_STREAM)
             .streaming(body));
     }
-    whole_answer(worker, dispatched, &upstream, &admission, id).await
+    buffered_answer(worker, dispatched, &upstream, &admission, id).await
 }
 
-fn engine_service(worker: &WorkerState, question: &CompletionRequest, id: &RequestId) -> Result<ServiceConfig> {
+/// Settings of the requested engine service.
+fn engine_service(worker: &WorkerState, completion: &CompletionRequest, id: &RequestId) -> Result<ServiceConfig> {
     let config = worker.shared.config();
     config
-        .service(&question.model)
+        .service(&completion.model)
         .filter(|service| service.kind == ServiceKind::Engine)
         .cloned()
         .ok_or_else(|| ApiError::not_run(RefusalReason::ServiceUnknown, id))
@@ -95,66 +99,69 @@
 fn upstream_request(
     worker: &WorkerState,
     request: &HttpRequest,
-    question: &CompletionRequest,
+    completion: &CompletionRequest,
     caller: &CallerIdentity,
     service: &ServiceConfig,
     body: Bytes,
     id: &RequestId,
 ) -> Result<UpstreamRequest> {
-    // Completions have no effect outside their answer: an idempotency key is checked but adds nothing.
+    // Completions have no side effects, so an idempotency key is only checked for its form.
     idempotency_key(request.headers(), id)?;
-    let prompt = question.prompt.as_deref().or_else(|| Some(question.messages.first()?.content.as_str())).unwrap_or("");
-    let head = &prompt.as_bytes()[..prompt.len().min(PREFIX_BYTES)];
+    let prompt =
+        completion.prompt.as_deref().or_else(|| Some(completion.messages.first()?.content.as_str())).unwrap_or("");
+    let prompt_prefix = &prompt.as_bytes()[..prompt.len().min(PREFIX_BYTES)];
     Ok(UpstreamRequest {
         id: id.clone(),
         organisation: caller.organisation.clone(),
-        service: question.model.clone(),
+        service: completion.model.clone(),
         method: request.method().clone(),
         path: request.path().to_owned(),
         content_type: Some("application/json".to_owned()),
-        accept: question.stream.then(|| EVENT_STREAM.to_owned()),
+        accept: completion.stream.then(|| EVENT_STREAM.to_owned()),
         fingerprint: fingerprint(&[caller.organisation.as_bytes(), &body]),
-        prefix: Some(fingerprint(&[head])),
+        prefix: Some(fingerprint(&[prompt_prefix])),
         body,
         class: RequestClass::Idempotent,
-        priority: CUSTOMER_PRIORITY,
+        priority: CALLER_PRIORITY,
         deadline: request_deadline(request.headers(), service.timeout_ms, worker.shared.now()),
         inflight_max: service.inflight_per_upstream,
     })
 }
 
+/// Waits until the request is admitted. Fails if its queue is full, its deadline passes, or no upstream is available.
 async fn admit(
     worker: &WorkerState,
     upstream: &UpstreamRequest,
     caller: &CallerIdentity,
     service: &ServiceConfig,
-    question: &CompletionRequest,
+    completion: &CompletionRequest,
     id: &RequestId,
 ) -> Result<AdmissionGuard> {
     let shared = &worker.shared;
     if shared.routes().capacity(&upstream.service, 1) == 0 {
         return Err(ApiError::not_run(RefusalReason::NoUpstream, id));
     }
-    // In order of arrival means: all in one queue.
-    let fair = shared.settings.admission_policy == AdmissionPolicy::Fair;
+    // Under the first-come, first-served policy all requests wait in a single queue without a limit.
+    let is_fair = shared.settings.admission_policy == AdmissionPolicy::Fair;
     let admission = AdmissionRequest {
-        organisation: if fair { caller.organisation.clone() } else { "".into() },
+        organisation: if is_fair { caller.organisation.clone() } else { "".into() },
         weight: caller.weight,
         service: upstream.service.clone(),
-        tokens: u64::from(question.max_tokens.unwrap_or(EXPECTED_TOKENS)),
-        depth_max: if fair { service.queue_depth } else { usize::MAX },
+        tokens: u64::from(completion.max_tokens.unwrap_or(EXPECTED_TOKENS)),
+        depth_max: if is_fair { service.queue_depth } else { usize::MAX },
         inflight_max: service.inflight_per_upstream,
     };
     let left_ms = upstream.deadline.since_ms(shared.now());
-    let entered = AdmissionGate::enter(shared, admission);
-    match actix_rt::time::timeout(std::time::Duration::from_millis(left_ms), entered).await {
+    let admitted = AdmissionGate::enter(shared, admission);
+    match actix_rt::time::timeout(std::time::Duration::from_millis(left_ms), admitted).await {
         Ok(Some(guard)) => Ok(guard),
         Ok(None) => Err(ApiError::not_run(RefusalReason::QueueFull, id)),
         Err(_) => Err(ApiError::not_run(RefusalReason::DeadlinePassed, id)),
     }
 }
 
-async fn whole_answer<S>(
+/// Reads the complete answer, counts its usage and returns it to the caller.
+async fn buffered_answer<S>(
     worker: &WorkerState,
     mut dispatched: Dispatched<S>,
     upstream: &UpstreamRequest,
@@ -165,7 +172,7 @@
     S: Stream<Item = std::result::Result<Bytes, awc::error::PayloadError>> + Unpin,
 {
     #[derive(serde::Deserialize)]
-    struct Answer {
+    struct CompletionAnswer {
         #[serde(default)]
         usage: TokenUsage,
     }
@@ -174,7 +181,7 @@
         return Err(ApiError { reason: RefusalReason::UpstreamLost, run_state: RunState::Ran, request_id: id.clone() });
     };
     dispatched.guard.ran_clean();
-    let tokens = serde_json::from_slice::<Answer>(&body).map_or(0, |answer| answer.usage.completion_tokens);
+    let tokens = serde_json::from_slice::<CompletionAnswer>(&body).map_or(0, |answer| answer.usage.completion_tokens);
     admission.settle(tokens);
     worker.shared.record_usage(&upstream.organisation, &upstream.service, tokens);
     let mut answer = HttpResponse::build(dispatched.answer.status());
--- a/crates/daemon/src/http/key_api.rs
+++ b/crates/daemon/src/http/key_api.rs
@@ -1,4 +1,4 @@
-//! Tenant keys.
+//! Administration of API keys.
 
 use super::{
     WorkerState,
@@ -9,9 +9,10 @@
 use pimentoslip_kernel::{ConfigRecord, KeyEntry, KeySet, RecordName, SharedName};
 use pimentoslip_wire::admin::{KeyBody, KeyListAnswer, KeyRequest};
 
+/// Length of a SHA-256 hash in hexadecimal digits.
 const HASH_CHARS: usize = 64;
 
-/// Handles `POST /keys/create`. The operator's tool draws the key and sends only its hash.
+/// Handles `POST /keys/create`: stores a new key. The operator's tool generates the key and sends only its hash.
 pub async fn create(worker: web::Data<WorkerState>, request: web::Json<KeyRequest>) -> HttpResponse {
     let Some(hash) = request.hash.clone().filter(|hash| hash.len() == HASH_CHARS) else {
         return error_response(&WriteError::Rejected(
@@ -27,26 +28,27 @@
         }
         Err(error) => return error_response(&error),
     }
-    change(&worker, &request, |keys| {
+    change_keys(&worker, &request, |keys| {
         keys.keys.insert(request.key.clone(), KeyEntry { hash: hash.clone(), withdrawn: false });
         Ok(())
     })
     .await
 }
 
-/// Handles `POST /keys/withdraw`.
+/// Handles `POST /keys/withdraw`: makes a key invalid for good.
 pub async fn withdraw(worker: web::Data<WorkerState>, request: web::Json<KeyRequest>) -> HttpResponse {
-    change(&worker, &request, |keys| match keys.keys.get_mut(&request.key) {
+    change_keys(&worker, &request, |keys| match keys.keys.get_mut(&request.key) {
         Some(entry) => {
             entry.withdrawn = true;
             Ok(())
         }
-        None => Err(WriteError::Rejected(format!("unknown key {}; list the keys for their ids", request.key))),
+        None => Err(WriteError::Rejected(format!("unknown key {}; list the keys to see their IDs", request.key))),
     })
     .await
 }
 
-async fn change(
+/// Applies `edit` to the stored keys of an organisation, sends the result to the peers, and returns the response.
+async fn change_keys(
     worker: &WorkerState,
     request: &KeyRequest,
     edit: impl Fn(&mut KeySet) -> Result<(), WriteError>,
@@ -67,18 +69,18 @@
     }
 }
 
-/// Handles `GET /keys`.
+/// Handles `GET /keys`: the cached keys of all organisations, without hashes.
 pub async fn list(worker: web::Data<WorkerState>) -> HttpResponse {
     let config = worker.shared.config();
     let mut keys = Vec::new();
     for entry in config.iter() {
         if let (RecordName::Keys(organisation), ConfigRecord::Keys(set)) = (&entry.name, &*entry.record) {
-            keys.extend(set.keys.iter().map(|(key, entry)| body(organisation, key, entry)));
+            keys.extend(set.keys.iter().map(|(key, entry)| key_body(organisation, key, entry)));
         }
     }
     HttpResponse::Ok().json(KeyListAnswer { keys })
 }
 
-fn body(organisation: &SharedName, key: &SharedName, entry: &KeyEntry) -> KeyBody {
+fn key_body(organisation: &SharedName, key: &SharedName, entry: &KeyEntry) -> KeyBody {
     KeyBody { organisation: organisation.clone(), key: key.clone(), withdrawn: entry.withdrawn }
 }
--- a/crates/daemon/src/http/mod.rs
+++ b/crates/daemon/src/http/mod.rs
@@ -1,4 +1,5 @@
-//! Listeners.
+//! HTTP interfaces: the public listener for callers and trainers, and the control listener for peers, operators and
+//! probes.
 
 mod admin_api;
 mod caller_auth;
--- a/crates/daemon/src/http/peer_api.rs
+++ b/crates/daemon/src/http/peer_api.rs
@@ -1,4 +1,4 @@
-//! Calls of other daemons.
+//! Handles calls from other daemons.
 
 use super::WorkerState;
 use crate::{
@@ -15,65 +15,67 @@
 use serde::Serialize;
 use std::sync::atomic::Ordering;
 
-const MESSAGE_PACK: &str = "application/msgpack";
+const MESSAGE_PACK_TYPE: &str = "application/msgpack";
 
-fn answer<T: Serialize>(message: &T) -> HttpResponse {
+/// Response with an encoded message.
+fn answer_response<T: Serialize>(message: &T) -> HttpResponse {
     match encode(message) {
-        Ok(body) => HttpResponse::Ok().content_type(MESSAGE_PACK).body(body),
+        Ok(body) => HttpResponse::Ok().content_type(MESSAGE_PACK_TYPE).body(body),
         Err(_) => HttpResponse::InternalServerError().finish(),
     }
 }
 
-fn malformed(error: &impl ToString) -> HttpResponse {
+/// Response to a message that cannot be decoded.
+fn malformed_response(error: &impl ToString) -> HttpResponse {
     LogLine::new("peer_message_malformed").field("error", error.to_string()).warn();
     HttpResponse::BadRequest().body(error.to_string())
 }
 
-/// Heartbeat and news.
+/// Handles `POST /peer/exchange`: heartbeat, configuration records and suspect marks.
 pub async fn exchange(worker: web::Data<WorkerState>, body: Bytes) -> HttpResponse {
     match decode::<ExchangeRequest>(&body) {
-        Ok(request) => answer(&answer_exchange(&worker.shared, request)),
-        Err(error) => malformed(&error),
+        Ok(request) => answer_response(&answer_exchange(&worker.shared, request)),
+        Err(error) => malformed_response(&error),
     }
 }
 
-/// Asks for a claim.
+/// Handles `POST /peer/claim`: a request for a claim that this daemon owns.
 pub async fn claim(worker: web::Data<WorkerState>, body: Bytes) -> HttpResponse {
     match decode::<ClaimRequest>(&body) {
         Ok(request) => {
             let response = worker.claim_actor.send(ClaimMessage(request)).await;
-            answer(&response.unwrap_or(ClaimResponse::Unavailable))
+            answer_response(&response.unwrap_or(ClaimResponse::Unavailable))
         }
-        Err(error) => malformed(&error),
+        Err(error) => malformed_response(&error),
     }
 }
 
-/// Settles a grant.
+/// Handles `POST /peer/settle`: the outcome of a claimed request.
 pub async fn settle(worker: web::Data<WorkerState>, body: Bytes) -> HttpResponse {
     match decode::<SettleRequest>(&body) {
         Ok(request) => match worker.claim_actor.send(SettleMessage(request)).await {
-            Ok(()) => answer(&()),
+            Ok(()) => answer_response(&()),
             Err(_) => HttpResponse::ServiceUnavailable().finish(),
         },
-        Err(error) => malformed(&error),
+        Err(error) => malformed_response(&error),
     }
 }
 
-/// Serves a trainer's call whose home is here.
+/// Handles `POST /peer/forward`: a trainer's call for a step that is held by this daemon.
 pub async fn forward(worker: web::Data<WorkerState>, body: Bytes) -> HttpResponse {
     match decode::<ForwardRequest>(&body) {
         Ok(request) => {
             let _inflight = worker.shared.inflight_guard();
-            answer(&worker.steps.serve(request).await)
+            answer_response(&worker.steps.serve(request).await)
         }
-        Err(error) => malformed(&error),
+        Err(error) => malformed_response(&error),
     }
 }
 
-/// Cumulative usage counters.
+/// Handles `POST /peer/totals`: this daemon's cumulative usage counters.
 pub async fn totals(worker: web::Data<WorkerState>) -> HttpResponse {
-    let asked_at = worker.shared.now();
+    let requested_at = worker.shared.now();
     let lines = worker.shared.usage_totals().into_iter().map(TotalsLine::from).collect();
-    worker.shared.totals_requested_at_ms.store(asked_at.0, Ordering::SeqCst);
-    answer(&TotalsAnswer { incarnation: worker.shared.process_name(), lines })
+    worker.shared.totals_requested_at_ms.store(requested_at.0, Ordering::SeqCst);
+    answer_response(&TotalsAnswer { incarnation: worker.shared.process_name(), lines })
 }
--- a/crates/daemon/src/http/plain_api.rs
+++ b/crates/daemon/src/http/plain_api.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services.
+//! Forwards calls to plain HTTP services, under a claim if the caller sends an idempotency key.
 
 use super::{
     WorkerState,
@@ -26,30 +26,32 @@
     peer::{SettleState, StoredAnswer},
 };
 
+/// Priority sent to the upstream with each request.
 const PLAIN_PRIORITY: u32 = 50;
+/// Maximum size of an upstream's answer.
 const ANSWER_BYTES_MAX: usize = 8 << 20;
-/// Answers up to this size are kept for repeats of a claimed request.
+/// Maximum size of an answer that is stored to be replayed when a claimed request is repeated.
 const STORED_BYTES_MAX: usize = 64 << 10;
-/// A claim outlives its request's deadline by this much before its outcome counts as unknown.
+/// Time after the deadline of a claimed request at which its outcome counts as unknown if it has not been settled.
 const CLAIM_MARGIN_MS: u64 = 2_000;
 const PATH_PREFIX: &str = "/services/";
 
 /// Handles every method on `/services/SERVICE/PATH`.
 pub async fn call(worker: web::Data<WorkerState>, request: HttpRequest, payload: web::Payload) -> Result<HttpResponse> {
     let id = worker.shared.next_request_id();
-    let began = worker.shared.now();
+    let started_at = worker.shared.now();
     let inflight = worker.shared.inflight_guard();
     let prepared = prepare(&worker, &request, payload, &id).await;
     let outcome = match prepared {
         Ok(upstream) => {
-            // A caller that hangs up must not stop a request in the middle, so it runs on its own.
-            let task = worker.clone();
-            let run = actix_rt::spawn(async move {
-                let outcome = run(&task, &upstream).await;
+            // The request runs in a task of its own, so that it is not cancelled when the caller disconnects.
+            let task_worker = worker.clone();
+            let run_task = actix_rt::spawn(async move {
+                let outcome = run_request(&task_worker, &upstream).await;
                 drop(inflight);
                 outcome
             });
-            run.await.unwrap_or_else(|_| {
+            run_task.await.unwrap_or_else(|_| {
                 Err(ApiError {
                     reason: RefusalReason::UpstreamLost,
                     run_state: RunState::MayHaveRun,
@@ -59,23 +61,25 @@
         }
         Err(error) => Err(error),
     };
-    let outcome = outcome.map(|answer| reply(&answer.0, answer.1, &id));
-    worker.record_outcome(&id, began, outcome)
+    let outcome = outcome.map(|answer| caller_response(&answer.0, answer.1, &id));
+    worker.record_outcome(&id, started_at, outcome)
 }
 
-fn reply(answer: &StoredAnswer, replayed: bool, id: &RequestId) -> HttpResponse {
+/// Response to the caller. `replayed` says that the answer is from an earlier run of the claimed request.
+fn caller_response(answer: &StoredAnswer, replayed: bool, id: &RequestId) -> HttpResponse {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
-    let mut reply = HttpResponse::build(status);
-    reply.insert_header((REQUEST_ID_HEADER, &**id));
+    let mut response = HttpResponse::build(status);
+    response.insert_header((REQUEST_ID_HEADER, &**id));
     if !answer.content_type.is_empty() {
-        reply.insert_header((CONTENT_TYPE, &*answer.content_type));
+        response.insert_header((CONTENT_TYPE, &*answer.content_type));
     }
     if replayed {
-        reply.insert_header((REPLAYED_HEADER, "true"));
+        response.insert_header((REPLAYED_HEADER, "true"));
     }
-    reply.body(answer.body.clone())
+    response.body(answer.body.clone())
 }
 
+/// Authenticates the caller, reads the body and builds the request for the upstream.
 async fn prepare(
     worker: &WorkerState,
     request: &HttpRequest,
@@ -86,13 +90,13 @@
     worker.check_draining(id)?;
     let (service_name, path) = split_path(request, id)?;
     let service = plain_service(worker, &service_name, id)?;
-    let caller = match is_open(&service, &path) {
+    let caller = match is_open_path(&service, &path) {
         true => CallerIdentity::anonymous(),
         false => authenticate(shared, request, &service_name, id)?,
     };
     let body = read_body(shared, payload, id).await?;
     check_misplaced_key(shared, &path, &body, id)?;
-    let text = |name: HeaderName| Some(request.headers().get(name)?.to_str().ok()?.to_owned());
+    let header_text = |name: HeaderName| Some(request.headers().get(name)?.to_str().ok()?.to_owned());
     let key = idempotency_key(request.headers(), id)?;
     let class = RequestClass::classify(request.method().as_str(), service.repeatable, key.as_deref());
     Ok(UpstreamRequest {
@@ -108,8 +112,8 @@
         service: service_name,
         method: request.method().clone(),
         path,
-        content_type: text(CONTENT_TYPE),
-        accept: text(ACCEPT),
+        content_type: header_text(CONTENT_TYPE),
+        accept: header_text(ACCEPT),
         body,
         class,
         priority: PLAIN_PRIORITY,
@@ -119,23 +123,24 @@
     })
 }
 
-/// Service and the path that the upstream sees, with its query.
+/// Splits the request path into the service and the path, with its query, that the upstream receives.
 fn split_path(request: &HttpRequest, id: &RequestId) -> Result<(SharedName, String)> {
     let unknown = || ApiError::not_run(RefusalReason::ServiceUnknown, id);
-    let full = request.uri().path_and_query().map_or("", |path| path.as_str());
-    let rest = full.strip_prefix(PATH_PREFIX).ok_or_else(unknown)?;
+    let full_path = request.uri().path_and_query().map_or("", |path| path.as_str());
+    let rest = full_path.strip_prefix(PATH_PREFIX).ok_or_else(unknown)?;
     let (service, path) = rest.split_once('/').ok_or_else(unknown)?;
     Ok((service.into(), format!("/{path}")))
 }
 
+/// Settings of the plain service `name`.
 fn plain_service(worker: &WorkerState, name: &str, id: &RequestId) -> Result<ServiceConfig> {
     let config = worker.shared.config();
     let service = config.service(name).filter(|service| service.kind == ServiceKind::Plain);
     service.cloned().ok_or_else(|| ApiError::not_run(RefusalReason::ServiceUnknown, id))
 }
 
-/// Whether a path needs no key. Paths that an upstream might read in another way are never open.
-fn is_open(service: &ServiceConfig, path: &str) -> bool {
+/// Whether a path needs no key. A path that an upstream might interpret differently always needs one.
+fn is_open_path(service: &ServiceConfig, path: &str) -> bool {
     let path = path.split('?').next().unwrap_or("");
     if path.contains("..") || path.contains("//") || path.contains('%') || path.contains('\\') {
         return false;
@@ -145,21 +150,22 @@
     })
 }
 
-/// Runs the request, under a claim if it has an idempotency key. The flag tells a repeated answer.
-async fn run(worker: &WorkerState, request: &UpstreamRequest) -> Result<(StoredAnswer, bool)> {
-    let RequestClass::Claimed(key) = &request.class else { return Ok((exchange(worker, request).await?, false)) };
-    let claim = format!("{}/{}/{key}", request.organisation, request.service).into();
+/// Runs the request, under a claim if it has an idempotency key. The flag is true if the answer is from an earlier run.
+async fn run_request(worker: &WorkerState, request: &UpstreamRequest) -> Result<(StoredAnswer, bool)> {
+    let RequestClass::Claimed(key) = &request.class else { return Ok((forward(worker, request).await?, false)) };
+    let claim_key = format!("{}/{}/{key}", request.organisation, request.service).into();
     let within_ms = request.deadline.since_ms(worker.shared.now()) + CLAIM_MARGIN_MS;
-    let ticket = match worker.claims.claim(claim, request.fingerprint, within_ms, &request.id).await? {
+    let ticket = match worker.claims.claim(claim_key, request.fingerprint, within_ms, &request.id).await? {
         Ok(ticket) => ticket,
         Err(answer) => return Ok((answer, true)),
     };
-    let outcome = exchange(worker, request).await;
-    settle(worker, &ticket, &outcome).await;
+    let outcome = forward(worker, request).await;
+    settle_claim(worker, &ticket, &outcome).await;
     Ok((outcome?, false))
 }
 
-async fn settle(worker: &WorkerState, ticket: &ClaimTicket, outcome: &Result<StoredAnswer>) {
+/// Reports the outcome of a claimed request to the owner of the claim.
+async fn settle_claim(worker: &WorkerState, ticket: &ClaimTicket, outcome: &Result<StoredAnswer>) {
     let state = match outcome {
         Ok(answer) if answer.body.len() <= STORED_BYTES_MAX => SettleState::Ran(answer.clone()),
         Ok(_) => SettleState::Lost,
@@ -169,8 +175,8 @@
     worker.claims.settle(ticket, state).await;
 }
 
-/// Sends the request and reads the whole answer.
-async fn exchange(worker: &WorkerState, request: &UpstreamRequest) -> Result<StoredAnswer> {
+/// Sends the request to an upstream and reads the complete answer.
+async fn forward(worker: &WorkerState, request: &UpstreamRequest) -> Result<StoredAnswer> {
     let client =
         if request.class == RequestClass::Idempotent { &worker.upstream_client } else { &worker.non_idempotent_client };
     let mut dispatched = dispatch(&worker.shared, client, request).await?;
--- a/crates/daemon/src/http/public_app.rs
+++ b/crates/daemon/src/http/public_app.rs
@@ -1,4 +1,4 @@
-//! Routes of callers and trainers.
+//! Routes of the public listener, for callers and trainers.
 
 use super::{engine_api, health, plain_api, trainer_api};
 use crate::api_error::ApiError;
@@ -15,10 +15,11 @@
         .route("/v1/steps/fetch", web::post().to(trainer_api::fetch_samples))
         .route("/v1/weights", web::post().to(trainer_api::publish_weights))
         .route("/services/{path:.*}", web::route().to(plain_api::call))
-        .default_service(web::to(unknown));
+        .default_service(web::to(unknown_route));
 }
 
-async fn unknown(worker: web::Data<super::WorkerState>) -> HttpResponse {
+/// Response to a path without a route.
+async fn unknown_route(worker: web::Data<super::WorkerState>) -> HttpResponse {
     let id = worker.shared.next_request_id();
     worker.shared.metrics.count_refusal(RefusalReason::ServiceUnknown);
     ApiError::not_run(RefusalReason::ServiceUnknown, &id).error_response()
--- a/crates/daemon/src/http/request_body.rs
+++ b/crates/daemon/src/http/request_body.rs
@@ -1,4 +1,4 @@
-//! Reads request bodies within bounds of size and time.
+//! Reads request bodies with limits on size and time.
 
 use crate::{
     api_error::{ApiError, Result},
@@ -9,10 +9,10 @@
 use pimentoslip_kernel::RefusalReason;
 use std::time::Duration;
 
-/// A caller that needs longer to send its body is refused.
+/// Maximum time for which a caller may send its body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Reads the whole body.
+/// Reads the complete body. Fails if it is too large, incomplete or slow.
 pub async fn read_body(shared: &SharedState, payload: Payload, id: &RequestId) -> Result<Bytes> {
     let refuse = |reason| ApiError::not_run(reason, id);
     let read = payload.to_bytes_limited(shared.settings.body_bytes_max);
--- a/crates/daemon/src/http/secret_guard.rs
+++ b/crates/daemon/src/http/secret_guard.rs
@@ -1,11 +1,12 @@
-//! Lets only holders of a secret through.
+//! Checks the secrets of peers and operators.
 
 use actix_web::guard::GuardContext;
 use pimentoslip_kernel::fingerprint;
 
-/// Whether the request carries `secret` in `header`. Compares hashes, so that timing tells nothing.
+/// Whether the request has exactly one `header`, and its value is `secret`. Compares hashes first, so that the duration
+/// of the comparison reveals nothing about the secret.
 pub fn has_secret(context: &GuardContext<'_>, header: &str, secret: &str) -> bool {
-    let mut shown = context.head().headers().get_all(header);
-    let (Some(value), None) = (shown.next(), shown.next()) else { return false };
+    let mut values = context.head().headers().get_all(header);
+    let (Some(value), None) = (values.next(), values.next()) else { return false };
     fingerprint(&[value.as_bytes()]) == fingerprint(&[secret.as_bytes()]) && value.as_bytes() == secret.as_bytes()
 }
--- a/crates/daemon/src/http/trainer_api.rs
+++ b/crates/daemon/src/http/trainer_api.rs
@@ -1,4 +1,4 @@
-//! Trainers' calls: steps and weights.
+//! API for trainers: steps and weights.
 
 use super::{WorkerState, caller_auth::authenticate, request_body::read_body};
 use crate::{
@@ -16,78 +16,80 @@
 use serde::{Serialize, de::DeserializeOwned};
 
 const NAME_CHARS_MAX: usize = 64;
-const FETCH_MAX: usize = 4_096;
+/// Maximum number of samples in the answer to one fetch.
+const FETCH_SAMPLES_MAX: usize = 4_096;
 
-/// Handles `POST /v1/steps`.
+/// Handles `POST /v1/steps`: opens a step.
 pub async fn open_step(
     worker: web::Data<WorkerState>,
     request: HttpRequest,
     payload: web::Payload,
 ) -> Result<HttpResponse> {
     let id = worker.shared.next_request_id();
-    let (began, _inflight) = (worker.shared.now(), worker.shared.inflight_guard());
+    let (started_at, _inflight) = (worker.shared.now(), worker.shared.inflight_guard());
     let outcome = async {
-        let open: OpenRequest = parse(&worker, payload, &id).await?;
-        check_name(&open.trainer, &id)?;
-        check_engine(&worker, &open.service, &id)?;
-        let caller = authenticate(&worker.shared, &request, &open.service, &id)?;
-        let answer = worker.steps.open(caller.organisation, open, &id).await?;
-        Ok(json(&answer, &id))
+        let open_request: OpenRequest = parse_body(&worker, payload, &id).await?;
+        check_name(&open_request.trainer, &id)?;
+        check_engine(&worker, &open_request.service, &id)?;
+        let caller = authenticate(&worker.shared, &request, &open_request.service, &id)?;
+        let answer = worker.steps.open(caller.organisation, open_request, &id).await?;
+        Ok(json_response(&answer, &id))
     };
     let outcome = outcome.await;
-    worker.record_outcome(&id, began, outcome)
+    worker.record_outcome(&id, started_at, outcome)
 }
 
-/// Handles `POST /v1/steps/fetch`.
+/// Handles `POST /v1/steps/fetch`: returns finished samples of a step.
 pub async fn fetch_samples(
     worker: web::Data<WorkerState>,
     request: HttpRequest,
     payload: web::Payload,
 ) -> Result<HttpResponse> {
     let id = worker.shared.next_request_id();
-    let (began, _inflight) = (worker.shared.now(), worker.shared.inflight_guard());
+    let (started_at, _inflight) = (worker.shared.now(), worker.shared.inflight_guard());
     let outcome = async {
-        let mut fetch: FetchRequest = parse(&worker, payload, &id).await?;
-        check_name(&fetch.trainer, &id)?;
-        fetch.max = fetch.max.clamp(1, FETCH_MAX);
-        let caller = authenticate_any(&worker, &request, &id)?;
-        let answer = worker.steps.fetch(caller, fetch, &id).await?;
-        Ok(json(&answer, &id))
+        let mut fetch_request: FetchRequest = parse_body(&worker, payload, &id).await?;
+        check_name(&fetch_request.trainer, &id)?;
+        fetch_request.max = fetch_request.max.clamp(1, FETCH_SAMPLES_MAX);
+        let organisation = authenticate_any(&worker, &request, &id)?;
+        let answer = worker.steps.fetch(organisation, fetch_request, &id).await?;
+        Ok(json_response(&answer, &id))
     };
     let outcome = outcome.await;
-    worker.record_outcome(&id, began, outcome)
+    worker.record_outcome(&id, started_at, outcome)
 }
 
-/// Handles `POST /v1/weights`.
+/// Handles `POST /v1/weights`: publishes a weight version of an engine service.
 pub async fn publish_weights(
     worker: web::Data<WorkerState>,
     request: HttpRequest,
     payload: web::Payload,
 ) -> Result<HttpResponse> {
     let id = worker.shared.next_request_id();
-    let (began, _inflight) = (worker.shared.now(), worker.shared.inflight_guard());
+    let (started_at, _inflight) = (worker.shared.now(), worker.shared.inflight_guard());
     let outcome = async {
-        let publish: PublishRequest = parse(&worker, payload, &id).await?;
-        check_engine(&worker, &publish.service, &id)?;
-        authenticate(&worker.shared, &request, &publish.service, &id)?;
-        let version = record_version(&worker, &publish, &id).await?;
-        Ok(json(&PublishAnswer { version }, &id))
+        let publish_request: PublishRequest = parse_body(&worker, payload, &id).await?;
+        check_engine(&worker, &publish_request.service, &id)?;
+        authenticate(&worker.shared, &request, &publish_request.service, &id)?;
+        let version = store_version(&worker, &publish_request, &id).await?;
+        Ok(json_response(&PublishAnswer { version }, &id))
     };
     let outcome = outcome.await;
-    worker.record_outcome(&id, began, outcome)
+    worker.record_outcome(&id, started_at, outcome)
 }
 
-/// Raises the published version on record; a lower one changes nothing.
-async fn record_version(worker: &WorkerState, publish: &PublishRequest, id: &RequestId) -> Result<u64> {
-    let name = RecordName::Weights(publish.service.clone());
+/// Raises the stored published version and returns the version in effect. A lower version than the stored one changes
+/// nothing.
+async fn store_version(worker: &WorkerState, publish_request: &PublishRequest, id: &RequestId) -> Result<u64> {
+    let name = RecordName::Weights(publish_request.service.clone());
     let writer = ConfigWriter::new(&worker.kv, &worker.shared);
     let written = writer
         .update(&name, &id.shared(), |stored| {
-            let known = match stored {
+            let stored_version = match stored {
                 Some(ConfigRecord::Weights(version)) => *version,
                 _ => 0,
             };
-            Ok((publish.version > known).then_some(ConfigRecord::Weights(publish.version)))
+            Ok((publish_request.version > stored_version).then_some(ConfigRecord::Weights(publish_request.version)))
         })
         .await
         .map_err(|_| ApiError::not_run(RefusalReason::PeerUnreachable, id))?;
@@ -95,10 +97,10 @@
         worker.shared.apply_records(vec![entry.clone()], 0);
         push_records(&worker.shared, &worker.peers, vec![entry]).await;
     }
-    Ok(worker.shared.config().published_version(&publish.service).max(publish.version))
+    Ok(worker.shared.config().published_version(&publish_request.service).max(publish_request.version))
 }
 
-/// The organisation of a key, whatever service it is granted.
+/// Organisation of the caller, whichever service its key is granted. Fails if it is granted none.
 fn authenticate_any(
     worker: &WorkerState,
     request: &HttpRequest,
@@ -108,32 +110,35 @@
     let mut outcome = Err(ApiError::not_run(RefusalReason::ServiceForbidden, id));
     for service in services {
         outcome = authenticate(&worker.shared, request, &service, id).map(|caller| caller.organisation);
-        let forbidden = outcome.as_ref().is_err_and(|error| error.reason == RefusalReason::ServiceForbidden);
-        if !forbidden {
+        let is_forbidden = outcome.as_ref().is_err_and(|error| error.reason == RefusalReason::ServiceForbidden);
+        if !is_forbidden {
             return outcome;
         }
     }
     outcome
 }
 
-async fn parse<T: DeserializeOwned>(worker: &WorkerState, payload: web::Payload, id: &RequestId) -> Result<T> {
+/// Reads and parses the JSON body, unless the daemon refuses requests.
+async fn parse_body<T: DeserializeOwned>(worker: &WorkerState, payload: web::Payload, id: &RequestId) -> Result<T> {
     worker.check_draining(id)?;
     let body = read_body(&worker.shared, payload, id).await?;
     serde_json::from_slice(&body).map_err(|_| ApiError::not_run(RefusalReason::BodyMalformed, id))
 }
 
+/// Refuses a trainer name that is empty, too long or has other characters than letters, digits and `-`.
 fn check_name(name: &str, id: &RequestId) -> Result<()> {
-    let valid =
+    let is_valid =
         !name.is_empty() && name.len() <= NAME_CHARS_MAX && name.chars().all(|c| c.is_ascii_alphanumeric() || c == '-');
-    if valid { Ok(()) } else { Err(ApiError::not_run(RefusalReason::BodyMalformed, id)) }
+    if is_valid { Ok(()) } else { Err(ApiError::not_run(RefusalReason::BodyMalformed, id)) }
 }
 
+/// Refuses a service that is unknown or not an engine.
 fn check_engine(worker: &WorkerState, service: &str, id: &RequestId) -> Result<()> {
     let config = worker.shared.config();
-    let engine = config.service(service).is_some_and(|service| service.kind == ServiceKind::Engine);
-    if engine { Ok(()) } else { Err(ApiError::not_run(RefusalReason::ServiceUnknown, id)) }
+    let is_engine = config.service(service).is_some_and(|service| service.kind == ServiceKind::Engine);
+    if is_engine { Ok(()) } else { Err(ApiError::not_run(RefusalReason::ServiceUnknown, id)) }
 }
 
-fn json<T: Serialize>(answer: &T, id: &RequestId) -> HttpResponse {
+fn json_response<T: Serialize>(answer: &T, id: &RequestId) -> HttpResponse {
     HttpResponse::Ok().insert_header((REQUEST_ID_HEADER, &**id)).json(answer)
 }
--- a/crates/daemon/src/http/worker_state.rs
+++ b/crates/daemon/src/http/worker_state.rs
@@ -1,4 +1,4 @@
-//! What one serving thread holds.
+//! State and clients of one thread that serves requests.
 
 use crate::{
     api_error::Result,
@@ -16,30 +16,30 @@
 use pimentoslip_telemetry::LogLine;
 use std::sync::{Arc, atomic::Ordering};
 
-/// Clients belong to their thread; the rest is shared.
+/// State of one serving thread: its own clients, and references to the state and actors of the daemon.
 pub struct WorkerState {
-    /// State of the daemon.
+    /// State shared by the whole daemon.
     pub shared: Arc<SharedState>,
-    /// Client for upstreams.
+    /// Client for requests that may be repeated, which reuses connections to upstreams.
     pub upstream_client: Client,
-    /// Client for requests that may run once, which keeps no connection open.
+    /// Client for requests that must not run twice, whose connections are never reused.
     pub non_idempotent_client: Client,
     /// Client for peers.
     pub peers: PeerClient,
     /// Client for the key-value service.
     pub kv: EtcdClient,
-    /// Way to claims.
+    /// Sends claims to the daemon that owns them.
     pub claims: ClaimGate,
-    /// This daemon's own claims.
+    /// Actor that holds the claims owned by this daemon.
     pub claim_actor: Addr<ClaimActor<EtcdClient>>,
-    /// Way to steps.
+    /// Sends trainers' calls to the daemon that holds the step.
     pub steps: StepGate,
-    /// This daemon's own steps.
+    /// Actor that holds the steps of this daemon.
     pub step_actor: Addr<StepActor>,
 }
 
 impl WorkerState {
-    /// Creates the clients of a thread.
+    /// Creates the state of a thread, with new clients.
     #[must_use]
     pub fn new(
         shared: Arc<SharedState>,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Refuses new work once the balancer had time to notice that this daemon leaves.
+    /// Refuses a new request if this daemon is shutting down and the balancer has had time to notice.
     pub fn check_draining(&self, id: &RequestId) -> Result<()> {
         if self.shared.refusing_requests.load(Ordering::SeqCst) {
             return Err(crate::api_error::ApiError::not_run(RefusalReason::Draining, id));
@@ -68,14 +68,14 @@
         Ok(())
     }
 
-    /// Counts and logs the outcome of a caller's request.
+    /// Counts and logs the outcome of a caller's request, and returns it.
     pub fn record_outcome(
         &self,
         id: &RequestId,
-        began: TimePoint,
+        started_at: TimePoint,
         outcome: Result<HttpResponse>,
     ) -> Result<HttpResponse> {
-        let took_ms = self.shared.now().since_ms(began);
+        let took_ms = self.shared.now().since_ms(started_at);
         let line = LogLine::new("request").field("request_id", &**id).field("ms", took_ms);
         self.shared.metrics.latency_seconds.observe(took_ms as f64 / 1_000.0);
         match &outcome {
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,4 +1,4 @@
-//! The daemon: one on each entry VM, all alike.
+//! The daemon that serves callers and trainers. One runs on each entry VM, and any of them can serve any call.
 
 mod admission_gate;
 mod api_error;
--- a/crates/daemon/src/metric_set.rs
+++ b/crates/daemon/src/metric_set.rs
@@ -10,46 +10,46 @@
 
 const LATENCY_BUCKETS_SECONDS: [f64; 10] = [0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1.0, 3.0, 10.0, 60.0];
 
-/// Labels a counter by its reason.
+/// Label of counters by reason.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ReasonLabel {
-    /// Code from the documented list.
+    /// Code of the reason, from the documented list.
     pub reason: &'static str,
 }
 
-/// Labels a counter by service.
+/// Label of counters by service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ServiceLabel {
-    /// Service.
+    /// Name of the service.
     pub service: String,
 }
 
-/// All counters and gauges.
+/// Metrics of a daemon, with the registry that exports them.
 pub struct MetricSet {
     registry: Mutex<Registry>,
     refusals: Family<ReasonLabel, Counter>,
     retries: Family<ReasonLabel, Counter>,
     requests: Family<ServiceLabel, Counter>,
     tokens: Family<ServiceLabel, Counter>,
-    /// Time to the first byte of an answer.
+    /// Time from a request to the first byte of its answer.
     pub latency_seconds: Histogram,
-    /// Calls to the key-value service.
+    /// Number of calls to the key-value service, copied from its counter before each export.
     pub kv_calls: Gauge,
-    /// Requests being served.
+    /// Number of requests being served, copied from its counter before each export.
     pub inflight: Gauge,
     /// Group commits of claims.
     pub claim_commits: Counter,
-    /// Claims in them.
+    /// Claims stored by these group commits.
     pub claims: Counter,
-    /// Samples delivered.
+    /// Samples delivered to trainers.
     pub samples: Counter,
-    /// Tokens generated in vain.
+    /// Generated tokens of discarded samples.
     pub wasted_tokens: Counter,
     /// Orders sent to the provider.
     pub orders: Counter,
     /// Usage reports sent to the provider.
     pub usage_reports: Counter,
-    /// Revision of the configuration in force.
+    /// Newest revision of the cached configuration.
     pub config_revision: Gauge,
     /// Bytes sent and received in exchanges with peers.
     pub exchange_bytes: Counter,
@@ -87,24 +87,24 @@
 }
 
 impl MetricSet {
-    /// Counts a refusal.
+    /// Counts a refused request.
     pub fn count_refusal(&self, reason: RefusalReason) {
         self.refusals.get_or_create(&ReasonLabel { reason: reason.code() }).inc();
     }
 
-    /// Counts a retry.
+    /// Counts a repeated attempt.
     pub fn count_retry(&self, reason: RetryReason) {
         self.retries.get_or_create(&ReasonLabel { reason: reason.code() }).inc();
     }
 
-    /// Counts an answered request.
+    /// Counts an answered request and its generated tokens.
     pub fn count_answer(&self, service: &SharedName, tokens: u64) {
         let label = ServiceLabel { service: service.to_string() };
         self.requests.get_or_create(&label).inc();
         self.tokens.get_or_create(&label).inc_by(tokens);
     }
 
-    /// The text form that scrapers read.
+    /// Encodes all metrics in the OpenMetrics text format.
     #[must_use]
     pub fn encode(&self) -> String {
         let mut text = String::new();
@@ -114,9 +114,10 @@
         text
     }
 
+    /// Registers every metric under its exported name.
     fn register(&self) {
         let mut registry = self.registry.lock().unwrap_or_else(PoisonError::into_inner);
-        // Every reason is listed from the start, so that its counter can be watched before it first rises.
+        // Every reason is exported from the start, so that its counter can be monitored before its first increment.
         for reason in RefusalReason::ALL {
             drop(self.refusals.get_or_create(&ReasonLabel { reason: reason.code() }));
         }
--- a/crates/daemon/src/running_daemon.rs
+++ b/crates/daemon/src/running_daemon.rs
@@ -1,4 +1,4 @@
-//! Starts a daemon and stops it gracefully.
+//! Starts a daemon and shuts it down gracefully.
 
 use crate::{
     DaemonSettings,
@@ -25,29 +25,33 @@
 
 const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
 const KEEP_ALIVE: Duration = Duration::from_secs(30);
-const POLL: Duration = Duration::from_millis(20);
-/// Longest wait for another daemon to take the reporting duty over and gather.
-const GATHER_MS: u64 = 15_000;
+/// Interval at which a shutdown checks whether it may proceed.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum time for which a shutdown waits until another daemon has taken over the reporting duty and collected the
+/// usage counters.
+const USAGE_COLLECTION_TIMEOUT_MS: u64 = 15_000;
 const SERVER_STOP_SECONDS: u64 = 5;
 
-/// A daemon that serves.
+/// Started daemon.
 pub struct RunningDaemon {
     shared: Arc<SharedState>,
+    /// Bound address of the public listener.
     public: SocketAddr,
+    /// Bound address of the control listener.
     control: SocketAddr,
     public_server: ServerHandle,
     control_server: ServerHandle,
-    orders: Addr<PeriodicActor<OrderTask>>,
-    usage: Addr<PeriodicActor<UsageTask>>,
+    order_task: Addr<PeriodicActor<OrderTask>>,
+    usage_task: Addr<PeriodicActor<UsageTask>>,
 }
 
-/// Binds both listeners and starts all parts on the current system.
+/// Binds both listeners and starts the actors, tasks and servers on the current actix system.
 pub async fn start(settings: DaemonSettings) -> Result<RunningDaemon> {
     let shared = SharedState::new(settings);
     let settings = &shared.settings;
-    let public = bind(settings.listen_address, "--listen")?;
-    let control = bind(settings.control_listen_address, "--control-listen")?;
-    let (public_address, control_address) = (public.local_addr()?, control.local_addr()?);
+    let public_listener = bind(settings.listen_address, "--listen")?;
+    let control_listener = bind(settings.control_listen_address, "--control-listen")?;
+    let (public_address, control_address) = (public_listener.local_addr()?, control_listener.local_addr()?);
     shared.set_control_address(control_address.to_string().into());
 
     let kv = EtcdClient::new(settings.kv_address.clone(), shared.kv_calls.clone());
@@ -62,9 +66,9 @@
     let steps = StepActor::new(shared.clone()).start();
     PeriodicActor::new(DiscoveryTask::new(shared.clone(), provider.clone())).start();
     PeriodicActor::new(ExchangeTask::new(shared.clone(), peers.clone(), kv.clone())).start();
-    let orders = PeriodicActor::new(OrderTask::new(shared.clone(), kv.clone(), provider.clone())).start();
-    let usage = PeriodicActor::new(UsageTask::new(shared.clone(), kv, peers.clone(), provider)).start();
-    actix_rt::spawn(share_suspicions(shared.clone(), peers));
+    let order_task = PeriodicActor::new(OrderTask::new(shared.clone(), kv.clone(), provider.clone())).start();
+    let usage_task = PeriodicActor::new(UsageTask::new(shared.clone(), kv, peers.clone(), provider)).start();
+    actix_rt::spawn(push_suspects(shared.clone(), peers));
 
     let state = shared.clone();
     let (claim_actor, step_actor) = (claims.clone(), steps.clone());
@@ -78,7 +82,7 @@
     .keep_alive(KEEP_ALIVE)
     .shutdown_timeout(SERVER_STOP_SECONDS)
     .disable_signals()
-    .listen(public)?
+    .listen(public_listener)?
     .run();
 
     let state = shared.clone();
@@ -91,7 +95,7 @@
     .keep_alive(KEEP_ALIVE)
     .shutdown_timeout(SERVER_STOP_SECONDS)
     .disable_signals()
-    .listen(control)?
+    .listen(control_listener)?
     .run();
 
     let daemon = RunningDaemon {
@@ -99,8 +103,8 @@
         control: control_address,
         public_server: public_server.handle(),
         control_server: control_server.handle(),
-        orders,
-        usage,
+        order_task,
+        usage_task,
         shared,
     };
     actix_rt::spawn(public_server);
@@ -114,8 +118,8 @@
     Ok(daemon)
 }
 
-/// Tells peers of a suspected request before it reaches them.
-async fn share_suspicions(shared: Arc<SharedState>, peers: PeerClient) {
+/// Sends the marks of suspected requests to the peers at once, because a retry of the request may reach them next.
+async fn push_suspects(shared: Arc<SharedState>, peers: PeerClient) {
     loop {
         shared.suspect_added.notified().await;
         push_records(&shared, &peers, Vec::new()).await;
@@ -127,48 +131,50 @@
 }
 
 impl RunningDaemon {
-    /// Address for callers.
+    /// Bound address of the public listener.
     #[must_use]
     pub fn public_address(&self) -> SocketAddr {
         self.public
     }
 
-    /// Address for peers and operators.
+    /// Bound address of the control listener.
     #[must_use]
     pub fn control_address(&self) -> SocketAddr {
         self.control
     }
 
-    /// Waits until an operator asks the daemon to leave.
+    /// Waits until an operator requests the daemon to drain.
     pub async fn wait_for_drain_request(&self) {
         self.shared.drain_requested.notified().await;
     }
 
-    /// Waits until the reporter has this daemon's last usage counters, as long as there may be a reporter.
-    async fn wait_gathered(&self) {
-        let counted = self.shared.now();
-        let deadline = counted.plus_ms(GATHER_MS);
-        let gathered = || self.shared.totals_requested_at_ms.load(Ordering::SeqCst) > counted.0;
-        while !gathered() && self.shared.members().active_names().len() > 1 && self.shared.now() < deadline {
-            actix_rt::time::sleep(POLL).await;
+    /// Waits until the holder of the reporting duty has collected this daemon's last usage counters. Does not wait when
+    /// no other daemon is running.
+    async fn wait_for_usage_collection(&self) {
+        let counted_at = self.shared.now();
+        let deadline = counted_at.plus_ms(USAGE_COLLECTION_TIMEOUT_MS);
+        let is_collected = || self.shared.totals_requested_at_ms.load(Ordering::SeqCst) > counted_at.0;
+        while !is_collected() && self.shared.members().active_names().len() > 1 && self.shared.now() < deadline {
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Leaves the balancer, gives duties up, waits for every request, and stops.
+    /// Shuts the daemon down: lets the balancer notice, refuses new requests, gives up its duties, waits for the
+    /// running requests and the collection of the usage counters, and stops the servers.
     pub async fn shut_down(self) {
         let settings = &self.shared.settings;
         LogLine::new("draining").field("inflight", self.shared.inflight_count()).info();
         self.shared.draining.store(true, Ordering::SeqCst);
         actix_rt::time::sleep(Duration::from_millis(settings.drain_grace_ms)).await;
         self.shared.refusing_requests.store(true, Ordering::SeqCst);
-        // An actor that has gone holds no duty.
-        let _ = self.orders.send(StopMessage).await;
-        let _ = self.usage.send(StopMessage).await;
+        // An actor that has already stopped holds no duty.
+        let _ = self.order_task.send(StopMessage).await;
+        let _ = self.usage_task.send(StopMessage).await;
         let deadline = self.shared.now().plus_ms(settings.drain_timeout_ms);
         while self.shared.inflight_count() > 0 && self.shared.now() < deadline {
-            actix_rt::time::sleep(POLL).await;
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
-        self.wait_gathered().await;
+        self.wait_for_usage_collection().await;
         LogLine::new("stopping").field("inflight", self.shared.inflight_count()).info();
         self.public_server.stop(true).await;
         self.control_server.stop(true).await;
--- a/crates/daemon/src/shared_state.rs
+++ b/crates/daemon/src/shared_state.rs
@@ -1,4 +1,4 @@
-//! What all parts of a daemon share.
+//! State shared by the listeners and the background tasks of a daemon.
 
 use crate::{
     DaemonSettings, admission_gate::AdmissionGate, metric_set::MetricSet, request_id::RequestId, upstream::RunningTable,
@@ -18,60 +18,66 @@
     },
 };
 
-/// One duty's standing, for the status page.
+/// State and fencing number of each duty, as shown on the status page.
 pub type DutyStates = BTreeMap<SharedName, (&'static str, Option<u64>)>;
 
-/// State shared between listeners and periodic tasks. Locks are held for a decision, never across a wait.
+/// State shared by the listeners and the background tasks. A lock is only held for one decision, never across an
+/// `await`.
 pub struct SharedState {
-    /// Settings.
+    /// Settings of this daemon.
     pub settings: DaemonSettings,
-    /// Clock for everything with an owner.
+    /// Clock of all deadlines and leases; it also counts the time for which the VM was suspended.
     pub clock: Arc<OwnerClock>,
-    /// Incarnation of this process.
+    /// Incarnation of this process: its start time in Unix milliseconds, which grows with each start.
     pub incarnation: u64,
-    /// Metrics.
+    /// Metrics of this daemon.
     pub metrics: MetricSet,
-    /// Requests waiting for their turn.
+    /// Queues of requests that wait for capacity on an upstream.
     pub admission_gate: AdmissionGate,
     /// Requests in flight on upstreams.
     pub running_requests: RunningTable,
-    /// Calls to the key-value service.
+    /// Number of calls to the key-value service.
     pub kv_calls: Arc<AtomicU64>,
-    /// A request has come under suspicion, which peers should know at once.
+    /// Notified when a request becomes suspected of crashing upstreams, so that its mark is sent to the peers at once.
     pub suspect_added: tokio::sync::Notify,
-    /// Whether this daemon leaves.
+    /// Whether this daemon is shutting down. Its readiness probe then fails, and it acquires no duties.
     pub draining: AtomicBool,
-    /// An operator asked the daemon to leave.
+    /// Notified when an operator requests this daemon to drain.
     pub drain_requested: tokio::sync::Notify,
-    /// Whether new work is refused.
+    /// Whether new requests are refused, which starts some time after the readiness probe fails.
     pub refusing_requests: AtomicBool,
-    /// Whether this daemon saw itself on the VM list.
+    /// Whether the last VM list contained this daemon.
     pub is_listed: AtomicBool,
-    /// VM list as last read: live entry VMs by name.
+    /// Control addresses of the daemons on the VM list, by name.
     pub listed_daemons: Mutex<BTreeMap<SharedName, SharedName>>,
-    /// When the reporter last asked for this daemon's usage counters, in milliseconds.
+    /// When the holder of the reporting duty last requested this daemon's usage counters, by `clock`; 0 if never.
     pub totals_requested_at_ms: AtomicU64,
-    /// Standing of duties.
+    /// States of the duties, for the status page.
     pub duty_states: Mutex<DutyStates>,
-    control: OnceLock<SharedName>,
+    /// Address of the control listener, set once it is bound.
+    control_address: OnceLock<SharedName>,
     config: RwLock<ConfigView>,
     freshness: Mutex<FreshnessTable>,
     members: Mutex<MemberTable>,
     routes: Mutex<RouteTable>,
     suspects: Mutex<SuspectTable>,
-    budgets: Mutex<HashMap<(SharedName, SharedName), RetryBudget>>,
+    /// Retry budgets by organisation and service.
+    retry_budgets: Mutex<HashMap<(SharedName, SharedName), RetryBudget>>,
     usage: Mutex<UsageMeter>,
     rng: Mutex<SmallRng>,
-    requests: AtomicU64,
-    inflight: AtomicI64,
+    /// Number of request IDs issued.
+    request_count: AtomicU64,
+    /// Number of requests being served.
+    inflight_count: AtomicI64,
 }
 
+/// Locks `mutex`, even if another thread panicked while it held the lock.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl SharedState {
-    /// Creates the state of a daemon that knows nothing yet.
+    /// Creates the state of a daemon that has received no configuration, members or upstreams yet.
     #[must_use]
     pub fn new(settings: DaemonSettings) -> Arc<Self> {
         let clock = Arc::new(OwnerClock::default());
@@ -92,34 +98,34 @@
             listed_daemons: Mutex::default(),
             totals_requested_at_ms: AtomicU64::new(0),
             duty_states: Mutex::default(),
-            control: OnceLock::new(),
+            control_address: OnceLock::new(),
             config: RwLock::default(),
             freshness: Mutex::default(),
             members: Mutex::new(members),
             routes: Mutex::new(routes),
             suspects: Mutex::default(),
-            budgets: Mutex::default(),
+            retry_budgets: Mutex::default(),
             usage: Mutex::default(),
             rng: Mutex::new(SmallRng::from_os_rng()),
-            requests: AtomicU64::new(0),
-            inflight: AtomicI64::new(0),
+            request_count: AtomicU64::new(0),
+            inflight_count: AtomicI64::new(0),
             settings,
         })
     }
 
-    /// The present time.
+    /// Current time of `clock`.
     #[must_use]
     pub fn now(&self) -> TimePoint {
         self.clock.now()
     }
 
-    /// Remembers the bound address of the control listener.
-    pub fn set_control_address(&self, control: SharedName) {
-        // It is bound once; a second call would change nothing.
-        let _ = self.control.set(control);
+    /// Sets the bound address of the control listener.
+    pub fn set_control_address(&self, address: SharedName) {
+        // The listener is bound once; a second call would have no effect.
+        let _ = self.control_address.set(address);
     }
 
-    /// This daemon as told to peers.
+    /// This daemon as reported to its peers.
     #[must_use]
     pub fn own_member(&self) -> MemberBody {
         let state = if self.draining.load(Ordering::SeqCst) { MemberState::Leaving } else { MemberState::Alive };
@@ -127,129 +133,130 @@
             name: self.settings.name.clone(),
             incarnation: self.incarnation,
             failure_domain: self.settings.failure_domain.clone(),
-            control: self.control.get().cloned().unwrap_or_else(|| "".into()),
+            control: self.control_address.get().cloned().unwrap_or_else(|| "".into()),
             state,
         }
     }
 
-    /// `NAME/INCARNATION` of this process.
+    /// Name of this process, `NAME/INCARNATION`, which differs between starts of the daemon.
     #[must_use]
     pub fn process_name(&self) -> SharedName {
         format!("{}/{}", self.settings.name, self.incarnation).into()
     }
 
-    /// A new request id.
+    /// New request ID, unique in the site.
     #[must_use]
     pub fn next_request_id(&self) -> RequestId {
-        let count = self.requests.fetch_add(1, Ordering::Relaxed);
-        RequestId::new(format!("{}-{:x}-{count}", self.settings.name, self.incarnation))
+        let number = self.request_count.fetch_add(1, Ordering::Relaxed);
+        RequestId::new(format!("{}-{:x}-{number}", self.settings.name, self.incarnation))
     }
 
-    /// Configuration in force.
+    /// Cached configuration.
     pub fn config(&self) -> RwLockReadGuard<'_, ConfigView> {
         self.config.read().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Applies records and the revision up to which they are complete. Records that were new.
+    /// Applies configuration records. `complete` is the revision up to which the sender holds all records, or 0 if
+    /// `entries` are only some of them. Returns the records that were newer than the cached ones.
     pub fn apply_records(&self, entries: Vec<RecordEntry>, complete: u64) -> Vec<RecordEntry> {
         let mut view = self.config.write().unwrap_or_else(PoisonError::into_inner);
-        let new = entries.into_iter().filter(|entry| view.apply(entry.clone())).collect();
+        let applied = entries.into_iter().filter(|entry| view.apply(entry.clone())).collect();
         view.revision_completed(complete);
         self.metrics.config_revision.set(i64::try_from(view.newest_revision()).unwrap_or(i64::MAX));
-        new
+        applied
     }
 
-    /// Freshness of the configuration.
+    /// Freshness of the cached configuration.
     pub fn freshness(&self) -> MutexGuard<'_, FreshnessTable> {
         lock(&self.freshness)
     }
 
-    /// Whether keys may be trusted now.
+    /// Whether the cached configuration, and with it the keys, may be used now.
     #[must_use]
     pub fn is_config_fresh(&self) -> bool {
         let now = self.now();
         self.freshness().is_fresh(now)
     }
 
-    /// Other daemons.
+    /// The other daemons of the site.
     pub fn members(&self) -> MutexGuard<'_, MemberTable> {
         lock(&self.members)
     }
 
-    /// The member called `name`, unless it is this daemon.
+    /// The other daemon called `name`; `None` if it is not a member or is this daemon.
     #[must_use]
     pub fn member(&self, name: &str) -> Option<MemberEntry> {
         self.members().get(name).cloned()
     }
 
-    /// Upstreams.
+    /// Upstreams, with their load and health.
     pub fn routes(&self) -> MutexGuard<'_, RouteTable> {
         lock(&self.routes)
     }
 
-    /// Requests under suspicion.
+    /// Requests that are suspected of crashing upstreams.
     pub fn suspects(&self) -> MutexGuard<'_, SuspectTable> {
         lock(&self.suspects)
     }
 
-    /// Acts on the retry budget of an organisation at a service.
+    /// Calls `act` with the retry budget of an organisation at a service and returns its result.
     pub fn with_retry_budget<R>(
         &self,
         organisation: &SharedName,
         service: &SharedName,
         act: impl FnOnce(&mut RetryBudget) -> R,
     ) -> R {
-        act(lock(&self.budgets).entry((organisation.clone(), service.clone())).or_default())
+        act(lock(&self.retry_budgets).entry((organisation.clone(), service.clone())).or_default())
     }
 
-    /// Counts usage.
+    /// Counts an answered request and its generated tokens as usage of an organisation.
     pub fn record_usage(&self, organisation: &SharedName, service: &SharedName, tokens: u64) {
         let key = UsageKey { organisation: organisation.clone(), service: service.clone() };
         lock(&self.usage).record(key, UsageCount { requests: 1, tokens });
         self.metrics.count_answer(service, tokens);
     }
 
-    /// Cumulative usage.
+    /// Usage since the start of this process, by organisation and service.
     #[must_use]
     pub fn usage_totals(&self) -> Vec<(UsageKey, UsageCount)> {
         lock(&self.usage).totals()
     }
 
-    /// Acts with the daemon's random numbers.
+    /// Calls `act` with the daemon's random number generator and returns its result.
     pub fn with_rng<R>(&self, act: impl FnOnce(&mut SmallRng) -> R) -> R {
         act(&mut lock(&self.rng))
     }
 
-    /// Draws a number.
+    /// A random number.
     #[must_use]
     pub fn random_u64(&self) -> u64 {
         self.with_rng(|rng| rng.random())
     }
 
-    /// Counts a request that begins; see [`InflightGuard`].
+    /// Counts a request as being served until the returned guard is dropped.
     #[must_use]
     pub fn inflight_guard(self: &Arc<Self>) -> InflightGuard {
-        self.inflight.fetch_add(1, Ordering::SeqCst);
+        self.inflight_count.fetch_add(1, Ordering::SeqCst);
         InflightGuard(self.clone())
     }
 
-    /// Requests being served.
+    /// Number of requests being served.
     #[must_use]
     pub fn inflight_count(&self) -> i64 {
-        self.inflight.load(Ordering::SeqCst)
+        self.inflight_count.load(Ordering::SeqCst)
     }
 
-    /// Records a duty's standing for the status page.
+    /// Sets the state of a duty for the status page.
     pub fn set_duty_state(&self, duty: &SharedName, state: &'static str, fencing: Option<u64>) {
         lock(&self.duty_states).insert(duty.clone(), (state, fencing));
     }
 }
 
-/// A request being served. A planned stop waits for all of them.
+/// Counts a request as being served until it is dropped. A graceful shutdown waits until no request is served.
 pub struct InflightGuard(Arc<SharedState>);
 
 impl Drop for InflightGuard {
     fn drop(&mut self) {
-        self.0.inflight.fetch_sub(1, Ordering::SeqCst);
+        self.0.inflight_count.fetch_sub(1, Ordering::SeqCst);
     }
 }
--- a/crates/daemon/src/task/duty_lease.rs
+++ b/crates/daemon/src/task/duty_lease.rs
@@ -7,7 +7,8 @@
 use pimentoslip_wire::kv::{RangeResponse, TxnRequest};
 use std::sync::{Arc, PoisonError, atomic::Ordering};
 
-/// A daemon of rank n takes a vacant duty only after n times this delay, so that daemons of a better rank take it first.
+/// A daemon of rank n takes a vacant duty only after n times this delay, so that a daemon of better rank takes it
+/// first.
 const RANK_DELAY_MS: u64 = 2_000;
 /// Daemons of this rank or a worse one never take the duty.
 const RANK_LIMIT: usize = 3;
@@ -199,8 +200,8 @@
         if is_unlisted || has_ended { HolderEvidence::Ended } else { HolderEvidence::Silent }
     }
 
-    /// Deletes the previous holders from the store once the duty is held, as they are then proved to have ended. They stay
-    /// stored if the receiver checks fencing numbers, because the duty is then held without that proof.
+    /// Deletes the previous holders from the store once the duty is held, as they are then proved to have ended. If the
+    /// receiver checks fencing numbers they stay stored, because the duty is then held without that proof.
     async fn delete_previous_holders(&mut self) -> Result<()> {
         let LeaseState::Held { fencing, .. } = self.holder.state() else { return Ok(()) };
         if self.previous_holders_deleted || self.receiver_checks_fencing {
--- a/crates/daemon/src/task/exchange_task.rs
+++ b/crates/daemon/src/task/exchange_task.rs
@@ -32,7 +32,7 @@
 /// Name and control address of a peer.
 type PeerAddress = (SharedName, SharedName);
 
-/// Keeps members, configuration and suspect marks in step with the peers.
+/// Exchanges state with the peers and, on behalf of its failure domain, reads the stored configuration.
 pub struct ExchangeTask {
     shared: Arc<SharedState>,
     peers: PeerClient,
@@ -230,8 +230,8 @@
     shared.members().iter().map(MemberBody::from).collect()
 }
 
-/// Sends new records to every daemon that may be running, without waiting for the next exchange. Returns the names of the
-/// daemons that confirmed them, this one included, and of those that did not.
+/// Sends new records to every daemon that may be running, without waiting for the next exchange. Returns the names of
+/// the daemons that confirmed them, this one included, and of those that did not.
 pub async fn push_records(
     shared: &SharedState,
     peers: &PeerClient,
--- a/crates/daemon/src/task/order_sender.rs
+++ b/crates/daemon/src/task/order_sender.rs
@@ -1,5 +1,5 @@
-//! Sends orders for upstreams to the provider. Each order is stored before it is sent, and its outcome afterwards, so that
-//! a restart or another daemon can settle an order whose outcome is missing.
+//! Sends orders for upstreams to the provider. Each order is stored before it is sent, and its outcome afterwards, so
+//! that the next holder of the duty can settle an order whose outcome is missing.
 
 use crate::shared_state::SharedState;
 use pimentoslip_client::{KeyValueClient, PlatformError, ProviderClient, Result};
--- a/crates/daemon/src/task/order_task.rs
+++ b/crates/daemon/src/task/order_task.rs
@@ -1,5 +1,4 @@
-//! Runs the ordering duties: starts and stops upstreams and updates weights in each failure domain whose duty this daemon
-//! holds.
+//! Starts and stops upstreams and updates weights in each failure domain whose ordering duty this daemon holds.
 
 use super::{PeriodicTask, domain_duty::DomainDuty};
 use crate::shared_state::SharedState;
