--- a/crates/cli/src/admin_client.rs
+++ b/crates/cli/src/admin_client.rs
@@ -40,16 +40,16 @@
     }
 
     async fn finish<A: DeserializeOwned>(&self, request: SendClientRequest) -> CliResult<A> {
-        let unreachable = |problem: String| CliError::Unreachable { daemon: self.daemon.clone(), problem };
+        let unreachable = |reason: String| CliError::Unreachable { daemon: self.daemon.clone(), reason };
         let mut answer = request.await.map_err(|error| unreachable(error.to_string()))?;
         let body = answer.body().limit(ANSWER_BYTES_MAX).await.map_err(|error| unreachable(error.to_string()))?;
         if !answer.status().is_success() {
             let status = answer.status().as_u16();
-            let problem = match status {
+            let reason = match status {
                 404 => "check the operator key".to_owned(),
                 _ => String::from_utf8_lossy(&body).into_owned(),
             };
-            return Err(CliError::Refused { daemon: self.daemon.clone(), status, problem });
+            return Err(CliError::Refused { daemon: self.daemon.clone(), status, reason });
         }
         Ok(serde_json::from_slice(&body)?)
     }
--- a/crates/cli/src/cli_error.rs
+++ b/crates/cli/src/cli_error.rs
@@ -16,7 +16,7 @@
 pub enum CliError {
     /// Configuration files with faults.
     #[error("{}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))]
-    Faults(Vec<ConfigFault>),
+    InvalidConfig(Vec<ConfigFault>),
     /// A file could not be read or an address not bound.
     #[error("{context}: {source}")]
     Io {
@@ -26,22 +26,22 @@
         source: io::Error,
     },
     /// No daemon answered.
-    #[error("no answer from {daemon}: {problem}; name a running daemon's control address with --daemon")]
+    #[error("no answer from {daemon}: {reason}; name a running daemon's control address with --daemon")]
     Unreachable {
         /// Address.
         daemon: String,
         /// What happened.
-        problem: String,
+        reason: String,
     },
     /// A daemon refused.
-    #[error("{daemon} refused with status {status}: {problem}")]
+    #[error("{daemon} refused with status {status}: {reason}")]
     Refused {
         /// Address.
         daemon: String,
         /// HTTP status.
         status: u16,
         /// What it said.
-        problem: String,
+        reason: String,
     },
     /// A change is on record, but daemons that may be running have not confirmed it.
     #[error(
@@ -58,7 +58,7 @@
     #[must_use]
     pub fn exit_code(&self) -> u8 {
         match self {
-            Self::Faults(_) => EXIT_INVALID,
+            Self::InvalidConfig(_) => EXIT_INVALID,
             Self::Unreachable { .. } => EXIT_UNREACHABLE,
             Self::Pending(_) => EXIT_PENDING,
             Self::Io { .. } | Self::Refused { .. } | Self::Failed(_) => EXIT_FAILED,
@@ -68,7 +68,7 @@
 
 impl From<Vec<ConfigFault>> for CliError {
     fn from(faults: Vec<ConfigFault>) -> Self {
-        Self::Faults(faults)
+        Self::InvalidConfig(faults)
     }
 }
 
--- a/crates/cli/src/cmd/apply.rs
+++ b/crates/cli/src/cmd/apply.rs
@@ -7,7 +7,7 @@
 use pimentoslip_wire::admin::{ApplyRequest, ChangeAnswer, RecordBody};
 
 /// Adds the flags.
-pub fn usage(command: Command) -> Command {
+pub fn with_flags(command: Command) -> Command {
     let command =
         command.arg(Arg::new("change").long("change").help("Id of the change, to repeat one whose answer was lost"));
     Config::flags(file_flags(command))
--- a/crates/cli/src/cmd/check.rs
+++ b/crates/cli/src/cmd/check.rs
@@ -5,7 +5,7 @@
 use clap::{ArgMatches, Command};
 
 /// Adds the flags.
-pub fn usage(command: Command) -> Command {
+pub fn with_flags(command: Command) -> Command {
     file_flags(command)
 }
 
--- a/crates/cli/src/cmd/demo.rs
+++ b/crates/cli/src/cmd/demo.rs
@@ -4,7 +4,7 @@
 use clap::{ArgMatches, Command};
 
 /// Adds no flags.
-pub fn usage(command: Command) -> Command {
+pub fn with_flags(command: Command) -> Command {
     command
 }
 
--- a/crates/cli/src/cmd/diff.rs
+++ b/crates/cli/src/cmd/diff.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 
 /// Adds the flags.
-pub fn usage(command: Command) -> Command {
+pub fn with_flags(command: Command) -> Command {
     Config::flags(file_flags(command))
 }
 
--- a/crates/cli/src/cmd/drain.rs
+++ b/crates/cli/src/cmd/drain.rs
@@ -4,7 +4,7 @@
 use clap::{ArgMatches, Command};
 
 /// Adds the flags.
-pub fn usage(command: Command) -> Command {
+pub fn with_flags(command: Command) -> Command {
     Config::flags(command)
 }
 
--- a/crates/cli/src/cmd/key.rs
+++ b/crates/cli/src/cmd/key.rs
@@ -7,7 +7,7 @@
 use pimentoslip_wire::admin::{ChangeAnswer, KeyCreateAnswer, KeyListAnswer, KeyRequest};
 
 /// Adds the flags.
-pub fn usage(command: Command) -> Command {
+pub fn with_flags(command: Command) -> Command {
     let organisation = || Arg::new("organisation").required(true).help("Organisation");
     let create = Command::new("create").about("Create a key and print it once").arg(organisation());
     let withdraw = Command::new("withdraw")
--- a/crates/cli/src/cmd/show.rs
+++ b/crates/cli/src/cmd/show.rs
@@ -5,7 +5,7 @@
 use pimentoslip_wire::admin::ShowAnswer;
 
 /// Adds the flags.
-pub fn usage(command: Command) -> Command {
+pub fn with_flags(command: Command) -> Command {
     Config::flags(command)
 }
 
--- a/crates/cli/src/cmd/standin.rs
+++ b/crates/cli/src/cmd/standin.rs
@@ -3,14 +3,15 @@
 use crate::{CliError, CliResult, util};
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use pimentoslip_standin::{
-    EngineShape, OrderSettings, RunningStandin, engine, kv, orders, plain, usage as usage_standin, vms,
+    EngineSettings, OrderSettings, RunningStandin, start_engine, start_kv, start_orders, start_plain, start_usage,
+    start_vms,
 };
 
 const KINDS: [&str; 6] = ["kv", "engine", "plain", "orders", "usage", "vms"];
 
 /// Adds the flags.
-pub fn usage(command: Command) -> Command {
-    let shape = EngineShape::default();
+pub fn with_flags(command: Command) -> Command {
+    let settings = EngineSettings::default();
     let number = |name: &'static str, default: String, help: &'static str| {
         Arg::new(name).long(name).default_value(default).value_parser(value_parser!(u64)).help(help)
     };
@@ -24,11 +25,15 @@
                 .help("Refuse old fencing numbers"),
         )
         .arg(Arg::new("vms").long("vms").help("VM list that started upstreams are added to (orders)"))
-        .arg(number("slots", shape.slots.to_string(), "Answers at a time (engine)"))
-        .arg(number("token-us", shape.token_us.to_string(), "Microseconds of one token (engine)"))
-        .arg(number("chunk-tokens", shape.chunk_tokens.to_string(), "Tokens in each chunk (engine)"))
-        .arg(number("shortest", shape.shortest.to_string(), "Length of the shortest answers in tokens (engine)"))
-        .arg(number("version", shape.version.to_string(), "Weight version at the start (engine)"))
+        .arg(number("slots", settings.slots.to_string(), "Answers at a time (engine)"))
+        .arg(number("token-us", settings.token_us.to_string(), "Microseconds of one token (engine)"))
+        .arg(number("chunk-tokens", settings.chunk_tokens.to_string(), "Tokens in each chunk (engine)"))
+        .arg(number(
+            "shortest",
+            settings.min_answer_tokens.to_string(),
+            "Length of the shortest answers in tokens (engine)",
+        ))
+        .arg(number("version", settings.initial_version.to_string(), "Weight version at the start (engine)"))
 }
 
 struct Args {
@@ -36,26 +41,26 @@
     listen: String,
     checks_fencing: bool,
     vms: Option<String>,
-    shape: EngineShape,
+    settings: EngineSettings,
 }
 
 impl From<&ArgMatches> for Args {
     fn from(args: &ArgMatches) -> Self {
         let number = |name: &str| args.get_one::<u64>(name).copied().unwrap_or_default();
-        let shape = EngineShape {
+        let settings = EngineSettings {
             slots: usize::try_from(number("slots")).unwrap_or(usize::MAX),
             token_us: number("token-us"),
             chunk_tokens: u32::try_from(number("chunk-tokens")).unwrap_or(u32::MAX).max(1),
-            shortest: u32::try_from(number("shortest")).unwrap_or(u32::MAX),
-            version: number("version"),
-            ..EngineShape::default()
+            min_answer_tokens: u32::try_from(number("shortest")).unwrap_or(u32::MAX),
+            initial_version: number("version"),
+            ..EngineSettings::default()
         };
         Self {
             kind: util::text(args, "kind"),
             listen: util::text(args, "listen"),
             checks_fencing: args.get_flag("checks-fencing"),
             vms: args.get_one("vms").cloned(),
-            shape,
+            settings,
         }
     }
 }
@@ -63,16 +68,19 @@
 impl Args {
     fn start(&self) -> CliResult<RunningStandin> {
         let started = match self.kind.as_str() {
-            "kv" => kv(&self.listen),
-            "engine" => engine(&self.listen, self.shape, self.checks_fencing),
-            "plain" => plain(&self.listen),
+            "kv" => start_kv(&self.listen),
+            "engine" => start_engine(&self.listen, self.settings, self.checks_fencing),
+            "plain" => start_plain(&self.listen),
             "orders" => {
-                let settings =
-                    OrderSettings { checks_fencing: self.checks_fencing, vms: self.vms.clone(), spares: Vec::new() };
-                orders(&self.listen, settings)
+                let settings = OrderSettings {
+                    checks_fencing: self.checks_fencing,
+                    vm_list_address: self.vms.clone(),
+                    spares: Vec::new(),
+                };
+                start_orders(&self.listen, settings)
             }
-            "usage" => usage_standin(&self.listen, self.checks_fencing),
-            _ => vms(&self.listen),
+            "usage" => start_usage(&self.listen, self.checks_fencing),
+            _ => start_vms(&self.listen),
         };
         started.map_err(|source| CliError::Io { context: format!("cannot listen on {}", self.listen), source })
     }
--- a/crates/cli/src/demo/demo_site.rs
+++ b/crates/cli/src/demo/demo_site.rs
@@ -2,7 +2,10 @@
 
 use crate::{CliResult, admin_client::AdminClient};
 use pimentoslip_daemon::{DaemonSettings, RunningDaemon, command, start};
-use pimentoslip_standin::{EngineShape, OrderSettings, RunningStandin, engine, kv, orders, plain, usage, vms};
+use pimentoslip_standin::{
+    EngineSettings, OrderSettings, RunningStandin, start_engine, start_kv, start_orders, start_plain, start_usage,
+    start_vms,
+};
 use pimentoslip_wire::provider::{VmEntry, VmRole, VmState};
 use std::net::SocketAddr;
 
@@ -38,18 +41,19 @@
 impl DemoSite {
     /// Starts everything.
     pub async fn start() -> CliResult<Self> {
-        let vms = spawn(vms(LOOPBACK))?;
-        let settings = OrderSettings { checks_fencing: false, vms: Some(vms.to_string()), spares: Vec::new() };
+        let vms = spawn(start_vms(LOOPBACK))?;
+        let settings =
+            OrderSettings { checks_fencing: false, vm_list_address: Some(vms.to_string()), spares: Vec::new() };
         let mut site = Self {
-            kv: spawn(kv(LOOPBACK))?,
-            orders: spawn(orders(LOOPBACK, settings))?,
-            usage: spawn(usage(LOOPBACK, false))?,
+            kv: spawn(start_kv(LOOPBACK))?,
+            orders: spawn(start_orders(LOOPBACK, settings))?,
+            usage: spawn(start_usage(LOOPBACK, false))?,
             vms,
             engines: vec![
-                spawn(engine(LOOPBACK, EngineShape::default(), true))?,
-                spawn(engine(LOOPBACK, EngineShape::default(), true))?,
+                spawn(start_engine(LOOPBACK, EngineSettings::default(), true))?,
+                spawn(start_engine(LOOPBACK, EngineSettings::default(), true))?,
             ],
-            desk: spawn(plain(LOOPBACK))?,
+            desk: spawn(start_plain(LOOPBACK))?,
             daemons: Vec::new(),
             client: awc::Client::builder().timeout(std::time::Duration::from_secs(20)).finish(),
         };
--- a/crates/cli/src/demo/scenes.rs
+++ b/crates/cli/src/demo/scenes.rs
@@ -4,7 +4,7 @@
 use crate::{CliError, CliResult, util};
 use awc::http::StatusCode;
 use pimentoslip_kernel::{ConfigFile, FetchCursor, KeySecret};
-use pimentoslip_standin::{OrderLog, SeenRequest, SpareUpstream, UsageLog};
+use pimentoslip_standin::{RecordedOrder, RecordedRequest, RecordedUsageReport, SpareUpstream};
 use pimentoslip_wire::{
     IDEMPOTENCY_KEY_HEADER, REPLAYED_HEADER,
     admin::{ApplyRequest, ChangeAnswer, KeyRequest, RecordBody, StatusAnswer},
@@ -115,7 +115,8 @@
     );
     let mut leaked = false;
     for engine in &site.engines {
-        let seen: Vec<SeenRequest> = get_json(site, format!("http://{engine}/standin/seen")).await.unwrap_or_default();
+        let seen: Vec<RecordedRequest> =
+            get_json(site, format!("http://{engine}/standin/seen")).await.unwrap_or_default();
         leaked |= format!("{seen:?}").contains(key.expose());
     }
     check.expect(!leaked, "no engine saw the customer's key");
@@ -130,7 +131,8 @@
     let (second, replayed, again) = post(site, 2, "/services/desk/orders", key, &order, &header).await?;
     check.expect(first == StatusCode::OK && second == StatusCode::OK, "both calls were answered");
     check.expect(replayed && answer == again, "the second one got the first one's answer");
-    let seen: Vec<SeenRequest> = get_json(site, format!("http://{}/standin/seen", site.desk)).await.unwrap_or_default();
+    let seen: Vec<RecordedRequest> =
+        get_json(site, format!("http://{}/standin/seen", site.desk)).await.unwrap_or_default();
     check.expect(seen.len() == 1, format!("the order ran {} time(s)", seen.len()));
     let open = site.client.get(site.url(1, "/services/desk/menu")).send().await;
     check.expect(open.is_ok_and(|answer| answer.status() == StatusCode::OK), "the open route answers without a key");
@@ -198,7 +200,7 @@
     let sent = site.client.put(format!("http://{}/standin/spares", site.orders)).send_json(&spare).await;
     sent.map_err(|error| CliError::Failed(error.to_string()))?;
     let done = wait_for(|| async {
-        let log: Vec<OrderLog> = get_json(site, format!("http://{}/standin/orders", site.orders)).await?;
+        let log: Vec<RecordedOrder> = get_json(site, format!("http://{}/standin/orders", site.orders)).await?;
         log.into_iter().find(|entry| entry.vm.as_deref() == Some("engine-2"))
     });
     let done = done.await;
@@ -210,7 +212,7 @@
 async fn billing(site: &DemoSite, check: &mut DemoCheck) -> CliResult<()> {
     println!("The holder of the usage duty seals a window and reports it.");
     let reports = wait_for(|| async {
-        let log: Vec<UsageLog> = get_json(site, format!("http://{}/standin/reports", site.usage)).await?;
+        let log: Vec<RecordedUsageReport> = get_json(site, format!("http://{}/standin/reports", site.usage)).await?;
         log.iter().any(|entry| entry.body.contains("velorio")).then_some(log)
     });
     let reports = reports.await.unwrap_or_default();
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -8,13 +8,13 @@
 struct CommandEntry {
     name: &'static str,
     summary: &'static str,
-    usage: fn(Command) -> Command,
+    with_flags: fn(Command) -> Command,
     run: fn(&clap::ArgMatches) -> CliResult<()>,
 }
 
 macro_rules! command_list {
     ($($name:ident: $summary:literal,)*) => {
-        &[$(CommandEntry { name: stringify!($name), summary: $summary, usage: cmd::$name::usage, run: cmd::$name::run },)*]
+        &[$(CommandEntry { name: stringify!($name), summary: $summary, with_flags: cmd::$name::with_flags, run: cmd::$name::run },)*]
     };
 }
 
@@ -38,7 +38,7 @@
         .subcommand_required(true)
         .arg_required_else_help(true);
     for entry in COMMANDS {
-        command = command.subcommand((entry.usage)(Command::new(entry.name).about(entry.summary)));
+        command = command.subcommand((entry.with_flags)(Command::new(entry.name).about(entry.summary)));
     }
     let matches = command.get_matches();
     let Some((name, args)) = matches.subcommand() else { return ExitCode::FAILURE };
--- a/crates/cli/tests/processes/configuration.rs
+++ b/crates/cli/tests/processes/configuration.rs
@@ -102,7 +102,7 @@
 #[actix_rt::test]
 async fn a_daemon_cut_from_the_service_learns_from_its_peers() {
     let (site, key, relay) = cut_off_site().await;
-    relay.set(RelayRule::Cut);
+    relay.set_rule(RelayRule::Cut);
     assert_eq!(call(&site, 2, &key).await.status, 200);
     assert_eq!(site.withdraw_key(0, &key).await.status, 200);
     assert_eq!(call(&site, 2, &key).await.status, 401);
@@ -111,7 +111,7 @@
 #[actix_rt::test]
 async fn a_daemon_cut_from_all_refuses_what_it_cannot_confirm() {
     let (site, key, relay) = cut_off_site().await;
-    relay.set(RelayRule::Stall);
+    relay.set_rule(RelayRule::Stall);
     site.daemons[0].process.freeze();
     site.daemons[1].process.freeze();
     let refused = wait_for("it refuses", || async {
@@ -139,7 +139,7 @@
     // It stays frozen past the bound.
     actix_rt::time::sleep(std::time::Duration::from_secs(3)).await;
     // The frozen daemon wakes, cut from the service: it trusts nothing before it has asked its peers.
-    relay.set(RelayRule::Cut);
+    relay.set_rule(RelayRule::Cut);
     site.daemons[2].process.thaw();
     let refused = call(&site, 2, &key).await;
     assert!([401, 503].contains(&refused.status), "{refused:?}");
--- a/crates/cli/tests/processes/duties.rs
+++ b/crates/cli/tests/processes/duties.rs
@@ -3,7 +3,7 @@
 use super::support::{HttpClient, Site, SiteShape, wait_for};
 use actix_rt::task::JoinHandle;
 use pimentoslip_kernel::KeySecret;
-use pimentoslip_standin::{KvFault, OrderLog, PlainFault, SpareUpstream, UsageLog};
+use pimentoslip_standin::{KvFault, PlainFault, RecordedOrder, RecordedUsageReport, SpareUpstream};
 use pimentoslip_wire::provider::OrderState;
 use std::collections::BTreeMap;
 
@@ -28,11 +28,11 @@
     Site::start(SiteShape { base: base + ORDERED_SERVICE, ..shape }).await
 }
 
-async fn orders(site: &Site) -> Vec<OrderLog> {
+async fn orders(site: &Site) -> Vec<RecordedOrder> {
     site.http.get(&format!("http://{}/standin/orders", site.orders)).await.unwrap_or_default()
 }
 
-async fn reports(site: &Site) -> Vec<UsageLog> {
+async fn reports(site: &Site) -> Vec<RecordedUsageReport> {
     site.http.get(&format!("http://{}/standin/reports", site.usage)).await.unwrap_or_default()
 }
 
@@ -70,7 +70,7 @@
 }
 
 /// Orders that were not refused come from one holder at a time, in the order of their fencing numbers.
-fn check_orders(orders: &[OrderLog]) {
+fn check_orders(orders: &[RecordedOrder]) {
     let carried: Vec<u64> =
         orders.iter().filter(|order| order.state != OrderState::Fenced).map(|order| order.request.fencing).collect();
     assert!(carried.is_sorted(), "{carried:?}");
@@ -80,7 +80,7 @@
     }
 }
 
-fn check_reports(reports: &[UsageLog]) {
+fn check_reports(reports: &[RecordedUsageReport]) {
     let carried: Vec<u64> = reports.iter().filter(|report| !report.fenced).map(|report| report.fencing).collect();
     assert!(carried.is_sorted(), "{carried:?}");
     let mut windows: BTreeMap<u64, &str> = BTreeMap::new();
@@ -219,7 +219,7 @@
 }
 
 /// Requests billed by distinct windows.
-fn billed(reports: &[UsageLog]) -> u64 {
-    let windows: BTreeMap<u64, &UsageLog> = reports.iter().map(|report| (report.window, report)).collect();
-    windows.values().flat_map(|report| report.report().expect("a report").lines).map(|line| line.requests).sum()
+fn billed(reports: &[RecordedUsageReport]) -> u64 {
+    let windows: BTreeMap<u64, &RecordedUsageReport> = reports.iter().map(|report| (report.window, report)).collect();
+    windows.values().flat_map(|report| report.parse().expect("a report").lines).map(|line| line.requests).sum()
 }
--- a/crates/cli/tests/processes/path.rs
+++ b/crates/cli/tests/processes/path.rs
@@ -2,7 +2,7 @@
 
 use super::support::{OPERATOR_KEY, Site, SiteShape, cli, wait_for};
 use pimentoslip_kernel::FetchCursor;
-use pimentoslip_standin::{OrderLog, SpareUpstream, UsageLog};
+use pimentoslip_standin::{RecordedOrder, RecordedUsageReport, SpareUpstream};
 use pimentoslip_wire::caller::{FetchAnswer, FetchRequest, OpenRequest, PublishRequest};
 use std::collections::BTreeSet;
 
@@ -103,11 +103,11 @@
 
 async fn usage_window_is_reported(site: &Site) {
     let reports = wait_for("usage of the organisation is reported", || async {
-        let log: Vec<UsageLog> = site.http.get(&format!("http://{}/standin/reports", site.usage)).await?;
+        let log: Vec<RecordedUsageReport> = site.http.get(&format!("http://{}/standin/reports", site.usage)).await?;
         log.iter().any(|entry| entry.body.contains("velorio")).then_some(log)
     });
     for report in reports.await {
-        report.report().expect("a report");
+        report.parse().expect("a report");
     }
 }
 
@@ -121,7 +121,7 @@
     };
     site.http.put(&format!("http://{}/standin/spares", site.orders), &spare).await;
     let order = wait_for("the upstream is started by an order", || async {
-        let log: Vec<OrderLog> = site.http.get(&format!("http://{}/standin/orders", site.orders)).await?;
+        let log: Vec<RecordedOrder> = site.http.get(&format!("http://{}/standin/orders", site.orders)).await?;
         log.into_iter().find(|entry| entry.vm.as_deref() == Some("cards-1"))
     });
     assert!(order.await.request.fencing > 0);
--- a/crates/cli/tests/processes/platform_duties.rs
+++ b/crates/cli/tests/processes/platform_duties.rs
@@ -9,14 +9,14 @@
     for version in 2..=3 {
         fleet.store.put("op/version/verse", &serde_json::json!({ "model": "verse", "version": version }));
         wait_for("all engines have it", || async {
-            let loaded = |engine: &pimentoslip_standin::FleetSampler| {
-                engine.orders().last().is_some_and(|order| order["version"] == version)
+            let loaded = |engine: &pimentoslip_standin::PlatformUpstream| {
+                engine.weight_orders().last().is_some_and(|order| order["version"] == version)
             };
             fleet.engines.iter().all(loaded).then_some(())
         })
         .await;
     }
-    let orders: Vec<_> = fleet.engines.iter().flat_map(|engine| engine.orders()).collect();
+    let orders: Vec<_> = fleet.engines.iter().flat_map(|engine| engine.weight_orders()).collect();
     assert_eq!(orders.len(), 4, "each engine loads each version once: {orders:?}");
     assert!(orders.iter().all(|order| order["holder"] == orders[0]["holder"]));
     assert!(orders.iter().all(|order| order["fencingToken"] == orders[0]["fencingToken"]));
@@ -63,7 +63,7 @@
 #[actix_rt::test]
 async fn engines_are_ordered_as_a_batch_job_asks() {
     let fleet = Fleet::start(2).await;
-    assert!(fleet.provider.orders().is_empty(), "nothing is ordered without work");
+    assert!(fleet.provider.scale_orders().is_empty(), "nothing is ordered without work");
     // Two engines of 8 slots run; 30 items ask for four.
     let items: Vec<_> = (0..30).map(|n| item(&format!("i{n}"), 200, false)).collect();
     assert_eq!(fleet.submit(0, "job", &submission(1, &items)).await.status, 202);
@@ -71,13 +71,13 @@
         let fits = |order: &pimentoslip_standin::ScaleOrder| {
             order.status == 200 && order.order["spot"] == spot && order.order["desired"] == desired
         };
-        fleet.provider.orders().iter().find(|order| fits(order)).cloned()
+        fleet.provider.scale_orders().iter().find(|order| fits(order)).cloned()
     };
     let order = wait_for("two reclaimable ones are ordered", || async { accepted(&fleet, true, 2) }).await;
     assert_eq!(order.order, serde_json::json!({ "service": "engine", "zone": "north", "desired": 2, "spot": true }));
     assert!(order.fencing_token > 0 && fleet.edges.iter().any(|edge| edge.vm == order.holder), "{order:?}");
     // They never come, and there are no others: the standing kind takes their place.
-    fleet.provider.set_dry(true);
+    fleet.provider.set_reclaimable_unavailable(true);
     wait_for("standing ones are ordered", || async { accepted(&fleet, false, 4) }).await;
 }
 
@@ -86,7 +86,7 @@
     let fleet = Fleet::start(1).await;
     fleet.store.put("op/retire/storage-1", &serde_json::json!({ "durationS": 10 }));
     let status =
-        wait_for("the status is written", || async { fleet.store.memory().value("status/retire/storage-1") }).await;
+        wait_for("the status is written", || async { fleet.store.contents().value("status/retire/storage-1") }).await;
     assert_eq!(status, br#"{"state":"completed"}"#);
 }
 
--- a/crates/cli/tests/processes/platform_jobs.rs
+++ b/crates/cli/tests/processes/platform_jobs.rs
@@ -1,7 +1,7 @@
 //! Batch jobs on the users' platform: accepted once, listed once, the same at every edge, whatever fails.
 
 use crate::support::{Fleet, item, submission, wait_for};
-use pimentoslip_standin::{RelayRule, SamplerFault, StoreFault, TcpRelay};
+use pimentoslip_standin::{RelayRule, StoreFault, TcpRelay, UpstreamFault};
 use serde_json::Value;
 use std::time::Duration;
 
@@ -57,7 +57,7 @@
     assert_eq!(fleet.submit(0, "job", &submission(1, &[item("long", 2_000, false)])).await.status, 202);
     wait_for("the item runs", || async { (!fleet.runs("long").is_empty()).then_some(()) }).await;
     assert_eq!(fleet.about(1, "DELETE", "/pimentoslip/lots/job").await.status, 200);
-    let working = || fleet.engines.iter().map(|engine| engine.working()).sum::<usize>();
+    let working = || fleet.engines.iter().map(|engine| engine.running_requests()).sum::<usize>();
     wait_for("the run is cut", || async { (working() == 0).then_some(()) }).await;
 }
 
@@ -65,12 +65,12 @@
 async fn texts_are_whole_whatever_a_run_does() {
     // fault of the first run, events of the text, runs that go on after an event
     let cases = [
-        (SamplerFault::CutAfter(2), true),
-        (SamplerFault::CutAtEnd, true),
-        (SamplerFault::Refuse, false),
-        (SamplerFault::Status(500), false),
-        (SamplerFault::LoseAnswer, false),
-        (SamplerFault::WrongId, false),
+        (UpstreamFault::CutAfter(2), true),
+        (UpstreamFault::CutAtEnd, true),
+        (UpstreamFault::Refuse, false),
+        (UpstreamFault::Status(500), false),
+        (UpstreamFault::LoseAnswer, false),
+        (UpstreamFault::WrongId, false),
     ];
     let fleet = Fleet::start(1).await;
     for (number, (fault, resumed)) in cases.into_iter().enumerate() {
@@ -80,7 +80,7 @@
         let results = fleet.results(0, &job).await;
         assert_eq!(by_id(&results, &id)["text"], text(&id, 5), "{fault:?}");
         assert_eq!(by_id(&results, &id)["versions"], serde_json::json!([1]), "{fault:?}");
-        let resumes = fleet.runs(&id).iter().filter(|run| run.last_event.is_some()).count();
+        let resumes = fleet.runs(&id).iter().filter(|run| run.last_event_id.is_some()).count();
         assert_eq!(resumes > 0, resumed, "{fault:?}: {:?}", fleet.runs(&id));
         fleet.engines.iter().for_each(|engine| engine.set_faults([]));
     }
@@ -91,10 +91,10 @@
     let fleet = Fleet::start(1).await;
     // faults of the engines, faults of the scorers, state
     let cases = [
-        ("impossible", vec![SamplerFault::Status(422)], vec![], "terminated"),
-        ("failing", vec![SamplerFault::Status(500); 4], vec![], "terminated"),
-        ("unscored", vec![], vec![SamplerFault::Status(500); 4], "terminated"),
-        ("once-unscored", vec![], vec![SamplerFault::Status(500)], "completed"),
+        ("impossible", vec![UpstreamFault::Status(422)], vec![], "terminated"),
+        ("failing", vec![UpstreamFault::Status(500); 4], vec![], "terminated"),
+        ("unscored", vec![], vec![UpstreamFault::Status(500); 4], "terminated"),
+        ("once-unscored", vec![], vec![UpstreamFault::Status(500)], "completed"),
     ];
     for (id, engine_faults, scorer_faults, state) in cases {
         fleet.engines.iter().for_each(|engine| engine.set_faults(engine_faults.clone()));
@@ -136,7 +136,7 @@
     let items: Vec<Value> = (0..4).map(|n| item(&format!("i{n}"), 300, true)).collect();
     assert_eq!(fleet.submit(0, "job", &submission(1, &items)).await.status, 202);
     wait_for("texts are on record", || async {
-        (!fleet.store.memory().range("p/d/job/text/", "").is_empty()).then_some(())
+        (!fleet.store.contents().range("p/d/job/text/", "").is_empty()).then_some(())
     })
     .await;
     fleet.edges.iter_mut().for_each(|edge| edge.process.kill());
@@ -150,7 +150,7 @@
         assert_eq!(by_id(&results, &id)["text"], text(&id, 300));
         assert_eq!(by_id(&results, &id)["score"], format!("signed score-{id}"));
         let runs = fleet.runs(&id);
-        assert!(runs[1..].iter().all(|run| run.last_event.is_some()), "{id} began anew: {runs:?}");
+        assert!(runs[1..].iter().all(|run| run.last_event_id.is_some()), "{id} began anew: {runs:?}");
     }
 }
 
@@ -169,7 +169,7 @@
         let id = format!("i{n}");
         assert_eq!(by_id(&results, &id)["text"], text(&id, 200));
         let runs = fleet.runs(&id);
-        assert!(runs[1..].iter().all(|run| run.last_event.is_some()), "{id} began anew: {runs:?}");
+        assert!(runs[1..].iter().all(|run| run.last_event_id.is_some()), "{id} began anew: {runs:?}");
     }
 }
 
@@ -215,7 +215,7 @@
     fleet.add_edge(relay.address);
     fleet.add_edge(store);
     fleet.wait_ready().await;
-    relay.set(RelayRule::Cut);
+    relay.set_rule(RelayRule::Cut);
     let job = submission(1, &[item("a", 40, false)]);
     let accepted = wait_for("the cut-off edge accepts a job", || async {
         (fleet.submit(0, "job", &job).await.status == 202).then_some(())
--- a/crates/cli/tests/processes/platform_path.rs
+++ b/crates/cli/tests/processes/platform_path.rs
@@ -1,7 +1,7 @@
 //! Requests on the users' platform: whole answers, true refusals, nobody else's key.
 
 use crate::support::{Fleet, KEY, OTHER_KEY, wait_for};
-use pimentoslip_standin::SamplerFault;
+use pimentoslip_standin::UpstreamFault;
 use std::time::Duration;
 
 #[actix_rt::test]
@@ -13,9 +13,10 @@
         assert_eq!((reply.status, reply.body.as_str()), (200, format!("answer to {id}").as_str()));
         assert_eq!(reply.header("server-signature"), format!("signed {id}"));
         assert_eq!(reply.header("request-id"), id);
-        let seen: Vec<_> = fleet.desks.iter().flat_map(|desk| desk.seen()).filter(|call| call.id == id).collect();
+        let seen: Vec<_> =
+            fleet.desks.iter().flat_map(|desk| desk.recorded_calls()).filter(|call| call.id == id).collect();
         assert_eq!(seen.len(), 1);
-        assert_eq!((seen[0].organisation.as_str(), seen[0].keyed), ("rose", false));
+        assert_eq!((seen[0].organisation.as_str(), seen[0].has_key), ("rose", false));
         assert_eq!((seen[0].path.as_str(), seen[0].body.as_slice()), ("/quote/roses", &b"how much"[..]));
         assert!(seen[0].deadline_ms <= 1_500, "the route's timeout is shorter than the caller's");
     }
@@ -50,7 +51,7 @@
     assert_eq!(fleet.call(0, "POST", "/quote/x", &large, &"x".repeat(1_000_001)).await.status, 413);
     let open = [("request-id", "open"), ("deadline-ms", "1000")];
     assert_eq!(fleet.call(0, "POST", "/score/x", &open, "").await.status, 200, "an open route needs no key");
-    let seen: Vec<_> = fleet.desks.iter().flat_map(|desk| desk.seen()).map(|call| call.id).collect();
+    let seen: Vec<_> = fleet.desks.iter().flat_map(|desk| desk.recorded_calls()).map(|call| call.id).collect();
     assert_eq!(seen, ["open"]);
 }
 
@@ -83,11 +84,11 @@
 async fn an_idempotent_request_survives_the_failure_of_one_upstream() {
     let fleet = Fleet::start(1).await;
     let faults = [
-        SamplerFault::Refuse,
-        SamplerFault::Status(500),
-        SamplerFault::LoseAnswer,
-        SamplerFault::WrongId,
-        SamplerFault::Truncate,
+        UpstreamFault::Refuse,
+        UpstreamFault::Status(500),
+        UpstreamFault::LoseAnswer,
+        UpstreamFault::WrongId,
+        UpstreamFault::Truncate,
     ];
     for (number, fault) in faults.into_iter().enumerate() {
         let id = format!("tough-{number}");
@@ -105,7 +106,7 @@
 async fn a_request_that_may_run_once_is_sent_once_and_never_called_unrun() {
     let fleet = Fleet::start(1).await;
     for (number, fault) in
-        [SamplerFault::LoseAnswer, SamplerFault::WrongId, SamplerFault::Truncate].into_iter().enumerate()
+        [UpstreamFault::LoseAnswer, UpstreamFault::WrongId, UpstreamFault::Truncate].into_iter().enumerate()
     {
         let id = format!("once-{number}");
         fleet.desks.iter().for_each(|desk| desk.set_faults([fault]));
@@ -113,7 +114,7 @@
         let headers = [("request-id", id.as_str()), ("deadline-ms", "2000"), ("authorization", key.as_str())];
         let reply = fleet.call(0, "POST", "/once/order", &headers, "one wreath").await;
         assert_eq!(reply.status, 502, "{fault:?}");
-        let runs = fleet.desks.iter().flat_map(|desk| desk.seen()).filter(|call| call.id == id).count();
+        let runs = fleet.desks.iter().flat_map(|desk| desk.recorded_calls()).filter(|call| call.id == id).count();
         assert_eq!(runs, 1, "{fault:?}");
         fleet.desks.iter().for_each(|desk| desk.set_faults([]));
         actix_rt::time::sleep(Duration::from_millis(600)).await;
@@ -123,25 +124,25 @@
 #[actix_rt::test]
 async fn a_request_that_no_upstream_takes_is_refused_as_not_run() {
     let fleet = Fleet::start(1).await;
-    fleet.desks.iter().for_each(|desk| desk.set_faults([SamplerFault::Refuse; 40]));
+    fleet.desks.iter().for_each(|desk| desk.set_faults([UpstreamFault::Refuse; 40]));
     let reply = fleet.quote(0, "unlucky").await;
     assert_eq!(reply.status, 503);
     assert!(!reply.header("retry-after").is_empty());
-    assert!(fleet.desks.iter().all(|desk| desk.seen().is_empty()));
+    assert!(fleet.desks.iter().all(|desk| desk.recorded_calls().is_empty()));
 }
 
 #[actix_rt::test]
 async fn a_request_past_its_routes_timeout_may_have_run() {
     let fleet = Fleet::start(1).await;
-    fleet.desks.iter().for_each(|desk| desk.set_faults([SamplerFault::Hang; 4]));
+    fleet.desks.iter().for_each(|desk| desk.set_faults([UpstreamFault::Hang; 4]));
     assert_eq!(fleet.quote(0, "late").await.status, 504);
 }
 
 #[actix_rt::test]
 async fn an_upstream_hears_that_the_client_left() {
     let fleet = Fleet::start(1).await;
-    fleet.desks.iter().for_each(|desk| desk.set_faults([SamplerFault::Hang]));
-    let working = || fleet.desks.iter().map(|desk| desk.working()).sum::<usize>();
+    fleet.desks.iter().for_each(|desk| desk.set_faults([UpstreamFault::Hang]));
+    let working = || fleet.desks.iter().map(|desk| desk.running_requests()).sum::<usize>();
     let gone = actix_rt::time::timeout(Duration::from_millis(400), fleet.quote(0, "left")).await;
     assert!(gone.is_err(), "the request hangs");
     wait_for("the upstream is let go", || async { (working() == 0).then_some(()) }).await;
@@ -152,9 +153,9 @@
 #[actix_rt::test]
 async fn a_leaving_upstream_and_an_unreadable_entry_get_nothing() {
     let fleet = Fleet::start(1).await;
-    fleet.desks[0].leave();
+    fleet.desks[0].start_draining();
     fleet.store.put("servers/strange", &serde_json::json!({ "service": 7, "address": "nowhere" }));
-    fleet.store.memory().put("servers/bytes", vec![0xff, 0xfe], 0);
+    fleet.store.contents().put("servers/bytes", vec![0xff, 0xfe], 0);
     wait_for("the entries are read", || async {
         let log = fleet.edges[0].process.log();
         (log.contains("upstream=desk-1 service=desk")
@@ -166,8 +167,8 @@
     for number in 0..6 {
         assert_eq!(fleet.quote(0, &format!("n-{number}")).await.status, 200);
     }
-    assert!(fleet.desks[0].seen().is_empty());
-    assert_eq!(fleet.desks[1].seen().len(), 6);
+    assert!(fleet.desks[0].recorded_calls().is_empty());
+    assert_eq!(fleet.desks[1].recorded_calls().len(), 6);
 }
 
 #[actix_rt::test]
--- a/crates/cli/tests/processes/reclaim.rs
+++ b/crates/cli/tests/processes/reclaim.rs
@@ -1,7 +1,7 @@
 //! A failure domain's reclaimable upstreams are taken back with little notice.
 
 use super::support::{Site, SiteShape, wait_for};
-use pimentoslip_standin::{EngineFault, OrderLog, SpareUpstream};
+use pimentoslip_standin::{EngineFault, RecordedOrder, SpareUpstream};
 use pimentoslip_wire::provider::OrderState;
 
 /// Two engines in failure domain "a", one of them standing.
@@ -65,7 +65,7 @@
         let (site, key) = (&site, &key);
         async move {
             card(site, key, number).await;
-            let log: Vec<OrderLog> = site.http.get(&format!("http://{}/standin/orders", site.orders)).await?;
+            let log: Vec<RecordedOrder> = site.http.get(&format!("http://{}/standin/orders", site.orders)).await?;
             let asked = log.iter().any(|order| order.request.reclaimable && order.state == OrderState::Unavailable);
             (asked && log.iter().any(|order| order.vm.as_deref() == Some("engine-9"))).then_some(())
         }
--- a/crates/cli/tests/processes/requests.rs
+++ b/crates/cli/tests/processes/requests.rs
@@ -26,9 +26,9 @@
     let address = relay.address.to_string();
     site.list_vm("desk-1", VmRole::Upstream, "a", &address, Some("desk"), VmState::Live).await;
     wait_for("the relay is in the way", || async {
-        let before = relay.passed().1;
+        let before = relay.forwarded_bytes().1;
         site.call(0, "GET", ORDERS, &key, &[], &()).await;
-        (relay.passed().1 > before).then_some(())
+        (relay.forwarded_bytes().1 > before).then_some(())
     })
     .await;
     (site, key, relay)
@@ -58,17 +58,17 @@
 /// Cuts an exchange after every single byte and compares what the caller is told with what ran.
 async fn cut_everywhere(rule: fn(usize) -> RelayRule, bytes: fn((usize, usize)) -> usize) {
     let (site, key, relay) = relayed_site().await;
-    let before = bytes(relay.passed());
-    relay.set(RelayRule::Cut);
-    relay.set(RelayRule::Pass);
+    let before = bytes(relay.forwarded_bytes());
+    relay.set_rule(RelayRule::Cut);
+    relay.set_rule(RelayRule::Pass);
     assert_eq!(order(&site, 0, &key, 1_000_000, None).await.status, 200);
-    let length = bytes(relay.passed()) - before;
+    let length = bytes(relay.forwarded_bytes()) - before;
     assert!(length > 50, "{length} bytes");
     let (mut not_run, mut whole) = (0, 0);
     // Later ids and counts are a few bytes longer than the first ones.
     for cut in 0..=length + 16 {
-        relay.set(RelayRule::Cut);
-        relay.set(rule(cut));
+        relay.set_rule(RelayRule::Cut);
+        relay.set_rule(rule(cut));
         let answer = order(&site, 0, &key, cut, None).await;
         let ran = runs(&site, cut).await;
         assert!(ran <= 1, "cut after {cut} of {length}: ran {ran} times");
@@ -172,8 +172,8 @@
 async fn a_daemon_killed_in_the_middle_leaves_no_second_run() {
     let (mut site, key, relay) = relayed_site().await;
     // After the claim, before a byte has passed: the relay holds everything.
-    relay.set(RelayRule::Cut);
-    relay.set(RelayRule::Stall);
+    relay.set_rule(RelayRule::Cut);
+    relay.set_rule(RelayRule::Stall);
     let attempts = || site.daemons[0].process.log().matches("event=attempt").count();
     let before = attempts();
     let held = spawn_first_order(&site, &key);
@@ -181,8 +181,8 @@
         .await;
     site.daemons[0].process.kill();
     assert_eq!(held.await.expect("a task").status, 0, "the caller's connection ended");
-    relay.set(RelayRule::Cut);
-    relay.set(RelayRule::Pass);
+    relay.set_rule(RelayRule::Cut);
+    relay.set_rule(RelayRule::Pass);
     for _ in 0..20 {
         let answer = order(&site, 1, &key, 1, Some("order-1")).await;
         let told = answer.error("code");
@@ -211,7 +211,7 @@
 #[actix_rt::test]
 async fn crossed_and_late_answers_reach_nobody_else() {
     let (site, key) = small_site().await;
-    site.desk_fault(PlainFault { cross: 1, ..PlainFault::default() }).await;
+    site.desk_fault(PlainFault { wrong_request_ids: 1, ..PlainFault::default() }).await;
     let crossed = order(&site, 0, &key, 1, None).await;
     assert_eq!((crossed.status, crossed.error("code").as_str()), (502, "answer_mismatch"));
     assert_eq!(crossed.error("run_state"), "may have run");
@@ -231,9 +231,9 @@
 #[actix_rt::test]
 async fn refused_requests_are_tried_elsewhere_and_told_as_not_run() {
     let (site, key) = small_site().await;
-    site.desk_fault(PlainFault { refuse: 1, ..PlainFault::default() }).await;
+    site.desk_fault(PlainFault { refuse_requests: 1, ..PlainFault::default() }).await;
     assert_eq!(order(&site, 0, &key, 1, None).await.status, 200, "one refusal is retried");
-    site.desk_fault(PlainFault { refuse: 10, ..PlainFault::default() }).await;
+    site.desk_fault(PlainFault { refuse_requests: 10, ..PlainFault::default() }).await;
     let refused = order(&site, 0, &key, 2, Some("order-2")).await;
     assert_eq!((refused.status, refused.error("run_state").as_str()), (503, "not run"));
     site.desk_fault(PlainFault::default()).await;
--- a/crates/cli/tests/processes/support/fleet.rs
+++ b/crates/cli/tests/processes/support/fleet.rs
@@ -2,7 +2,7 @@
 
 use super::{ChildProcess, Workdir, wait_for};
 use awc::{Client, http::Method};
-use pimentoslip_standin::{FleetProvider, FleetSampler, FleetStore, SamplerShape};
+use pimentoslip_standin::{PlatformProvider, PlatformStore, PlatformUpstream, UpstreamSettings};
 use serde_json::{Value, json};
 use std::{net::SocketAddr, time::Duration};
 
@@ -51,13 +51,13 @@
 /// The site.
 pub struct Fleet {
     /// Store.
-    pub store: FleetStore,
+    pub store: PlatformStore,
     /// Interface for usage reports.
-    pub provider: FleetProvider,
+    pub provider: PlatformProvider,
     /// Plain upstreams of `desk`.
-    pub desks: Vec<FleetSampler>,
+    pub desks: Vec<PlatformUpstream>,
     /// Model engines of `engine`.
-    pub engines: Vec<FleetSampler>,
+    pub engines: Vec<PlatformUpstream>,
     /// Edges.
     pub edges: Vec<Edge>,
     workdir: Workdir,
@@ -84,9 +84,9 @@
 
     /// Everything but edges and a configuration.
     pub fn without_edges() -> Self {
-        let store = FleetStore::start().expect("a store");
-        let provider = FleetProvider::start().expect("an interface for usage reports");
-        let shape = |id: &str, service: &str, models: &[&str], event_ms| SamplerShape {
+        let store = PlatformStore::start().expect("a store");
+        let provider = PlatformProvider::start().expect("an interface for usage reports");
+        let shape = |id: &str, service: &str, models: &[&str], event_ms| UpstreamSettings {
             id: id.to_owned(),
             service: service.to_owned(),
             failure_domain: "north".to_owned(),
@@ -94,7 +94,7 @@
             models: models.iter().map(ToString::to_string).collect(),
             event_ms,
         };
-        let start = |shape| FleetSampler::start(shape, &store).expect("an upstream");
+        let start = |shape| PlatformUpstream::start(shape, &store).expect("an upstream");
         let desks = ["desk-1", "desk-2"].map(|id| start(shape(id, "desk", &[], 5)));
         let engines = ["engine-1", "engine-2"].map(|id| start(shape(id, "engine", &["verse"], 10)));
         Self {
@@ -185,7 +185,7 @@
         }
         let all = self.edges.len();
         wait_for("all edges are present", || async {
-            (self.store.memory().range("p/w/vm/", "").len() == all).then_some(())
+            (self.store.contents().range("p/w/vm/", "").len() == all).then_some(())
         })
         .await;
         // Each edge hears of the others with its next watch.
@@ -257,8 +257,8 @@
     }
 
     /// Requests that upstreams of `engine` ran, with this id.
-    pub fn runs(&self, id: &str) -> Vec<pimentoslip_standin::SeenCall> {
-        self.engines.iter().flat_map(FleetSampler::seen).filter(|call| call.id == id).collect()
+    pub fn runs(&self, id: &str) -> Vec<pimentoslip_standin::RecordedCall> {
+        self.engines.iter().flat_map(PlatformUpstream::recorded_calls).filter(|call| call.id == id).collect()
     }
 }
 
--- a/crates/cli/tests/processes/support/site.rs
+++ b/crates/cli/tests/processes/support/site.rs
@@ -2,7 +2,7 @@
 
 use super::{Answer, ChildProcess, HttpClient, Workdir, wait_for};
 use pimentoslip_kernel::KeySecret;
-use pimentoslip_standin::{EngineFault, KvFault, PlainFault, SeenRequest};
+use pimentoslip_standin::{EngineFault, KvFault, PlainFault, RecordedRequest};
 use pimentoslip_wire::{
     OPERATOR_KEY_HEADER,
     admin::{ChangeAnswer, KeyRequest, StatusAnswer},
@@ -341,12 +341,12 @@
     }
 
     /// Requests that the plain service ran.
-    pub async fn desk_runs(&self) -> Vec<SeenRequest> {
+    pub async fn desk_runs(&self) -> Vec<RecordedRequest> {
         self.http.get(&format!("http://{}/standin/seen", self.desk)).await.unwrap_or_default()
     }
 
     /// Requests that engine `at` was sent.
-    pub async fn engine_seen(&self, at: usize) -> Vec<SeenRequest> {
+    pub async fn engine_seen(&self, at: usize) -> Vec<RecordedRequest> {
         self.http.get(&format!("http://{}/standin/seen", self.engines[at].1)).await.unwrap_or_default()
     }
 
--- a/crates/client/tests/contract/key_value.rs
+++ b/crates/client/tests/contract/key_value.rs
@@ -2,14 +2,14 @@
 
 use super::endpoint;
 use pimentoslip_client::{EtcdClient, KeyValueClient, PlatformError};
-use pimentoslip_standin::{KvFault, kv};
+use pimentoslip_standin::{KvFault, start_kv};
 use pimentoslip_wire::kv::TxnRequest;
 use std::{sync::Arc, time::Duration};
 
 const LOOPBACK: &str = "127.0.0.1:0";
 
 fn client() -> EtcdClient {
-    EtcdClient::new(endpoint("KV", || kv(LOOPBACK)), Arc::default())
+    EtcdClient::new(endpoint("KV", || start_kv(LOOPBACK)), Arc::default())
 }
 
 /// A prefix that no earlier run has used.
@@ -97,7 +97,7 @@
 /// Faults that only the stand-in can be told to have, and what the client makes of them.
 #[actix_rt::test]
 async fn failures_are_told_and_lost_answers_leave_the_write() {
-    let (address, _) = kv(LOOPBACK).expect("a stand-in").spawn();
+    let (address, _) = start_kv(LOOPBACK).expect("a stand-in").spawn();
     let client = EtcdClient::new(address.to_string().into(), Arc::default());
     let set = async |fault: KvFault| {
         let request = awc::Client::default().put(format!("http://{address}/standin/fault"));
--- a/crates/client/tests/contract/provider.rs
+++ b/crates/client/tests/contract/provider.rs
@@ -3,7 +3,7 @@
 use super::endpoint;
 use pimentoslip_client::{OwnerClock, ProviderClient};
 use pimentoslip_kernel::TimePoint;
-use pimentoslip_standin::{EngineShape, OrderSettings, engine, orders, usage, vms};
+use pimentoslip_standin::{EngineSettings, OrderSettings, start_engine, start_orders, start_usage, start_vms};
 use pimentoslip_wire::{
     engine::LoadOrder,
     provider::{OrderAction, OrderRequest, OrderState},
@@ -22,12 +22,12 @@
 fn fixture(checks_fencing: bool) -> Fixture {
     let clock = Arc::new(OwnerClock::default());
     let settings = OrderSettings { checks_fencing, ..OrderSettings::default() };
-    let usage = endpoint("USAGE", || usage(LOOPBACK, checks_fencing));
+    let usage = endpoint("USAGE", || start_usage(LOOPBACK, checks_fencing));
     let client = ProviderClient::new(
         clock.clone(),
-        endpoint("ORDERS", || orders(LOOPBACK, settings)),
+        endpoint("ORDERS", || start_orders(LOOPBACK, settings)),
         usage.clone(),
-        endpoint("VMS", || vms(LOOPBACK)),
+        endpoint("VMS", || start_vms(LOOPBACK)),
     );
     Fixture { clock, client, usage }
 }
@@ -80,7 +80,7 @@
         let mut answer = awc::Client::default().get(url).send().await.expect("an answer");
         assert_eq!(answer.body().await.expect("a body"), "[]");
     }
-    let (address, _) = engine(LOOPBACK, EngineShape::default(), true).expect("a stand-in").spawn();
+    let (address, _) = start_engine(LOOPBACK, EngineSettings::default(), true).expect("a stand-in").spawn();
     let address = address.to_string();
     let load = LoadOrder { version: 9, fencing: 1 };
     fixture.client.load_weights(&address, &load, passed).await.expect_err("it is not sent");
--- a/crates/standin/src/engine_fault.rs
+++ b/crates/standin/src/engine_fault.rs
@@ -13,7 +13,8 @@
     /// The version rises by one after so many chunks of each answer.
     pub swap_after_chunks: Option<u64>,
     /// So many of the next answers carry another request's id.
-    pub cross: u32,
+    #[serde(rename = "cross")]
+    pub wrong_request_ids: u32,
     /// So many of the next streams end before their terminal marker.
     pub cut_streams: u32,
     /// The load report says that the engine leaves, and new work is refused.
--- a/crates/standin/src/engine_service.rs
+++ b/crates/standin/src/engine_service.rs
@@ -1,7 +1,8 @@
 //! The engine stand-in: continuous batching slots, prefix cache, priorities, weight versions.
 
 use crate::{
-    EngineFault, EngineModel, EngineShape, Result, RunningStandin, SeenRequest, running::start, slot_queue::SlotQueue,
+    EngineFault, EngineSettings, EngineSimulator, RecordedRequest, Result, RunningStandin, running::start,
+    slot_queue::SlotQueue,
 };
 use actix_web::{App, HttpRequest, HttpResponse, web};
 use bytes::Bytes;
@@ -27,13 +28,13 @@
 const US_PER_MS: u64 = 1_000;
 
 struct EngineState {
-    model: EngineModel,
+    model: EngineSimulator,
     slots: SlotQueue,
     version: AtomicU64,
     fencing: AtomicU64,
     checks_fencing: bool,
     fault: Mutex<EngineFault>,
-    seen: Mutex<Vec<SeenRequest>>,
+    seen: Mutex<Vec<RecordedRequest>>,
     orders: Mutex<Vec<LoadOrder>>,
 }
 
@@ -45,18 +46,18 @@
     fn take_fault(&self) -> EngineFault {
         let mut fault = self.fault.lock().unwrap_or_else(PoisonError::into_inner);
         let now = fault.clone();
-        fault.cross = fault.cross.saturating_sub(1);
+        fault.wrong_request_ids = fault.wrong_request_ids.saturating_sub(1);
         fault.cut_streams = fault.cut_streams.saturating_sub(1);
         now
     }
 }
 
 /// Starts the stand-in on `listen`.
-pub fn engine(listen: &str, shape: EngineShape, checks_fencing: bool) -> Result<RunningStandin> {
+pub fn start_engine(listen: &str, settings: EngineSettings, checks_fencing: bool) -> Result<RunningStandin> {
     let state = web::Data::from(Arc::new(EngineState {
-        model: EngineModel::new(shape),
-        slots: SlotQueue::new(shape.slots),
-        version: AtomicU64::new(shape.version),
+        model: EngineSimulator::new(settings),
+        slots: SlotQueue::new(settings.slots),
+        version: AtomicU64::new(settings.initial_version),
         fencing: AtomicU64::new(0),
         checks_fencing,
         fault: Mutex::default(),
@@ -77,7 +78,7 @@
 }
 
 async fn complete(state: web::Data<EngineState>, request: HttpRequest, body: Bytes) -> HttpResponse {
-    let seen = SeenRequest::of(&request, &body);
+    let seen = RecordedRequest::from_request(&request, &body);
     let fault = state.take_fault();
     let id = seen.header(REQUEST_ID_HEADER).to_owned();
     if fault.leaving {
@@ -100,7 +101,7 @@
             all.push(seen);
         }
     }
-    let answered = if fault.cross > 0 { "another-request".to_owned() } else { id.clone() };
+    let answered = if fault.wrong_request_ids > 0 { "another-request".to_owned() } else { id.clone() };
     let (sender, receiver) = mpsc::channel(CHUNKS_AHEAD);
     let streamed = question.stream;
     actix_web::rt::spawn(generate(state.into_inner(), question, prompt, priority, id, fault, sender));
@@ -162,15 +163,18 @@
     sender: mpsc::Sender<Item>,
 ) {
     let _slot = state.slots.enter(priority).await;
-    let shape = state.model.shape();
+    let settings = state.model.settings();
     pause(state.model.prefill_us(&prompt)).await;
-    let total =
-        state.model.length(&prompt, question.seed.unwrap_or(0), question.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS));
+    let total = state.model.answer_tokens(
+        &prompt,
+        question.seed.unwrap_or(0),
+        question.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS),
+    );
     let mut made = 0;
     let mut chunks = 0;
     while made < total {
-        let tokens = shape.chunk_tokens.min(total - made);
-        pause(shape.token_us * u64::from(tokens)).await;
+        let tokens = settings.chunk_tokens.min(total - made);
+        pause(settings.token_us * u64::from(tokens)).await;
         made += tokens;
         chunks += 1;
         if state.fault().swap_after_chunks.is_some_and(|after| chunks == after) {
--- a/crates/standin/src/engine_model.rs
+++ b/crates/standin/src/engine_simulator.rs
@@ -10,7 +10,7 @@
 
 /// Shape of the stand-in.
 #[derive(Clone, Copy, Debug)]
-pub struct EngineShape {
+pub struct EngineSettings {
     /// Answers in the batch at a time.
     pub slots: usize,
     /// Time of one token in microseconds.
@@ -18,25 +18,25 @@
     /// Time to read an uncached prompt in microseconds.
     pub prefill_us: u64,
     /// Prompts whose prefix stays cached.
-    pub cached_prefixes: usize,
+    pub max_cached_prefixes: usize,
     /// Tokens in each chunk.
     pub chunk_tokens: u32,
     /// Length of the shortest answers in tokens.
-    pub shortest: u32,
+    pub min_answer_tokens: u32,
     /// Weight version at the start.
-    pub version: u64,
+    pub initial_version: u64,
 }
 
-impl Default for EngineShape {
+impl Default for EngineSettings {
     fn default() -> Self {
         Self {
             slots: 16,
             token_us: 500,
             prefill_us: 5_000,
-            cached_prefixes: 64,
+            max_cached_prefixes: 64,
             chunk_tokens: 4,
-            shortest: 8,
-            version: 1,
+            min_answer_tokens: 8,
+            initial_version: 1,
         }
     }
 }
@@ -47,30 +47,30 @@
 
 /// Decides lengths and prefix hits. Equal prompts and seeds give equal lengths.
 #[derive(Debug)]
-pub struct EngineModel {
-    shape: EngineShape,
+pub struct EngineSimulator {
+    settings: EngineSettings,
     cached: Mutex<VecDeque<u64>>,
 }
 
-impl EngineModel {
-    /// Creates a model of `shape` with an empty cache.
+impl EngineSimulator {
+    /// Creates a model of `settings` with an empty cache.
     #[must_use]
-    pub fn new(shape: EngineShape) -> Self {
-        Self { shape, cached: Mutex::default() }
+    pub fn new(settings: EngineSettings) -> Self {
+        Self { settings, cached: Mutex::default() }
     }
 
     /// Shape of the stand-in.
     #[must_use]
-    pub fn shape(&self) -> EngineShape {
-        self.shape
+    pub fn settings(&self) -> EngineSettings {
+        self.settings
     }
 
     /// Tokens of the answer to `prompt`, heavy-tailed.
     #[must_use]
-    pub fn length(&self, prompt: &str, seed: u64, max_tokens: u32) -> u32 {
+    pub fn answer_tokens(&self, prompt: &str, seed: u64, max_tokens: u32) -> u32 {
         let mut rng = ChaCha8Rng::seed_from_u64(hash(&(prompt, seed)));
         let uniform: f64 = rng.random_range(0.001..1.0);
-        let length = f64::from(self.shape.shortest) * uniform.powf(-TAIL_EXPONENT);
+        let length = f64::from(self.settings.min_answer_tokens) * uniform.powf(-TAIL_EXPONENT);
         (length as u32).clamp(1, max_tokens.max(1))
     }
 
@@ -84,10 +84,10 @@
             cached.remove(at);
         }
         cached.push_back(key);
-        while cached.len() > self.shape.cached_prefixes {
+        while cached.len() > self.settings.max_cached_prefixes {
             cached.pop_front();
         }
-        if known.is_some() { 0 } else { self.shape.prefill_us }
+        if known.is_some() { 0 } else { self.settings.prefill_us }
     }
 }
 
--- a/crates/standin/src/kv_service.rs
+++ b/crates/standin/src/kv_service.rs
@@ -27,7 +27,7 @@
 impl KvState {
     fn store<R>(&self, act: impl FnOnce(&mut KvStore) -> R) -> R {
         let mut store = self.store.lock().unwrap_or_else(PoisonError::into_inner);
-        store.expire(Instant::now());
+        store.expire_leases(Instant::now());
         let answer = act(&mut store);
         let revision = store.revision();
         self.changed.send_if_modified(|known| std::mem::replace(known, revision) != revision);
@@ -54,7 +54,7 @@
 }
 
 /// Starts the stand-in on `listen`.
-pub fn kv(listen: &str) -> Result<RunningStandin> {
+pub fn start_kv(listen: &str) -> Result<RunningStandin> {
     let state = web::Data::from(Arc::new(KvState {
         store: Mutex::default(),
         fault: Mutex::default(),
--- a/crates/standin/src/kv_store.rs
+++ b/crates/standin/src/kv_store.rs
@@ -82,7 +82,7 @@
     }
 
     /// Ends every lease past its deadline.
-    pub fn expire(&mut self, now: Instant) {
+    pub fn expire_leases(&mut self, now: Instant) {
         let over: Vec<u64> = self.leases.iter().filter(|(_, lease)| lease.deadline <= now).map(|(id, _)| *id).collect();
         for lease in over {
             self.revoke(lease);
--- a/crates/standin/src/orders_service.rs
+++ b/crates/standin/src/orders_service.rs
@@ -28,14 +28,14 @@
     /// Whether old fencing numbers are refused.
     pub checks_fencing: bool,
     /// Address of the VM list stand-in.
-    pub vms: Option<String>,
+    pub vm_list_address: Option<String>,
     /// What can be started.
     pub spares: Vec<SpareUpstream>,
 }
 
 /// One order as it arrived.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OrderLog {
+pub struct RecordedOrder {
     /// The order.
     pub request: OrderRequest,
     /// Outcome; a repeated order gets the outcome of the first.
@@ -47,11 +47,11 @@
 struct OrderBook {
     settings: OrderSettings,
     spares: Mutex<Vec<SpareUpstream>>,
-    log: Mutex<Vec<OrderLog>>,
+    log: Mutex<Vec<RecordedOrder>>,
 }
 
 /// Starts the stand-in on `listen`.
-pub fn orders(listen: &str, settings: OrderSettings) -> Result<RunningStandin> {
+pub fn start_orders(listen: &str, settings: OrderSettings) -> Result<RunningStandin> {
     let spares = Mutex::new(settings.spares.clone());
     let state = web::Data::from(Arc::new(OrderBook { settings, spares, log: Mutex::default() }));
     start!(listen, move || {
@@ -108,7 +108,7 @@
         }
     };
     let vm = started.as_ref().map(|spare| spare.name.clone());
-    log.push(OrderLog { request: request.clone(), state: outcome, vm });
+    log.push(RecordedOrder { request: request.clone(), state: outcome, vm });
     (outcome, started)
 }
 
@@ -123,7 +123,7 @@
 }
 
 async fn list_vm(state: &OrderBook, request: &OrderRequest, spare: &SpareUpstream) {
-    let Some(vms) = &state.settings.vms else { return };
+    let Some(vms) = &state.settings.vm_list_address else { return };
     let entry = VmEntry {
         name: spare.name.clone(),
         role: VmRole::Upstream,
@@ -138,7 +138,7 @@
 }
 
 async fn unlist_vm(state: &OrderBook, request: &OrderRequest) {
-    let (Some(vms), Some(vm)) = (&state.settings.vms, &request.vm) else { return };
+    let (Some(vms), Some(vm)) = (&state.settings.vm_list_address, &request.vm) else { return };
     let _ = awc::Client::default().delete(format!("http://{vms}/v1/vms/{vm}")).send().await;
 }
 
--- a/crates/standin/src/plain_fault.rs
+++ b/crates/standin/src/plain_fault.rs
@@ -9,7 +9,9 @@
     /// Delay between running a request and answering it, in milliseconds.
     pub answer_after_ms: u64,
     /// So many of the next requests are refused before they run.
-    pub refuse: u32,
+    #[serde(rename = "refuse")]
+    pub refuse_requests: u32,
     /// So many of the next answers carry another request's id.
-    pub cross: u32,
+    #[serde(rename = "cross")]
+    pub wrong_request_ids: u32,
 }
--- a/crates/standin/src/plain_service.rs
+++ b/crates/standin/src/plain_service.rs
@@ -1,6 +1,6 @@
 //! A plain service's stand-in: counts every run of every request.
 
-use crate::{PlainFault, Result, RunningStandin, SeenRequest, running::start};
+use crate::{PlainFault, RecordedRequest, Result, RunningStandin, running::start};
 use actix_web::{App, HttpRequest, HttpResponse, web};
 use bytes::Bytes;
 use pimentoslip_wire::{NOT_RUN, REQUEST_ID_HEADER, RUN_STATE_HEADER};
@@ -12,11 +12,11 @@
 #[derive(Default)]
 struct PlainState {
     fault: Mutex<PlainFault>,
-    seen: Mutex<Vec<SeenRequest>>,
+    seen: Mutex<Vec<RecordedRequest>>,
 }
 
 /// Starts the stand-in on `listen`.
-pub fn plain(listen: &str) -> Result<RunningStandin> {
+pub fn start_plain(listen: &str) -> Result<RunningStandin> {
     let state = web::Data::from(Arc::new(PlainState::default()));
     start!(listen, move || {
         App::new()
@@ -28,16 +28,16 @@
 }
 
 async fn run(state: web::Data<PlainState>, request: HttpRequest, body: Bytes) -> HttpResponse {
-    let seen = SeenRequest::of(&request, &body);
+    let seen = RecordedRequest::from_request(&request, &body);
     let fault = {
         let mut fault = state.fault.lock().unwrap_or_else(PoisonError::into_inner);
         let now = *fault;
-        fault.refuse = fault.refuse.saturating_sub(1);
-        fault.cross = fault.cross.saturating_sub(1);
+        fault.refuse_requests = fault.refuse_requests.saturating_sub(1);
+        fault.wrong_request_ids = fault.wrong_request_ids.saturating_sub(1);
         now
     };
     let id = seen.header(REQUEST_ID_HEADER).to_owned();
-    if fault.refuse > 0 {
+    if fault.refuse_requests > 0 {
         return HttpResponse::ServiceUnavailable()
             .insert_header((REQUEST_ID_HEADER, id))
             .insert_header((RUN_STATE_HEADER, NOT_RUN))
@@ -51,7 +51,7 @@
     if fault.answer_after_ms > 0 {
         tokio::time::sleep(Duration::from_millis(fault.answer_after_ms)).await;
     }
-    let answered = if fault.cross > 0 { "another-request".to_owned() } else { id };
+    let answered = if fault.wrong_request_ids > 0 { "another-request".to_owned() } else { id };
     HttpResponse::Ok().insert_header((REQUEST_ID_HEADER, answered)).json(serde_json::json!({ "run": run }))
 }
 
--- a/crates/standin/src/fleet/fleet_provider.rs
+++ b/crates/standin/src/platform/platform_provider.rs
@@ -13,7 +13,7 @@
 
 /// A report as it came.
 #[derive(Clone, Debug, PartialEq)]
-pub struct UsageReport {
+pub struct PlatformUsageReport {
     /// Who holds the duty.
     pub holder: String,
     /// The holder's fencing token.
@@ -39,7 +39,7 @@
 
 #[derive(Default)]
 struct ProviderState {
-    reports: Mutex<Vec<UsageReport>>,
+    reports: Mutex<Vec<PlatformUsageReport>>,
     orders: Mutex<Vec<ScaleOrder>>,
     /// Whether there are no reclaimable upstreams.
     dry: AtomicBool,
@@ -51,13 +51,13 @@
 
 /// A running interface.
 #[derive(Clone)]
-pub struct FleetProvider {
+pub struct PlatformProvider {
     /// Bound address.
     pub address: SocketAddr,
     state: Arc<ProviderState>,
 }
 
-impl FleetProvider {
+impl PlatformProvider {
     /// Starts it on a port picked by the kernel, on the current runtime.
     pub fn start() -> Result<Self> {
         let state = Arc::new(ProviderState::default());
@@ -73,18 +73,18 @@
 
     /// Reports so far, in order.
     #[must_use]
-    pub fn reports(&self) -> Vec<UsageReport> {
+    pub fn reports(&self) -> Vec<PlatformUsageReport> {
         lock(&self.state.reports).clone()
     }
 
     /// Orders for upstreams so far, in order.
     #[must_use]
-    pub fn orders(&self) -> Vec<ScaleOrder> {
+    pub fn scale_orders(&self) -> Vec<ScaleOrder> {
         lock(&self.state.orders).clone()
     }
 
     /// Whether there are no reclaimable upstreams from now on.
-    pub fn set_dry(&self, dry: bool) {
+    pub fn set_reclaimable_unavailable(&self, dry: bool) {
         self.state.dry.store(dry, Ordering::SeqCst);
     }
 }
@@ -106,7 +106,7 @@
 }
 
 async fn usage(state: web::Data<ProviderState>, request: HttpRequest, body: web::Json<Value>) -> HttpResponse {
-    let report = UsageReport {
+    let report = PlatformUsageReport {
         holder: header(&request, "duty-holder"),
         fencing_token: header(&request, "fencing-token").parse().unwrap_or(0),
         window: body["window"].as_u64().unwrap_or(0),
--- a/crates/standin/src/fleet/fleet_store.rs
+++ b/crates/standin/src/platform/platform_store.rs
@@ -1,6 +1,6 @@
 //! The platform's store over HTTP.
 
-use super::StoreMemory;
+use super::StoreContents;
 use crate::{Result, RunningStandin, running::start};
 use actix_web::{App, HttpResponse, web};
 use serde_json::{Value, json};
@@ -25,19 +25,19 @@
 
 #[derive(Default)]
 struct Shared {
-    memory: Mutex<StoreMemory>,
+    contents: Mutex<StoreContents>,
     fault: Mutex<StoreFault>,
 }
 
 /// A running store.
 #[derive(Clone)]
-pub struct FleetStore {
+pub struct PlatformStore {
     /// Bound address.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
-impl FleetStore {
+impl PlatformStore {
     /// Starts a store on a port picked by the kernel, on the current runtime.
     pub fn start() -> Result<Self> {
         let shared = Arc::new(Shared::default());
@@ -59,13 +59,13 @@
     }
 
     /// The entries.
-    pub fn memory(&self) -> MutexGuard<'_, StoreMemory> {
-        self.shared.memory()
+    pub fn contents(&self) -> MutexGuard<'_, StoreContents> {
+        self.shared.contents()
     }
 
     /// Writes an entry as another writer does.
     pub fn put(&self, key: &str, value: &Value) {
-        self.memory().put(key, value.to_string().into_bytes(), 0);
+        self.contents().put(key, value.to_string().into_bytes(), 0);
     }
 
     /// Sets what the store does wrong from now on.
@@ -75,10 +75,10 @@
 }
 
 impl Shared {
-    fn memory(&self) -> MutexGuard<'_, StoreMemory> {
-        let mut memory = self.memory.lock().unwrap_or_else(PoisonError::into_inner);
-        memory.expire(Instant::now());
-        memory
+    fn contents(&self) -> MutexGuard<'_, StoreContents> {
+        let mut contents = self.contents.lock().unwrap_or_else(PoisonError::into_inner);
+        contents.expire_leases(Instant::now());
+        contents
     }
 
     fn is_down(&self) -> bool {
@@ -107,8 +107,8 @@
     if shared.is_down() {
         return down();
     }
-    let memory = shared.memory();
-    match memory.get(parameter(&query, "key")) {
+    let contents = shared.contents();
+    match contents.get(parameter(&query, "key")) {
         Some(item) => HttpResponse::Ok().json(item),
         None => HttpResponse::NotFound().finish(),
     }
@@ -118,9 +118,9 @@
     if shared.is_down() {
         return down();
     }
-    let memory = shared.memory();
-    let items = memory.range(parameter(&query, "pathPrefix"), parameter(&query, "after"));
-    HttpResponse::Ok().json(json!({ "items": items, "morePages": false, "asOf": memory.revision() }))
+    let contents = shared.contents();
+    let items = contents.range(parameter(&query, "pathPrefix"), parameter(&query, "after"));
+    HttpResponse::Ok().json(json!({ "items": items, "morePages": false, "asOf": contents.revision() }))
 }
 
 async fn watch(shared: web::Data<Shared>, query: Query) -> HttpResponse {
@@ -132,8 +132,8 @@
             return down();
         }
         let (events, revision) = {
-            let memory = shared.memory();
-            (memory.changes(parameter(&query, "pathPrefix"), after), memory.revision())
+            let contents = shared.contents();
+            (contents.changes_after(parameter(&query, "pathPrefix"), after), contents.revision())
         };
         if !events.is_empty() || Instant::now() >= until {
             return HttpResponse::Ok().json(json!({ "events": events, "asOf": revision }));
@@ -147,11 +147,11 @@
         return down();
     }
     let result = {
-        let mut memory = shared.memory();
-        if !memory.has_leases(&body) {
+        let mut contents = shared.contents();
+        if !contents.has_leases(&body) {
             return HttpResponse::NotFound().finish();
         }
-        memory.commit(&body)
+        contents.commit(&body)
     };
     if shared.loses_commit() {
         return HttpResponse::GatewayTimeout().finish();
@@ -167,7 +167,7 @@
         return down();
     }
     let ttl_ms = body["ttlMs"].as_u64().unwrap_or(0);
-    let lease = shared.memory().grant(Duration::from_millis(ttl_ms), Instant::now());
+    let lease = shared.contents().grant_lease(Duration::from_millis(ttl_ms), Instant::now());
     HttpResponse::Ok().json(json!({ "lease": lease, "ttlMs": ttl_ms }))
 }
 
@@ -175,7 +175,7 @@
     if shared.is_down() {
         return down();
     }
-    let held = shared.memory().keep(*lease, Instant::now());
+    let held = shared.contents().renew_lease(*lease, Instant::now());
     if held { HttpResponse::Ok().json(json!({})) } else { HttpResponse::NotFound().finish() }
 }
 
@@ -183,6 +183,6 @@
     if shared.is_down() {
         return down();
     }
-    shared.memory().end(*lease);
+    shared.contents().end_lease(*lease);
     HttpResponse::Ok().json(json!({}))
 }
--- a/crates/standin/src/fleet/fleet_sampler.rs
+++ b/crates/standin/src/platform/platform_upstream.rs
@@ -1,6 +1,6 @@
 //! An upstream of the platform: a plain service or a model engine that registers itself in the store.
 
-use super::FleetStore;
+use super::PlatformStore;
 use crate::{Result, RunningStandin, running::start};
 use actix_web::{App, HttpRequest, HttpResponse, http::StatusCode, web};
 use bytes::Bytes;
@@ -22,7 +22,7 @@
 
 /// What an upstream does wrong with one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SamplerFault {
+pub enum UpstreamFault {
     /// Refuses it without running it.
     Refuse,
     /// Runs it and answers with this status.
@@ -43,7 +43,7 @@
 
 /// A request as it came.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SeenCall {
+pub struct RecordedCall {
     /// Id.
     pub id: String,
     /// Path with query.
@@ -51,9 +51,9 @@
     /// Organisation that the sender named.
     pub organisation: String,
     /// Whether a caller's key came with it.
-    pub keyed: bool,
+    pub has_key: bool,
     /// Last event that the sender has.
-    pub last_event: Option<u64>,
+    pub last_event_id: Option<u64>,
     /// Milliseconds that the sender waits.
     pub deadline_ms: u64,
     /// Body.
@@ -62,7 +62,7 @@
 
 /// What an upstream is.
 #[derive(Clone, Debug)]
-pub struct SamplerShape {
+pub struct UpstreamSettings {
     /// Its id.
     pub id: String,
     /// Service.
@@ -78,8 +78,8 @@
 }
 
 struct Shared {
-    shape: SamplerShape,
-    store: FleetStore,
+    shape: UpstreamSettings,
+    store: PlatformStore,
     state: Mutex<State>,
 }
 
@@ -88,22 +88,22 @@
     address: String,
     versions: BTreeMap<String, u64>,
     orders: Vec<Value>,
-    faults: VecDeque<SamplerFault>,
-    seen: Vec<SeenCall>,
+    faults: VecDeque<UpstreamFault>,
+    seen: Vec<RecordedCall>,
     working: usize,
 }
 
 /// A running upstream.
 #[derive(Clone)]
-pub struct FleetSampler {
+pub struct PlatformUpstream {
     /// Bound address.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
-impl FleetSampler {
+impl PlatformUpstream {
     /// Starts an upstream on a port picked by the kernel, on the current runtime, and registers it.
-    pub fn start(shape: SamplerShape, store: &FleetStore) -> Result<Self> {
+    pub fn start(shape: UpstreamSettings, store: &PlatformStore) -> Result<Self> {
         let versions = shape.models.iter().map(|model| (model.clone(), 1)).collect();
         let state = Mutex::new(State { versions, ..State::default() });
         let shared = Arc::new(Shared { shape, store: store.clone(), state });
@@ -122,30 +122,30 @@
     }
 
     /// Faults of the next requests, one each.
-    pub fn set_faults(&self, faults: impl IntoIterator<Item = SamplerFault>) {
+    pub fn set_faults(&self, faults: impl IntoIterator<Item = UpstreamFault>) {
         self.shared.state().faults = faults.into_iter().collect();
     }
 
     /// Requests so far.
     #[must_use]
-    pub fn seen(&self) -> Vec<SeenCall> {
+    pub fn recorded_calls(&self) -> Vec<RecordedCall> {
         self.shared.state().seen.clone()
     }
 
     /// Orders accepted so far.
     #[must_use]
-    pub fn orders(&self) -> Vec<Value> {
+    pub fn weight_orders(&self) -> Vec<Value> {
         self.shared.state().orders.clone()
     }
 
     /// Requests that it works on now.
     #[must_use]
-    pub fn working(&self) -> usize {
+    pub fn running_requests(&self) -> usize {
         self.shared.state().working
     }
 
     /// Says that it leaves.
-    pub fn leave(&self) {
+    pub fn start_draining(&self) {
         self.shared.register("draining");
     }
 }
@@ -192,17 +192,17 @@
         return HttpResponse::MisdirectedRequest().insert_header(("request-id", id)).finish();
     }
     let fault = shared.state().faults.pop_front();
-    if fault == Some(SamplerFault::Refuse) {
+    if fault == Some(UpstreamFault::Refuse) {
         let mut refusal = HttpResponse::ServiceUnavailable();
         return refusal.insert_header(("request-id", id)).insert_header(("not-executed", "1")).finish();
     }
-    let last_event = header(&request, "last-event-id").parse().ok();
-    let seen = SeenCall {
+    let last_event_id = header(&request, "last-event-id").parse().ok();
+    let seen = RecordedCall {
         id: id.clone(),
         path: request.uri().to_string(),
         organisation: header(&request, "tenant"),
-        keyed: request.headers().contains_key("authorization"),
-        last_event,
+        has_key: request.headers().contains_key("authorization"),
+        last_event_id,
         deadline_ms: header(&request, "deadline-ms").parse().unwrap_or(0),
         body: body.to_vec(),
     };
@@ -212,9 +212,9 @@
         state.working += 1;
     }
     let working = Working(shared.clone());
-    let id = if fault == Some(SamplerFault::WrongId) { "another".to_owned() } else { id };
+    let id = if fault == Some(UpstreamFault::WrongId) { "another".to_owned() } else { id };
     match fault {
-        Some(SamplerFault::Hang) => {
+        Some(UpstreamFault::Hang) => {
             // A closed connection shows when something is written to it.
             let drops = stream::unfold(working, |working| async move {
                 actix_rt::time::sleep(HANG_PERIOD).await;
@@ -222,12 +222,12 @@
             });
             answer(StatusCode::OK, &id).streaming(drops.boxed_local())
         }
-        Some(SamplerFault::LoseAnswer) => cut(stream::empty().boxed_local()),
-        Some(SamplerFault::Status(status)) => {
+        Some(UpstreamFault::LoseAnswer) => cut(stream::empty().boxed_local()),
+        Some(UpstreamFault::Status(status)) => {
             let status = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
             answer(status, &id).body("failed")
         }
-        Some(SamplerFault::Truncate) => {
+        Some(UpstreamFault::Truncate) => {
             let first = stream::iter([Ok(Bytes::from_static(b"half"))]).boxed_local();
             let mut response = answer(StatusCode::OK, &id);
             response.no_chunking(100).streaming(first.chain(broken()))
@@ -236,7 +236,7 @@
             actix_rt::time::sleep(Duration::from_millis(shared.shape.event_ms)).await;
             answer(StatusCode::OK, &id).body(format!("answer to {id}"))
         }
-        _ => generate(&shared, &request, &id, last_event, fault, working),
+        _ => generate(&shared, &request, &id, last_event_id, fault, working),
     }
 }
 
@@ -262,14 +262,14 @@
     shared: &Arc<Shared>,
     request: &HttpRequest,
     id: &str,
-    last_event: Option<u64>,
-    fault: Option<SamplerFault>,
+    last_event_id: Option<u64>,
+    fault: Option<UpstreamFault>,
     working: Working,
 ) -> HttpResponse {
     let count: u64 = header(request, "length-hint").parse().unwrap_or(1);
     let model = header(request, "model");
     let version = shared.state().versions.get(&model).copied().unwrap_or(0);
-    let first = last_event.map_or(FIRST_EVENT, |last| last + 1);
+    let first = last_event_id.map_or(FIRST_EVENT, |last| last + 1);
     let end = FIRST_EVENT + count;
     let mut response = answer(StatusCode::OK, id);
     response.insert_header(("content-type", "text/event-stream"));
@@ -278,7 +278,7 @@
     }
     response.insert_header(("weight-versions", version.to_string()));
     let stop = match fault {
-        Some(SamplerFault::CutAfter(events)) => (first + events).min(end),
+        Some(UpstreamFault::CutAfter(events)) => (first + events).min(end),
         _ => end,
     };
     let (shared, id) = (shared.clone(), id.to_owned());
@@ -297,11 +297,11 @@
     })
     .boxed_local();
     match fault {
-        Some(SamplerFault::CutAfter(_)) => {
+        Some(UpstreamFault::CutAfter(_)) => {
             let torn = stream::iter([Ok(Bytes::from(format!("id: {stop}\ndata: to")))]).boxed_local();
             response.streaming(events.chain(torn).chain(broken()))
         }
-        Some(SamplerFault::CutAtEnd) => response.streaming(events.chain(broken())),
+        Some(UpstreamFault::CutAtEnd) => response.streaming(events.chain(broken())),
         _ => response.streaming(events),
     }
 }
--- a/crates/standin/src/fleet/store_memory.rs
+++ b/crates/standin/src/platform/store_contents.rs
@@ -17,7 +17,7 @@
 
 /// Entries by key.
 #[derive(Default)]
-pub struct StoreMemory {
+pub struct StoreContents {
     revision: u64,
     entries: BTreeMap<String, Entry>,
     history: Vec<(u64, Value)>,
@@ -31,7 +31,7 @@
     })
 }
 
-impl StoreMemory {
+impl StoreContents {
     /// Revision of the newest change.
     #[must_use]
     pub fn revision(&self) -> u64 {
@@ -85,7 +85,7 @@
 
     /// Changes below `prefix` after `revision`.
     #[must_use]
-    pub fn changes(&self, prefix: &str, revision: u64) -> Vec<Value> {
+    pub fn changes_after(&self, prefix: &str, revision: u64) -> Vec<Value> {
         let later = self.history.iter().filter(|(at, _)| *at > revision);
         let below = later.filter(|(_, event)| event["key"].as_str().is_some_and(|key| key.starts_with(prefix)));
         below.map(|(_, event)| event.clone()).collect()
@@ -122,21 +122,21 @@
     }
 
     /// Takes a lease.
-    pub fn grant(&mut self, ttl: Duration, now: Instant) -> u64 {
+    pub fn grant_lease(&mut self, ttl: Duration, now: Instant) -> u64 {
         self.revision += 1;
         self.leases.insert(self.revision, (ttl, now + ttl));
         self.revision
     }
 
     /// Renews a lease. False if it has ended.
-    pub fn keep(&mut self, lease: u64, now: Instant) -> bool {
+    pub fn renew_lease(&mut self, lease: u64, now: Instant) -> bool {
         let Some((ttl, ends)) = self.leases.get_mut(&lease) else { return false };
         *ends = now + *ttl;
         true
     }
 
     /// Ends a lease and removes its entries.
-    pub fn end(&mut self, lease: u64) {
+    pub fn end_lease(&mut self, lease: u64) {
         self.leases.remove(&lease);
         let keys: Vec<String> =
             self.entries.iter().filter(|(_, entry)| entry.lease == lease).map(|(key, _)| key.clone()).collect();
@@ -149,8 +149,8 @@
     }
 
     /// Ends the leases whose time is over.
-    pub fn expire(&mut self, now: Instant) {
+    pub fn expire_leases(&mut self, now: Instant) {
         let over: Vec<u64> = self.leases.iter().filter(|(_, (_, ends))| *ends <= now).map(|(id, _)| *id).collect();
-        over.into_iter().for_each(|lease| self.end(lease));
+        over.into_iter().for_each(|lease| self.end_lease(lease));
     }
 }
--- a/crates/standin/src/seen_request.rs
+++ b/crates/standin/src/recorded_request.rs
@@ -5,7 +5,7 @@
 
 /// One request as it arrived.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SeenRequest {
+pub struct RecordedRequest {
     /// Method.
     pub method: String,
     /// Path and query.
@@ -16,10 +16,10 @@
     pub body: String,
 }
 
-impl SeenRequest {
+impl RecordedRequest {
     /// Copies a request.
     #[must_use]
-    pub fn of(request: &HttpRequest, body: &[u8]) -> Self {
+    pub fn from_request(request: &HttpRequest, body: &[u8]) -> Self {
         let headers = request
             .headers()
             .iter()
--- a/crates/standin/src/tcp_relay.rs
+++ b/crates/standin/src/tcp_relay.rs
@@ -58,7 +58,7 @@
 
     /// Changes the rule for open and new connections. A cut ends every connection open now, whatever rule
     /// follows it.
-    pub fn set(&self, rule: RelayRule) {
+    pub fn set_rule(&self, rule: RelayRule) {
         self.rule.send_modify(|(cuts, now)| {
             *cuts += u64::from(rule == RelayRule::Cut);
             *now = rule;
@@ -67,7 +67,7 @@
 
     /// Bytes passed towards the target and back.
     #[must_use]
-    pub fn passed(&self) -> (usize, usize) {
+    pub fn forwarded_bytes(&self) -> (usize, usize) {
         *self.passed.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/standin/src/usage_service.rs
+++ b/crates/standin/src/usage_service.rs
@@ -9,7 +9,7 @@
 
 /// One report as it arrived.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UsageLog {
+pub struct RecordedUsageReport {
     /// Window named in the path.
     pub window: u64,
     /// Fencing number of the reporter.
@@ -20,20 +20,20 @@
     pub fenced: bool,
 }
 
-impl UsageLog {
+impl RecordedUsageReport {
     /// The parsed report.
-    pub fn report(&self) -> serde_json::Result<UsageReport> {
+    pub fn parse(&self) -> serde_json::Result<UsageReport> {
         serde_json::from_str(&self.body)
     }
 }
 
 struct UsageState {
     checks_fencing: bool,
-    log: Mutex<Vec<UsageLog>>,
+    log: Mutex<Vec<RecordedUsageReport>>,
 }
 
 /// Starts the stand-in on `listen`.
-pub fn usage(listen: &str, checks_fencing: bool) -> Result<RunningStandin> {
+pub fn start_usage(listen: &str, checks_fencing: bool) -> Result<RunningStandin> {
     let state = web::Data::from(Arc::new(UsageState { checks_fencing, log: Mutex::default() }));
     start!(listen, move || {
         App::new()
@@ -54,7 +54,7 @@
     let newest = log.iter().map(|entry| entry.fencing).max().unwrap_or(0);
     let fenced = state.checks_fencing && fencing < newest;
     let body = String::from_utf8_lossy(&body).into_owned();
-    log.push(UsageLog { window: path.1, fencing, body, fenced });
+    log.push(RecordedUsageReport { window: path.1, fencing, body, fenced });
     if fenced {
         return HttpResponse::Conflict().finish();
     }
--- a/crates/standin/src/vms_service.rs
+++ b/crates/standin/src/vms_service.rs
@@ -11,7 +11,7 @@
 type VmTable = Mutex<BTreeMap<String, VmEntry>>;
 
 /// Starts the stand-in on `listen`.
-pub fn vms(listen: &str) -> Result<RunningStandin> {
+pub fn start_vms(listen: &str) -> Result<RunningStandin> {
     let table = web::Data::from(Arc::new(VmTable::default()));
     start!(listen, move || {
         App::new()
