--- a/crates/cli/src/cmd/apply.rs
+++ b/crates/cli/src/cmd/apply.rs
@@ -1,44 +1,48 @@
-//! `pimentoslip apply BASE [--overlay FILE]`
+//! `pimentoslip apply BASE [--overlay FILE]`: stores a configuration.
 
-use super::{FileArgs, file_flags};
-use crate::{CliError, CliResult, config::Config, util};
+use super::{FileArgs, with_file_args};
+use crate::{CliError, CliResult, connection_args::ConnectionArgs, util};
 use clap::{Arg, ArgMatches, Command};
 use pimentoslip_kernel::SharedName;
 use pimentoslip_wire::admin::{ApplyRequest, ChangeAnswer, RecordBody};
 
-/// Adds the flags.
+/// Adds the arguments of the command.
 pub fn with_flags(command: Command) -> Command {
-    let command =
-        command.arg(Arg::new("change").long("change").help("Id of the change, to repeat one whose answer was lost"));
-    Config::flags(file_flags(command))
+    let command = command.arg(
+        Arg::new("change")
+            .long("change")
+            .help("Id of the change; repeat the command with the same id if its response was lost"),
+    );
+    ConnectionArgs::with_flags(with_file_args(command))
 }
 
 struct Args {
     files: FileArgs,
-    config: Config,
+    connection: ConnectionArgs,
+    /// Id of the change.
     change: SharedName,
     json: bool,
 }
 
 impl From<&ArgMatches> for Args {
     fn from(args: &ArgMatches) -> Self {
-        let change = args.get_one::<String>("change").map_or_else(util::change_id, |change| change.as_str().into());
-        Self { files: args.into(), config: Config::from_args(args), change, json: args.get_flag("json") }
+        let change = args.get_one::<String>("change").map_or_else(util::new_change_id, |change| change.as_str().into());
+        Self { files: args.into(), connection: ConnectionArgs::from_args(args), change, json: args.get_flag("json") }
     }
 }
 
-/// Checks the files and puts them in force.
+/// Validates the files and stores their configuration.
 pub fn run(args: &ArgMatches) -> CliResult<()> {
     let args = Args::from(args);
     let records = args.files.read()?.records();
     let records = records.into_iter().map(|(name, record)| RecordBody { name, revision: 0, record }).collect();
     let request = ApplyRequest { change: args.change, records };
-    let answer: ChangeAnswer = util::block_on(async { args.config.open().post("apply", &request).await })?;
-    report_change(&answer, args.json)
+    let answer: ChangeAnswer = util::block_on(async { args.connection.into_client().post("apply", &request).await })?;
+    print_change(&answer, args.json)
 }
 
-/// Says what became of a change; one that is pending is an error of its own.
-pub fn report_change(answer: &ChangeAnswer, json: bool) -> CliResult<()> {
+/// Prints the outcome of a change. Returns [`CliError::Pending`] if not every daemon confirmed it.
+pub fn print_change(answer: &ChangeAnswer, json: bool) -> CliResult<()> {
     if json {
         util::print_json(answer)?;
     } else {
--- a/crates/cli/src/cmd/check.rs
+++ b/crates/cli/src/cmd/check.rs
@@ -1,22 +1,22 @@
-//! `pimentoslip check BASE [--overlay FILE]`
+//! `pimentoslip check BASE [--overlay FILE]`: validates a configuration without a daemon.
 
-use super::{FileArgs, file_flags};
+use super::{FileArgs, with_file_args};
 use crate::CliResult;
 use clap::{ArgMatches, Command};
 
-/// Adds the flags.
+/// Adds the arguments of the command.
 pub fn with_flags(command: Command) -> Command {
-    file_flags(command)
+    with_file_args(command)
 }
 
-/// Checks the files. Every fault is listed with its file, key and remedy.
+/// Validates the files. The error lists every fault with its file, key and remedy.
 pub fn run(args: &ArgMatches) -> CliResult<()> {
-    let file = FileArgs::from(args).read()?;
+    let config = FileArgs::from(args).read()?;
     println!(
         "ok: site {}, {} services, {} organisations",
-        file.site.name,
-        file.services.len(),
-        file.organisations.len()
+        config.site.name,
+        config.services.len(),
+        config.organisations.len()
     );
     Ok(())
 }
--- a/crates/cli/src/cmd/diff.rs
+++ b/crates/cli/src/cmd/diff.rs
@@ -1,27 +1,31 @@
-//! `pimentoslip diff BASE [--overlay FILE]`
+//! `pimentoslip diff BASE [--overlay FILE]`: compares files with the active configuration.
 
-use super::{FileArgs, file_flags};
-use crate::{CliResult, config::Config, util};
+use super::{FileArgs, with_file_args};
+use crate::{CliResult, connection_args::ConnectionArgs, util};
 use clap::{ArgMatches, Command};
 use pimentoslip_kernel::{ConfigRecord, RecordName};
 use pimentoslip_wire::admin::ShowAnswer;
 use serde::Serialize;
 
-/// Adds the flags.
+/// Adds the arguments of the command.
 pub fn with_flags(command: Command) -> Command {
-    Config::flags(file_flags(command))
+    ConnectionArgs::with_flags(with_file_args(command))
 }
 
+/// One configuration record that applying the files would change.
 #[derive(Serialize)]
 struct Difference {
+    /// Path of the record, such as `service/desk`.
     record: String,
+    /// `add`, `change` or `remove`.
     change: &'static str,
 }
 
-/// Compares the files with what is in force.
+/// Compares the files with the configuration that is active in one daemon.
 pub fn run(args: &ArgMatches) -> CliResult<()> {
     let wanted = FileArgs::from(args).read()?.records();
-    let shown: ShowAnswer = util::block_on(async { Config::from_args(args).open().get("config").await })?;
+    let shown: ShowAnswer =
+        util::block_on(async { ConnectionArgs::from_args(args).into_client().get("config").await })?;
     let differences = compare(&wanted, &shown);
     if args.get_flag("json") {
         return util::print_json(&differences);
@@ -35,24 +39,26 @@
     Ok(())
 }
 
+/// Differences between the records in `wanted` and those that the daemon returned in `shown`.
 fn compare(wanted: &[(RecordName, ConfigRecord)], shown: &ShowAnswer) -> Vec<Difference> {
-    let stored = |name: &RecordName| {
-        let found = shown.records.iter().find(|body| body.name == *name).map(|body| &body.record);
-        found.filter(|record| **record != ConfigRecord::Removed)
+    let active_record = |name: &RecordName| {
+        let record = shown.records.iter().find(|body| body.name == *name).map(|body| &body.record);
+        record.filter(|record| **record != ConfigRecord::Removed)
     };
     let mut differences: Vec<Difference> = wanted
         .iter()
         .filter_map(|(name, record)| {
-            let change = match stored(name) {
+            let change = match active_record(name) {
                 None => "add",
-                Some(old) if old != record => "change",
+                Some(active) if active != record => "change",
                 Some(_) => return None,
             };
             Some(Difference { record: name.path(), change })
         })
         .collect();
-    let owned = |name: &RecordName| matches!(name, RecordName::Service(_) | RecordName::Organisation(_));
-    for body in shown.records.iter().filter(|body| owned(&body.name) && body.record != ConfigRecord::Removed) {
+    // Only services and organisations can be removed by leaving them out of the files.
+    let removable = |name: &RecordName| matches!(name, RecordName::Service(_) | RecordName::Organisation(_));
+    for body in shown.records.iter().filter(|body| removable(&body.name) && body.record != ConfigRecord::Removed) {
         if !wanted.iter().any(|(name, _)| *name == body.name) {
             differences.push(Difference { record: body.name.path(), change: "remove" });
         }
--- a/crates/cli/src/cmd/drain.rs
+++ b/crates/cli/src/cmd/drain.rs
@@ -1,16 +1,17 @@
-//! `pimentoslip drain`
+//! `pimentoslip drain`: drains and stops a daemon.
 
-use crate::{CliResult, config::Config, util};
+use crate::{CliResult, connection_args::ConnectionArgs, util};
 use clap::{ArgMatches, Command};
 
-/// Adds the flags.
+/// Adds the arguments of the command.
 pub fn with_flags(command: Command) -> Command {
-    Config::flags(command)
+    ConnectionArgs::with_flags(command)
 }
 
-/// Makes the daemon named by `--daemon` finish its requests and stop.
+/// Requests that the daemon at `--daemon` finishes its requests and stops.
 pub fn run(args: &ArgMatches) -> CliResult<()> {
-    let answer: serde_json::Value = util::block_on(async { Config::from_args(args).open().post("drain", &()).await })?;
+    let answer: serde_json::Value =
+        util::block_on(async { ConnectionArgs::from_args(args).into_client().post("drain", &()).await })?;
     if args.get_flag("json") {
         return util::print_json(&answer);
     }
--- a/crates/cli/src/cmd/key.rs
+++ b/crates/cli/src/cmd/key.rs
@@ -1,48 +1,53 @@
-//! `pimentoslip key create|withdraw|list`
+//! `pimentoslip key create|withdraw|list`: manages the API keys of organisations.
 
-use super::apply::report_change;
-use crate::{CliError, CliResult, admin_client::AdminClient, config::Config, util};
+use super::apply::print_change;
+use crate::{CliError, CliResult, admin_client::AdminClient, connection_args::ConnectionArgs, util};
 use clap::{Arg, ArgMatches, Command};
 use pimentoslip_kernel::KeySecret;
 use pimentoslip_wire::admin::{ChangeAnswer, KeyCreateAnswer, KeyListAnswer, KeyRequest};
 
-/// Adds the flags.
+/// Adds the arguments of the command.
 pub fn with_flags(command: Command) -> Command {
     let organisation = || Arg::new("organisation").required(true).help("Organisation");
-    let create = Command::new("create").about("Create a key and print it once").arg(organisation());
+    let create =
+        Command::new("create").about("Create a key and print it; it cannot be shown again").arg(organisation());
     let withdraw = Command::new("withdraw")
-        .about("Withdraw a key at once")
+        .about("Withdraw a key with immediate effect")
         .arg(organisation())
-        .arg(Arg::new("key").required(true).help("Id of the key"));
+        .arg(Arg::new("key").required(true).help("Id of the key, as printed by 'key list'"));
     let list = Command::new("list").about("List keys without their secrets");
     command
         .subcommand_required(true)
-        .subcommand(Config::flags(create))
-        .subcommand(Config::flags(withdraw))
-        .subcommand(Config::flags(list))
+        .subcommand(ConnectionArgs::with_flags(create))
+        .subcommand(ConnectionArgs::with_flags(withdraw))
+        .subcommand(ConnectionArgs::with_flags(list))
 }
 
-/// Runs one of the three.
+/// Runs the given subcommand.
 pub fn run(args: &ArgMatches) -> CliResult<()> {
     let Some((name, args)) = args.subcommand() else {
-        return Err(CliError::Failed("name one of create, withdraw and list".to_owned()));
+        return Err(CliError::Failed("the subcommand is missing; use create, withdraw or list".to_owned()));
     };
-    let config = Config::from_args(args);
+    let connection = ConnectionArgs::from_args(args);
     let json = args.get_flag("json");
     util::block_on(async move {
-        let client = config.open();
+        let client = connection.into_client();
         match name {
-            "create" => create(&client, &util::text(args, "organisation"), json).await,
-            "withdraw" => withdraw(&client, &util::text(args, "organisation"), &util::text(args, "key"), json).await,
-            _ => list(&client, json).await,
+            "create" => create_key(&client, &util::string_arg(args, "organisation"), json).await,
+            "withdraw" => {
+                withdraw_key(&client, &util::string_arg(args, "organisation"), &util::string_arg(args, "key"), json)
+                    .await
+            }
+            _ => list_keys(&client, json).await,
         }
     })
 }
 
-async fn create(client: &AdminClient, organisation: &str, json: bool) -> CliResult<()> {
+/// Creates a key and prints it. Only its hash is sent to the daemon.
+async fn create_key(client: &AdminClient, organisation: &str, json: bool) -> CliResult<()> {
     let secret = KeySecret::generate(&mut rand::rng());
     let request = KeyRequest {
-        change: util::change_id(),
+        change: util::new_change_id(),
         organisation: organisation.into(),
         key: secret.id.clone(),
         hash: Some(secret.hash()),
@@ -68,14 +73,14 @@
     Err(CliError::Pending(answer.unconfirmed.join(", ")))
 }
 
-async fn withdraw(client: &AdminClient, organisation: &str, key: &str, json: bool) -> CliResult<()> {
+async fn withdraw_key(client: &AdminClient, organisation: &str, key: &str, json: bool) -> CliResult<()> {
     let request =
-        KeyRequest { change: util::change_id(), organisation: organisation.into(), key: key.into(), hash: None };
+        KeyRequest { change: util::new_change_id(), organisation: organisation.into(), key: key.into(), hash: None };
     let answer: ChangeAnswer = client.post("keys/withdraw", &request).await?;
-    report_change(&answer, json)
+    print_change(&answer, json)
 }
 
-async fn list(client: &AdminClient, json: bool) -> CliResult<()> {
+async fn list_keys(client: &AdminClient, json: bool) -> CliResult<()> {
     let answer: KeyListAnswer = client.get("keys").await?;
     if json {
         return util::print_json(&answer);
--- a/crates/cli/src/cmd/mod.rs
+++ b/crates/cli/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! One file a subcommand.
+//! Subcommands of `pimentoslip`: each module adds the arguments of one subcommand and runs it.
 
 pub mod apply;
 pub mod check;
@@ -13,14 +13,14 @@
 
 use clap::{Arg, ArgMatches, Command};
 
-/// Adds the flags that name a base file and its overlay.
-fn file_flags(command: Command) -> Command {
+/// Adds the arguments that name a base file and its overlay.
+fn with_file_args(command: Command) -> Command {
     command
-        .arg(Arg::new("base").required(true).help("Base file"))
-        .arg(Arg::new("overlay").long("overlay").help("Overlay of the site"))
+        .arg(Arg::new("base").required(true).help("Base configuration file (TOML)"))
+        .arg(Arg::new("overlay").long("overlay").help("File whose values override those of the base file for one site"))
 }
 
-/// The base file and its overlay.
+/// Paths of the base configuration file and of its optional overlay.
 #[derive(Clone, Debug)]
 struct FileArgs {
     base: String,
@@ -29,11 +29,12 @@
 
 impl From<&ArgMatches> for FileArgs {
     fn from(args: &ArgMatches) -> Self {
-        Self { base: crate::util::text(args, "base"), overlay: args.get_one("overlay").cloned() }
+        Self { base: crate::util::string_arg(args, "base"), overlay: args.get_one("overlay").cloned() }
     }
 }
 
 impl FileArgs {
+    /// Reads and validates both files.
     fn read(&self) -> crate::CliResult<pimentoslip_kernel::ConfigFile> {
         crate::util::read_config(&self.base, self.overlay.as_deref())
     }
--- a/crates/cli/src/cmd/show.rs
+++ b/crates/cli/src/cmd/show.rs
@@ -1,17 +1,18 @@
-//! `pimentoslip show`
+//! `pimentoslip show`: prints the active configuration.
 
-use crate::{CliResult, config::Config, util};
+use crate::{CliResult, connection_args::ConnectionArgs, util};
 use clap::{ArgMatches, Command};
 use pimentoslip_wire::admin::ShowAnswer;
 
-/// Adds the flags.
+/// Adds the arguments of the command.
 pub fn with_flags(command: Command) -> Command {
-    Config::flags(command)
+    ConnectionArgs::with_flags(command)
 }
 
-/// Shows the configuration in force in one daemon.
+/// Prints the configuration records that are active in one daemon.
 pub fn run(args: &ArgMatches) -> CliResult<()> {
-    let answer: ShowAnswer = util::block_on(async { Config::from_args(args).open().get("config").await })?;
+    let answer: ShowAnswer =
+        util::block_on(async { ConnectionArgs::from_args(args).into_client().get("config").await })?;
     if args.get_flag("json") {
         return util::print_json(&answer);
     }
--- a/crates/cli/src/cmd/status.rs
+++ b/crates/cli/src/cmd/status.rs
@@ -1,17 +1,18 @@
-//! `pimentoslip status`
+//! `pimentoslip status`: prints the state of the site.
 
-use crate::{CliResult, config::Config, util};
+use crate::{CliResult, connection_args::ConnectionArgs, util};
 use clap::{ArgMatches, Command};
 use pimentoslip_wire::admin::StatusAnswer;
 
-/// Adds the flags.
+/// Adds the arguments of the command.
 pub fn with_flags(command: Command) -> Command {
-    Config::flags(command)
+    ConnectionArgs::with_flags(command)
 }
 
-/// Shows the site as one daemon sees it.
+/// Prints the state of the site as one daemon sees it.
 pub fn run(args: &ArgMatches) -> CliResult<()> {
-    let status: StatusAnswer = util::block_on(async { Config::from_args(args).open().get("status").await })?;
+    let status: StatusAnswer =
+        util::block_on(async { ConnectionArgs::from_args(args).into_client().get("status").await })?;
     if args.get_flag("json") {
         return util::print_json(&status);
     }
@@ -26,11 +27,12 @@
         "spend {} of floor {} and ceiling {} cents an hour; staleness bound {} versions",
         status.spend_cents_per_hour, status.floor_cents_per_hour, status.ceiling_cents_per_hour, status.staleness_bound
     );
-    print_sections(&status);
+    print_tables(&status);
     Ok(())
 }
 
-fn print_sections(status: &StatusAnswer) {
+/// Prints a table each of daemons, duties, upstreams and steps.
+fn print_tables(status: &StatusAnswer) {
     let daemons: Vec<Vec<String>> = status
         .daemons
         .iter()
--- a/crates/cli/src/cmd/usage.rs
+++ b/crates/cli/src/cmd/usage.rs
@@ -1,17 +1,18 @@
-//! `pimentoslip usage`
+//! `pimentoslip usage`: prints usage counts.
 
-use crate::{CliResult, config::Config, util};
+use crate::{CliResult, connection_args::ConnectionArgs, util};
 use clap::{ArgMatches, Command};
 use pimentoslip_wire::provider::UsageReport;
 
-/// Adds the flags.
+/// Adds the arguments of the command.
 pub fn with_flags(command: Command) -> Command {
-    Config::flags(command)
+    ConnectionArgs::with_flags(command)
 }
 
-/// Shows sealed usage windows.
+/// Prints the requests and tokens of each sealed usage window, by organisation and service.
 pub fn run(args: &ArgMatches) -> CliResult<()> {
-    let reports: Vec<UsageReport> = util::block_on(async { Config::from_args(args).open().get("usage").await })?;
+    let reports: Vec<UsageReport> =
+        util::block_on(async { ConnectionArgs::from_args(args).into_client().get("usage").await })?;
     if args.get_flag("json") {
         return util::print_json(&reports);
     }
--- a/crates/cli/src/demo/mod.rs
+++ b/crates/cli/src/demo/mod.rs
@@ -1,6 +1,6 @@
-//! The whole path in one process: stand-ins, three daemons, an operator, customers and a trainer.
+//! The demo: stand-ins, three daemons, an operator, a customer and a trainer in one process.
 
-mod demo_check;
+mod demo_checks;
 mod demo_site;
 mod scenes;
 
--- a/crates/cli/src/demo/scenes.rs
+++ b/crates/cli/src/demo/scenes.rs
@@ -1,6 +1,6 @@
-//! What happens in the demo.
+//! The scenes of the demo: each one acts as a user of the site and checks the results.
 
-use super::{demo_check::DemoCheck, demo_site::DemoSite};
+use super::{demo_checks::DemoChecks, demo_site::DemoSite};
 use crate::{CliError, CliResult, util};
 use awc::http::StatusCode;
 use pimentoslip_kernel::{ConfigFile, FetchCursor, KeySecret};
@@ -13,95 +13,100 @@
 use serde::{Serialize, de::DeserializeOwned};
 use std::{future::Future, time::Duration};
 
-const BASE: &str = include_str!("demo-base.toml");
-const OVERLAY: &str = include_str!("demo-overlay.toml");
-const WAIT: Duration = Duration::from_secs(20);
-const POLL: Duration = Duration::from_millis(50);
+const BASE_CONFIG: &str = include_str!("demo-base.toml");
+const OVERLAY_CONFIG: &str = include_str!("demo-overlay.toml");
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs all scenes; fails when a check did.
+/// Runs all scenes. Returns an error if a check failed.
 pub async fn run() -> CliResult<()> {
-    let mut check = DemoCheck::default();
+    let mut checks = DemoChecks::default();
     println!("Starting stand-ins and three daemons in three failure domains.");
     let site = DemoSite::start().await?;
-    let key = configure(&site, &mut check).await?;
-    customer(&site, &key, &mut check).await?;
-    order_desk(&site, &key, &mut check).await?;
-    trainer(&site, &key, &mut check).await?;
-    ordering(&site, &mut check).await?;
-    billing(&site, &mut check).await?;
-    withdrawal(&site, &key, &mut check).await?;
-    println!("{} checks held, {} failed.", check.passed(), check.failed());
-    if check.failed() > 0 {
-        return Err(CliError::Failed("the demo's checks did not all hold".to_owned()));
+    let key = apply_configuration(&site, &mut checks).await?;
+    send_streamed_request(&site, &key, &mut checks).await?;
+    send_repeated_order(&site, &key, &mut checks).await?;
+    run_training_step(&site, &key, &mut checks).await?;
+    order_upstream(&site, &mut checks).await?;
+    report_usage(&site, &mut checks).await?;
+    withdraw_key(&site, &key, &mut checks).await?;
+    println!("{} checks held, {} failed.", checks.passed(), checks.failed());
+    if checks.failed() > 0 {
+        return Err(CliError::Failed("some of the demo's checks failed; they are marked FAILED above".to_owned()));
     }
     Ok(())
 }
 
-/// Polls `probe` until it gives a value or the demo's patience ends.
+/// Polls `probe` until it returns a value. Returns `None` after [`WAIT_TIMEOUT`].
 async fn wait_for<T, F: Future<Output = Option<T>>>(mut probe: impl FnMut() -> F) -> Option<T> {
-    let polls = WAIT.as_millis() / POLL.as_millis();
+    let polls = WAIT_TIMEOUT.as_millis() / POLL_INTERVAL.as_millis();
     for _ in 0..polls {
         if let Some(value) = probe().await {
             return Some(value);
         }
-        actix_rt::time::sleep(POLL).await;
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
     None
 }
 
+/// Sends a GET request and parses the JSON response. Returns `None` on any failure.
 async fn get_json<T: DeserializeOwned>(site: &DemoSite, url: String) -> Option<T> {
     site.client.get(url).send().await.ok()?.json().limit(8 << 20).await.ok()
 }
 
-async fn post<Q: Serialize>(
+/// Posts `body` to the daemon with index `daemon`. Returns the status, whether the response was replayed from a stored
+/// answer, and the body.
+async fn post<B: Serialize>(
     site: &DemoSite,
-    at: usize,
+    daemon: usize,
     path: &str,
     key: &KeySecret,
-    body: &Q,
-    extra: &[(&str, &str)],
+    body: &B,
+    extra_headers: &[(&str, &str)],
 ) -> CliResult<(StatusCode, bool, Vec<u8>)> {
-    let mut request = site.client.post(site.url(at, path)).bearer_auth(key.expose());
-    for (name, value) in extra {
+    let mut request = site.client.post(site.url(daemon, path)).bearer_auth(key.expose());
+    for (name, value) in extra_headers {
         request = request.insert_header((*name, *value));
     }
-    let failed = |error: String| CliError::Failed(format!("a demo request failed: {error}"));
-    let mut answer = request.send_json(body).await.map_err(|error| failed(error.to_string()))?;
+    let request_error = |error: String| CliError::Failed(format!("the demo's request to a daemon failed: {error}"));
+    let mut answer = request.send_json(body).await.map_err(|error| request_error(error.to_string()))?;
     let replayed = answer.headers().contains_key(REPLAYED_HEADER);
-    let bytes = answer.body().limit(16 << 20).await.map_err(|error| failed(error.to_string()))?;
+    let bytes = answer.body().limit(16 << 20).await.map_err(|error| request_error(error.to_string()))?;
     Ok((answer.status(), replayed, bytes.to_vec()))
 }
 
-async fn configure(site: &DemoSite, check: &mut DemoCheck) -> CliResult<KeySecret> {
+/// Applies the configuration and creates a key, and checks that all daemons receive both. Returns the key.
+async fn apply_configuration(site: &DemoSite, checks: &mut DemoChecks) -> CliResult<KeySecret> {
     println!("An operator applies a base file with the site's overlay, and creates a key.");
-    let file = ConfigFile::parse(("demo-base.toml", BASE), Some(("demo-overlay.toml", OVERLAY)))?;
+    let file = ConfigFile::parse(("demo-base.toml", BASE_CONFIG), Some(("demo-overlay.toml", OVERLAY_CONFIG)))?;
     let records = file.records().into_iter().map(|(name, record)| RecordBody { name, revision: 0, record }).collect();
-    let request = ApplyRequest { change: util::change_id(), records };
+    let request = ApplyRequest { change: util::new_change_id(), records };
     let answer: ChangeAnswer = site.admin(0).post("apply", &request).await?;
-    check.expect(
+    checks.expect(
         answer.changed >= 3,
         format!("{} records are in force at revision {}", answer.changed, answer.revision),
     );
     let secret = KeySecret::generate(&mut rand::rng());
     let request = KeyRequest {
-        change: util::change_id(),
+        change: util::new_change_id(),
         organisation: "velorio".into(),
         key: secret.id.clone(),
         hash: Some(secret.hash()),
     };
     let answer: ChangeAnswer = site.admin(1).post("keys/create", &request).await?;
     let ready = wait_for(|| async {
-        for at in 0..site.daemons.len() {
-            let status: StatusAnswer = site.admin(at).get("status").await.ok()?;
+        for daemon in 0..site.daemons.len() {
+            let status: StatusAnswer = site.admin(daemon).get("status").await.ok()?;
             (status.fresh && status.revision >= answer.revision && status.upstreams.len() >= 3).then_some(())?;
         }
         Some(())
     });
-    check.expect(ready.await.is_some(), "all three daemons know the configuration and the upstreams");
+    checks.expect(ready.await.is_some(), "all three daemons know the configuration and the upstreams");
     Ok(secret)
 }
 
-async fn customer(site: &DemoSite, key: &KeySecret, check: &mut DemoCheck) -> CliResult<()> {
+/// Requests a streamed completion and checks that it is complete and that no engine received the API key.
+async fn send_streamed_request(site: &DemoSite, key: &KeySecret, checks: &mut DemoChecks) -> CliResult<()> {
     println!("A customer asks a model engine for a condolence card, as a stream.");
     let body = serde_json::json!({
         "model": "drafts", "stream": true, "max_tokens": 32,
@@ -109,7 +114,7 @@
     });
     let (status, _, bytes) = post(site, 0, "/v1/chat/completions", key, &body, &[]).await?;
     let text = String::from_utf8_lossy(&bytes);
-    check.expect(
+    checks.expect(
         status == StatusCode::OK && text.ends_with("data: [DONE]\n\n"),
         "the stream arrived whole, with its terminal marker",
     );
@@ -119,37 +124,44 @@
             get_json(site, format!("http://{engine}/standin/seen")).await.unwrap_or_default();
         leaked |= format!("{seen:?}").contains(key.expose());
     }
-    check.expect(!leaked, "no engine saw the customer's key");
+    checks.expect(!leaked, "no engine saw the customer's key");
     Ok(())
 }
 
-async fn order_desk(site: &DemoSite, key: &KeySecret, check: &mut DemoCheck) -> CliResult<()> {
+/// Sends one order twice with the same idempotency key and checks that it runs once. Also checks that a route without
+/// authentication is served and that another one is refused.
+async fn send_repeated_order(site: &DemoSite, key: &KeySecret, checks: &mut DemoChecks) -> CliResult<()> {
     println!("The order desk places one order twice, through two daemons, under one idempotency key.");
     let order = serde_json::json!({ "trays": 12, "family": "Quispe" });
     let header = [(IDEMPOTENCY_KEY_HEADER, "order-4711")];
-    let (first, _, answer) = post(site, 0, "/services/desk/orders", key, &order, &header).await?;
-    let (second, replayed, again) = post(site, 2, "/services/desk/orders", key, &order, &header).await?;
-    check.expect(first == StatusCode::OK && second == StatusCode::OK, "both calls were answered");
-    check.expect(replayed && answer == again, "the second one got the first one's answer");
+    let (first_status, _, first_answer) = post(site, 0, "/services/desk/orders", key, &order, &header).await?;
+    let (second_status, replayed, second_answer) = post(site, 2, "/services/desk/orders", key, &order, &header).await?;
+    checks.expect(first_status == StatusCode::OK && second_status == StatusCode::OK, "both calls were answered");
+    checks.expect(replayed && first_answer == second_answer, "the second one got the first one's answer");
     let seen: Vec<RecordedRequest> =
         get_json(site, format!("http://{}/standin/seen", site.desk)).await.unwrap_or_default();
-    check.expect(seen.len() == 1, format!("the order ran {} time(s)", seen.len()));
-    let open = site.client.get(site.url(1, "/services/desk/menu")).send().await;
-    check.expect(open.is_ok_and(|answer| answer.status() == StatusCode::OK), "the open route answers without a key");
-    let closed = site.client.get(site.url(1, "/services/desk/orders")).send().await;
-    let refused = match closed {
+    checks.expect(seen.len() == 1, format!("the order ran {} time(s)", seen.len()));
+    let open_route = site.client.get(site.url(1, "/services/desk/menu")).send().await;
+    checks.expect(
+        open_route.is_ok_and(|answer| answer.status() == StatusCode::OK),
+        "the open route answers without a key",
+    );
+    let protected_route = site.client.get(site.url(1, "/services/desk/orders")).send().await;
+    let refused = match protected_route {
         Ok(mut answer) => answer.json::<Refusal>().await.ok().map(|refusal| refusal.error),
         Err(_) => None,
     };
     let text = refused.as_ref().map_or_else(String::new, |error| format!("{}, {}", error.code, error.run_state));
-    check.expect(refused.is_some_and(|error| error.code == "key_missing"), format!("another route is refused: {text}"));
+    checks
+        .expect(refused.is_some_and(|error| error.code == "key_missing"), format!("another route is refused: {text}"));
     Ok(())
 }
 
-async fn trainer(site: &DemoSite, key: &KeySecret, check: &mut DemoCheck) -> CliResult<()> {
+/// Publishes weights, opens a step and fetches its samples, and checks that each sample arrives once.
+async fn run_training_step(site: &DemoSite, key: &KeySecret, checks: &mut DemoChecks) -> CliResult<()> {
     println!("A trainer publishes weights, opens a step of 4 groups of 8, and fetches its samples.");
     let publish = PublishRequest { service: "drafts".into(), version: 2 };
-    let (published, _, _) = post(site, 1, "/v1/weights", key, &publish, &[]).await?;
+    let (publish_status, _, _) = post(site, 1, "/v1/weights", key, &publish, &[]).await?;
     let prompts = (0..4).map(|group| format!("Tray menu {group}").into()).collect();
     let open = OpenRequest {
         trainer: "menus".into(),
@@ -159,11 +171,14 @@
         group_size: 8,
         max_tokens: 64,
     };
-    let (opened, _, _) = post(site, 1, "/v1/steps", key, &open, &[]).await?;
-    check.expect(published == StatusCode::OK && opened == StatusCode::OK, "weights are published and the step is open");
+    let (open_status, _, _) = post(site, 1, "/v1/steps", key, &open, &[]).await?;
+    checks.expect(
+        publish_status == StatusCode::OK && open_status == StatusCode::OK,
+        "weights are published and the step is open",
+    );
     let mut cursor = FetchCursor::default();
-    let (mut doubled, mut versions) = (0, std::collections::BTreeSet::new());
-    for turn in 0..200 {
+    let (mut duplicates, mut versions) = (0, std::collections::BTreeSet::new());
+    for attempt in 0..200 {
         let fetch = FetchRequest {
             trainer: "menus".into(),
             step: 1,
@@ -172,10 +187,10 @@
             max: 16,
             wait_ms: 2_000,
         };
-        let (_, _, bytes) = post(site, turn % 3, "/v1/steps/fetch", key, &fetch, &[]).await?;
+        let (_, _, bytes) = post(site, attempt % 3, "/v1/steps/fetch", key, &fetch, &[]).await?;
         let Ok(answer) = serde_json::from_slice::<FetchAnswer>(&bytes) else { continue };
         for sample in &answer.samples {
-            doubled += usize::from(cursor.contains(sample.sample));
+            duplicates += usize::from(cursor.contains(sample.sample));
             cursor.insert(sample.sample);
             versions.extend(sample.segments.iter().map(|segment| segment.version));
         }
@@ -183,12 +198,14 @@
             break;
         }
     }
-    check.expect(cursor.len() == 32 && doubled == 0, format!("{} samples arrived, {doubled} twice", cursor.len()));
-    check.expect(versions.iter().all(|version| *version >= 1), format!("they name weight versions {versions:?}"));
+    checks
+        .expect(cursor.len() == 32 && duplicates == 0, format!("{} samples arrived, {duplicates} twice", cursor.len()));
+    checks.expect(versions.iter().all(|version| *version >= 1), format!("they name weight versions {versions:?}"));
     Ok(())
 }
 
-async fn ordering(site: &DemoSite, check: &mut DemoCheck) -> CliResult<()> {
+/// Makes a spare upstream available and checks that the daemons order it.
+async fn order_upstream(site: &DemoSite, checks: &mut DemoChecks) -> CliResult<()> {
     println!("The holder of failure domain c's duty orders an upstream there.");
     let spare = SpareUpstream {
         name: "engine-2".into(),
@@ -197,19 +214,20 @@
         address: site.engines[1].to_string().into(),
         reclaimable: false,
     };
-    let sent = site.client.put(format!("http://{}/standin/spares", site.orders)).send_json(&spare).await;
-    sent.map_err(|error| CliError::Failed(error.to_string()))?;
-    let done = wait_for(|| async {
+    let response = site.client.put(format!("http://{}/standin/spares", site.orders)).send_json(&spare).await;
+    response.map_err(|error| CliError::Failed(error.to_string()))?;
+    let started_order = wait_for(|| async {
         let log: Vec<RecordedOrder> = get_json(site, format!("http://{}/standin/orders", site.orders)).await?;
         log.into_iter().find(|entry| entry.vm.as_deref() == Some("engine-2"))
     });
-    let done = done.await;
-    let text = done.as_ref().map_or_else(String::new, |entry| format!("order {}", entry.request.order));
-    check.expect(done.is_some(), format!("the upstream was started by {text}"));
+    let started_order = started_order.await;
+    let text = started_order.as_ref().map_or_else(String::new, |entry| format!("order {}", entry.request.order));
+    checks.expect(started_order.is_some(), format!("the upstream was started by {text}"));
     Ok(())
 }
 
-async fn billing(site: &DemoSite, check: &mut DemoCheck) -> CliResult<()> {
+/// Checks that usage is reported and that reports of one window do not differ.
+async fn report_usage(site: &DemoSite, checks: &mut DemoChecks) -> CliResult<()> {
     println!("The holder of the usage duty seals a window and reports it.");
     let reports = wait_for(|| async {
         let log: Vec<RecordedUsageReport> = get_json(site, format!("http://{}/standin/reports", site.usage)).await?;
@@ -217,22 +235,26 @@
     });
     let reports = reports.await.unwrap_or_default();
     let differing = reports.iter().any(|a| reports.iter().any(|b| a.window == b.window && a.body != b.body));
-    check.expect(
+    checks.expect(
         !reports.is_empty() && !differing,
         format!("{} report(s) arrived, none with differing figures", reports.len()),
     );
     Ok(())
 }
 
-async fn withdrawal(site: &DemoSite, key: &KeySecret, check: &mut DemoCheck) -> CliResult<()> {
+/// Withdraws the key and checks that every daemon refuses it.
+async fn withdraw_key(site: &DemoSite, key: &KeySecret, checks: &mut DemoChecks) -> CliResult<()> {
     println!("The operator withdraws the key.");
     let request =
-        KeyRequest { change: util::change_id(), organisation: "velorio".into(), key: key.id.clone(), hash: None };
+        KeyRequest { change: util::new_change_id(), organisation: "velorio".into(), key: key.id.clone(), hash: None };
     let _: ChangeAnswer = site.admin(2).post("keys/withdraw", &request).await?;
     let body = serde_json::json!({ "model": "drafts", "messages": [] });
-    for at in 0..site.daemons.len() {
-        let (status, _, _) = post(site, at, "/v1/chat/completions", key, &body, &[]).await?;
-        check.expect(status == StatusCode::UNAUTHORIZED, format!("daemon {} refuses it with status {status}", at + 1));
+    for daemon in 0..site.daemons.len() {
+        let (status, _, _) = post(site, daemon, "/v1/chat/completions", key, &body, &[]).await?;
+        checks.expect(
+            status == StatusCode::UNAUTHORIZED,
+            format!("daemon {} refuses it with status {status}", daemon + 1),
+        );
     }
     Ok(())
 }
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,9 +1,9 @@
-//! The operators' command line.
+//! Commands of `pimentoslip`, the operators' command line.
 
 mod admin_client;
 mod cli_error;
 pub mod cmd;
-mod config;
+mod connection_args;
 mod demo;
 mod util;
 
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -4,7 +4,7 @@
 use pimentoslip_cli::{CliResult, cmd};
 use std::process::ExitCode;
 
-/// Name, summary, and the functions behind a command.
+/// A subcommand: its name, its help text, and the functions that add its arguments and run it.
 struct CommandEntry {
     name: &'static str,
     summary: &'static str,
@@ -12,6 +12,7 @@
     run: fn(&clap::ArgMatches) -> CliResult<()>,
 }
 
+/// Builds the entries of subcommands whose modules in [`cmd`] have the same name.
 macro_rules! command_list {
     ($($name:ident: $summary:literal,)*) => {
         &[$(CommandEntry { name: stringify!($name), summary: $summary, with_flags: cmd::$name::with_flags, run: cmd::$name::run },)*]
@@ -19,16 +20,16 @@
 }
 
 const COMMANDS: &[CommandEntry] = command_list! {
-    apply: "Put a base file and its overlay in force",
-    check: "Check a base file and its overlay, changing nothing",
-    demo: "Run the whole path on embedded stand-ins",
-    diff: "Show what apply would change",
-    drain: "Make a daemon finish its requests and stop",
-    key: "Create, withdraw and list tenant keys",
-    show: "Show the configuration in force",
-    standin: "Run a stand-in of the platform or an upstream",
+    apply: "Apply a base file and its overlay as the site's configuration",
+    check: "Validate a base file and its overlay without applying them",
+    demo: "Run three daemons against embedded stand-ins and check the results",
+    diff: "Show the records that apply would change",
+    drain: "Let a daemon finish its requests and stop it",
+    key: "Create, withdraw and list the API keys of organisations",
+    show: "Show the active configuration",
+    standin: "Run a stand-in for a platform service or an upstream",
     status: "Show daemons, duties, upstreams, steps and spend",
-    usage: "Show sealed usage windows",
+    usage: "Show the usage of each sealed window by organisation and service",
 };
 
 fn main() -> ExitCode {
