--- a/crates/cli/benches/site/capacity.rs
+++ b/crates/cli/benches/site/capacity.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     probe::{cpu_seconds, fit, histogram, metric, quantile_ms, record, resident_bytes, spread},
-    support::{Site, SiteShape},
+    support::{DaemonSite, SiteOptions},
 };
 use futures_util::StreamExt;
 use pimentoslip_kernel::KeySecret;
@@ -17,11 +17,11 @@
 const WINDOW: Duration = Duration::from_secs(8);
 
 /// A site whose ordering and usage have nothing to do.
-fn quiet(daemons: usize) -> SiteShape {
+fn quiet(daemons: usize) -> SiteOptions {
     let daemons = (0..daemons).map(|at| DOMAINS[at % DOMAINS.len()]).collect();
-    let shape = SiteShape { daemons, engines: vec![], ..SiteShape::default() };
-    let base = shape.base.replace("usage_window_seconds = 2", "usage_window_seconds = 300");
-    SiteShape { base, ..shape }
+    let shape = SiteOptions { daemons, engines: vec![], ..SiteOptions::default() };
+    let base_config = shape.base_config.replace("usage_window_seconds = 2", "usage_window_seconds = 300");
+    SiteOptions { base_config, ..shape }
 }
 
 /// Control costs of idle daemons against their number.
@@ -31,7 +31,7 @@
     );
     let (mut cpu_points, mut byte_points, mut call_points) = (Vec::new(), Vec::new(), Vec::new());
     for count in [3, 6, 12, 24] {
-        let site = Site::start(quiet(count)).await;
+        let site = DaemonSite::start(quiet(count)).await;
         actix_rt::time::sleep(SETTLE).await;
         let before = readings(&site).await;
         let began = Instant::now();
@@ -59,11 +59,11 @@
 }
 
 /// Processor seconds, exchange bytes, service calls and resident bytes of each daemon.
-async fn readings(site: &Site) -> Vec<[f64; 4]> {
+async fn readings(site: &DaemonSite) -> Vec<[f64; 4]> {
     let mut readings = Vec::new();
     for daemon in &site.daemons {
-        let bytes = metric(&site.http, &daemon.control, "exchange_bytes").await;
-        let calls = metric(&site.http, &daemon.control, "kv_calls").await;
+        let bytes = metric(&site.http, &daemon.control_address, "exchange_bytes").await;
+        let calls = metric(&site.http, &daemon.control_address, "kv_calls").await;
         readings.push([cpu_seconds(&daemon.process), bytes, calls, resident_bytes(&daemon.process) as f64]);
     }
     readings
@@ -72,18 +72,18 @@
 /// Memory against listed upstreams, and against keys.
 pub async fn memory() {
     println!("memory,what,count,resident_mb");
-    let site = Site::start(quiet(3)).await;
+    let site = DaemonSite::start(quiet(3)).await;
     let mut points = Vec::new();
     for count in [0_usize, 500, 1_000, 2_000] {
         for at in 0..count {
             let address = format!("10.{}.{}.{}:80", at / 65_536, at / 256 % 256, at % 256);
-            site.list_vm(&format!("up-{at}"), VmRole::Upstream, "a", &address, Some("desk"), VmState::Live).await;
+            site.add_vm(&format!("up-{at}"), VmRole::Upstream, "a", &address, Some("desk"), VmState::Live).await;
         }
         actix_rt::time::sleep(SETTLE).await;
         report(&site, "upstreams", count, &mut points).await;
     }
     print_fit("upstreams", &points);
-    let site = Site::start(quiet(3)).await;
+    let site = DaemonSite::start(quiet(3)).await;
     let mut points = Vec::new();
     let mut made = 0;
     for count in [0_usize, 200, 400, 800] {
@@ -106,17 +106,18 @@
 pub async fn streams() {
     println!("streams,open,resident_mb,cpu_percent");
     let flags = ["--token-us=50000", "--chunk-tokens=1", "--shortest=100000", "--slots=1000"];
-    let base =
-        SiteShape::default().base.replace("kind = \"engine\"", "kind = \"engine\"\ninflight_per_upstream = 1000");
-    let base = base.replace("[services.drafts]", "[services.drafts]\nqueue_depth = 5000");
-    let shape = SiteShape {
+    let base_config = SiteOptions::default()
+        .base_config
+        .replace("kind = \"engine\"", "kind = \"engine\"\ninflight_per_upstream = 1000");
+    let base_config = base_config.replace("[services.drafts]", "[services.drafts]\nqueue_depth = 5000");
+    let shape = SiteOptions {
         daemons: vec!["a"],
         engines: vec!["a"],
         engine_flags: flags.map(ToString::to_string).to_vec(),
-        base,
-        ..SiteShape::default()
+        base_config,
+        ..SiteOptions::default()
     };
-    let site = Site::start(shape).await;
+    let site = DaemonSite::start(shape).await;
     let key = site.create_key(0, 1).await;
     let mut open = Vec::new();
     let mut points = Vec::new();
@@ -136,8 +137,8 @@
 }
 
 /// Opens a stream and keeps reading it.
-async fn open_stream(site: &Site, key: &KeySecret, number: usize) -> actix_rt::task::JoinHandle<()> {
-    let url = format!("http://{}/v1/chat/completions", site.daemons[0].public);
+async fn open_stream(site: &DaemonSite, key: &KeySecret, number: usize) -> actix_rt::task::JoinHandle<()> {
+    let url = format!("http://{}/v1/chat/completions", site.daemons[0].public_address);
     let body = serde_json::json!({
         "model": "drafts", "stream": true, "max_tokens": 100_000,
         "messages": [{ "role": "user", "content": format!("{number}") }],
@@ -147,7 +148,7 @@
     actix_rt::spawn(async move { while let Some(Ok(_)) = answer.next().await {} })
 }
 
-async fn report(site: &Site, what: &str, count: usize, points: &mut Vec<(f64, f64)>) {
+async fn report(site: &DaemonSite, what: &str, count: usize, points: &mut Vec<(f64, f64)>) {
     let resident: Vec<f64> = site.daemons.iter().map(|daemon| resident_bytes(&daemon.process) as f64).collect();
     let median = spread(&resident).1;
     points.push((count as f64, median));
@@ -163,7 +164,7 @@
 pub async fn changes() {
     println!("changes,daemons,count,p50_ms,p99_ms,max_ms,pending");
     for count in [3, 12, 24] {
-        let site = Site::start(quiet(count)).await;
+        let site = DaemonSite::start(quiet(count)).await;
         let mut times = histogram();
         let mut pending = 0;
         for change in 0..200 {
--- a/crates/cli/benches/site/service.rs
+++ b/crates/cli/benches/site/service.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     probe::{cpu_seconds, histogram, metric, quantile_ms, record, spread},
-    support::{HttpClient, Site, SiteShape},
+    support::{DaemonSite, HttpClient, SiteOptions},
 };
 use futures_util::{StreamExt, future::join_all};
 use hdrhistogram::Histogram;
@@ -15,8 +15,8 @@
 const ROUNDS: usize = 5;
 const ORDERS: &str = "/services/desk/orders";
 
-fn plain_site() -> SiteShape {
-    SiteShape { engines: vec![], ..SiteShape::default() }
+fn plain_site() -> SiteOptions {
+    SiteOptions { engines: vec![], ..SiteOptions::default() }
 }
 
 /// Group commits: writes and latency against the least time between two commits.
@@ -25,7 +25,7 @@
     for interval_ms in [1, 5, 20, 50] {
         for callers in [1, 16, 64] {
             let flag = format!("--claim-interval-ms={interval_ms}");
-            let site = Site::start(SiteShape { daemon_flags: vec![flag], ..plain_site() }).await;
+            let site = DaemonSite::start(SiteOptions { daemon_flags: vec![flag], ..plain_site() }).await;
             let key = site.create_key(0, 1).await;
             let began = Instant::now();
             let times = join_all((0..callers).map(|caller| order_loop(&site, &key, caller, 60)));
@@ -35,8 +35,8 @@
             let mut commits = 0.0;
             let mut claims = 0.0;
             for daemon in &site.daemons {
-                commits += metric(&site.http, &daemon.control, "claim_commits_total").await;
-                claims += metric(&site.http, &daemon.control, "claims_total").await;
+                commits += metric(&site.http, &daemon.control_address, "claim_commits_total").await;
+                claims += metric(&site.http, &daemon.control_address, "claims_total").await;
             }
             println!(
                 "claims,{interval_ms},{callers},{},{:.0},{commits},{:.1},{:.2},{:.2}",
@@ -50,12 +50,12 @@
     }
 }
 
-async fn order_loop(site: &Site, key: &KeySecret, caller: usize, count: usize) -> Histogram<u64> {
+async fn order_loop(site: &DaemonSite, key: &KeySecret, caller: usize, count: usize) -> Histogram<u64> {
     let mut times = histogram();
     for number in 0..count {
         let name = format!("order-{caller}-{number}");
         let began = Instant::now();
-        let answer = site.call(caller % 3, "POST", ORDERS, key, &[("idempotency-key", &name)], &number).await;
+        let answer = site.send(caller % 3, "POST", ORDERS, key, &[("idempotency-key", &name)], &number).await;
         assert_eq!(answer.status, 200, "{answer:?}");
         record(&mut times, began.elapsed());
     }
@@ -65,13 +65,14 @@
 /// Added latency of the way through a daemon, against direct calls, interleaved.
 pub async fn way() {
     println!("way,round,direct_p50_ms,through_p50_ms,added_p50_ms,direct_p99_ms,through_p99_ms,cpu_us_a_request");
-    let base =
-        SiteShape::default().base.replace("open_paths = [\"/menu\"]", "open_paths = [\"/menu\"]\nrepeatable = true");
-    let site = Site::start(SiteShape { base, daemons: vec!["a"], ..plain_site() }).await;
+    let base_config = SiteOptions::default()
+        .base_config
+        .replace("open_paths = [\"/menu\"]", "open_paths = [\"/menu\"]\nrepeatable = true");
+    let site = DaemonSite::start(SiteOptions { base_config, daemons: vec!["a"], ..plain_site() }).await;
     let key = site.create_key(0, 1).await;
     let bearer = format!("Bearer {}", key.expose());
-    let through = format!("http://{}{ORDERS}", site.daemons[0].public);
-    let direct = format!("http://{}/orders", site.desk);
+    let through = format!("http://{}{ORDERS}", site.daemons[0].public_address);
+    let direct = format!("http://{}/orders", site.desk_address);
     let mut added = Vec::new();
     for round in 0..ROUNDS {
         let (mut direct_times, mut through_times) = (histogram(), histogram());
@@ -115,15 +116,17 @@
         format!("--shortest={tokens}"),
         "--slots=64".to_owned(),
     ];
-    let base = SiteShape::default().base.replace("kind = \"engine\"", "kind = \"engine\"\ninflight_per_upstream = 64");
-    let shape = SiteShape {
+    let base_config = SiteOptions::default()
+        .base_config
+        .replace("kind = \"engine\"", "kind = \"engine\"\ninflight_per_upstream = 64");
+    let shape = SiteOptions {
         daemons: vec!["a"],
         engines: vec!["a", "a", "a", "a"],
         engine_flags: flags.to_vec(),
-        base,
-        ..SiteShape::default()
+        base_config,
+        ..SiteOptions::default()
     };
-    let site = Site::start(shape).await;
+    let site = DaemonSite::start(shape).await;
     let key = site.create_key(0, 1).await;
     for round in 0..ROUNDS {
         let cpu = cpu_seconds(&site.daemons[0].process);
@@ -141,8 +144,8 @@
     }
 }
 
-async fn read_stream(site: &Site, key: &KeySecret, stream: usize, tokens: usize) -> usize {
-    let url = format!("http://{}/v1/chat/completions", site.daemons[0].public);
+async fn read_stream(site: &DaemonSite, key: &KeySecret, stream: usize, tokens: usize) -> usize {
+    let url = format!("http://{}/v1/chat/completions", site.daemons[0].public_address);
     let body = serde_json::json!({
         "model": "drafts", "stream": true, "max_tokens": tokens,
         "messages": [{ "role": "user", "content": format!("{stream}") }],
@@ -161,8 +164,8 @@
     chunk.windows(6).filter(|window| window == b"data: ").count()
 }
 
-async fn completion(site: &Site, at: usize, http: &HttpClient, key: &KeySecret, prompt: &str, seed: u64) -> bool {
-    let url = format!("http://{}/v1/chat/completions", site.daemons[at].public);
+async fn completion(site: &DaemonSite, at: usize, http: &HttpClient, key: &KeySecret, prompt: &str, seed: u64) -> bool {
+    let url = format!("http://{}/v1/chat/completions", site.daemons[at].public_address);
     let body = serde_json::json!({
         "model": "drafts", "max_tokens": 64, "seed": seed, "messages": [{ "role": "user", "content": prompt }],
     });
@@ -173,8 +176,8 @@
 /// One organisation floods while another sends one request at a time.
 pub async fn flood() {
     println!("flood,policy,round,organisation,requests,p50_ms,p99_ms");
-    let base = SiteShape::default()
-        .base
+    let base_config = SiteOptions::default()
+        .base_config
         .replace(
             "[services.drafts]\nkind = \"engine\"",
             "[services.drafts]\nkind = \"engine\"\ninflight_per_upstream = 3",
@@ -186,13 +189,13 @@
         .replace("weight = 4\n", "");
     let mut sites = Vec::new();
     for policy in ["fair", "fifo"] {
-        let shape = SiteShape {
+        let shape = SiteOptions {
             engine_flags: vec!["--slots=8".to_owned(), "--token-us=300".to_owned()],
             daemon_flags: vec![format!("--admission-policy={policy}")],
-            base: base.clone(),
-            ..SiteShape::default()
+            base_config: base_config.clone(),
+            ..SiteOptions::default()
         };
-        let site = Site::start(shape).await;
+        let site = DaemonSite::start(shape).await;
         let flood = site.create_key(0, 1).await;
         let small = other_key(&site, "rose").await;
         sites.push((policy, site, flood, small));
@@ -219,7 +222,7 @@
     }
 }
 
-async fn other_key(site: &Site, organisation: &str) -> KeySecret {
+async fn other_key(site: &DaemonSite, organisation: &str) -> KeySecret {
     let secret = KeySecret::generate(&mut ChaCha8Rng::seed_from_u64(99));
     let request = KeyRequest {
         change: "other".into(),
@@ -232,7 +235,7 @@
 }
 
 async fn flood_round(
-    site: &Site,
+    site: &DaemonSite,
     flood: &KeySecret,
     small: &KeySecret,
     round: usize,
@@ -248,7 +251,7 @@
     (all, small_times)
 }
 
-async fn caller_loop(site: &Site, key: &KeySecret, caller: usize, round: usize, end: Instant) -> Histogram<u64> {
+async fn caller_loop(site: &DaemonSite, key: &KeySecret, caller: usize, round: usize, end: Instant) -> Histogram<u64> {
     let http = HttpClient::new();
     let mut times = histogram();
     let mut number = 0;
@@ -291,17 +294,17 @@
     }
 }
 
-async fn routing_site(policy: &str, slow: bool) -> (Site, KeySecret) {
+async fn routing_site(policy: &str, slow: bool) -> (DaemonSite, KeySecret) {
     let engines = if slow { vec!["a", "b", "c", "a", "b"] } else { vec!["a", "b", "c", "a", "b", "c"] };
-    let shape = SiteShape {
+    let shape = SiteOptions {
         engines,
         engine_flags: vec!["--slots=4".to_owned(), "--token-us=500".to_owned()],
         daemon_flags: vec![format!("--route-policy={policy}")],
-        ..SiteShape::default()
+        ..SiteOptions::default()
     };
-    let mut site = Site::start(shape).await;
+    let mut site = DaemonSite::start(shape).await;
     if slow {
-        site.shape.engine_flags = vec!["--slots=4".to_owned(), "--token-us=3000".to_owned()];
+        site.options.engine_flags = vec!["--slots=4".to_owned(), "--token-us=3000".to_owned()];
         site.start_engine("c").await;
         site.wait_ready().await;
     }
@@ -309,7 +312,7 @@
     (site, key)
 }
 
-async fn prefix_loop(site: &Site, key: &KeySecret, caller: usize, round: usize) -> Histogram<u64> {
+async fn prefix_loop(site: &DaemonSite, key: &KeySecret, caller: usize, round: usize) -> Histogram<u64> {
     const CALLS: usize = 60;
     let http = HttpClient::new();
     let mut times = histogram();
--- a/crates/cli/benches/site/training.rs
+++ b/crates/cli/benches/site/training.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     probe::{metric, spread},
-    support::{Site, SiteShape},
+    support::{DaemonSite, SiteOptions},
 };
 use pimentoslip_kernel::{FetchCursor, KeySecret};
 use pimentoslip_wire::caller::{FetchAnswer, FetchRequest, OpenRequest, PublishRequest};
@@ -41,27 +41,28 @@
 }
 
 async fn run(run_ahead: bool, hedging: bool, round: usize) -> (RunReport, f64) {
-    let shape = SiteShape {
+    let shape = SiteOptions {
         engines: vec!["a", "b", "c"],
         engine_flags: vec!["--slots=16".to_owned(), "--token-us=2000".to_owned(), "--shortest=24".to_owned()],
         daemon_flags: vec![format!("--hedging={hedging}")],
-        ..SiteShape::default()
+        ..SiteOptions::default()
     };
-    let mut site = Site::start(shape).await;
-    site.shape.engine_flags = vec!["--slots=16".to_owned(), "--token-us=12000".to_owned(), "--shortest=24".to_owned()];
+    let mut site = DaemonSite::start(shape).await;
+    site.options.engine_flags =
+        vec!["--slots=16".to_owned(), "--token-us=12000".to_owned(), "--shortest=24".to_owned()];
     site.start_engine("a").await;
     site.wait_ready().await;
     let key = site.create_key(0, 1).await;
     let report = train(&site, &key, run_ahead, round as u64 * 100).await;
     let mut wasted = 0.0;
     for daemon in &site.daemons {
-        wasted += metric(&site.http, &daemon.control, "wasted_tokens_total").await;
+        wasted += metric(&site.http, &daemon.control_address, "wasted_tokens_total").await;
     }
     (report, wasted)
 }
 
 /// A trainer that trains on whole steps. Running ahead, it opens the next step before it trains.
-async fn train(site: &Site, key: &KeySecret, run_ahead: bool, first: u64) -> RunReport {
+async fn train(site: &DaemonSite, key: &KeySecret, run_ahead: bool, first: u64) -> RunReport {
     let began = Instant::now();
     let mut idle = Duration::ZERO;
     let mut staleness = Vec::new();
@@ -83,12 +84,12 @@
         actix_rt::time::sleep(TRAIN).await;
         version += 1;
         let publish = PublishRequest { service: "drafts".into(), version };
-        assert_eq!(site.call(0, "POST", "/v1/weights", key, &[], &publish).await.status, 200);
+        assert_eq!(site.send(0, "POST", "/v1/weights", key, &[], &publish).await.status, 200);
     }
     RunReport { idle_share: idle.as_secs_f64() / began.elapsed().as_secs_f64(), staleness }
 }
 
-async fn open(site: &Site, key: &KeySecret, step: u64) {
+async fn open(site: &DaemonSite, key: &KeySecret, step: u64) {
     let open = OpenRequest {
         trainer: "menus".into(),
         step,
@@ -97,15 +98,15 @@
         group_size: GROUP_SIZE,
         max_tokens: 400,
     };
-    assert_eq!(site.call(0, "POST", "/v1/steps", key, &[], &open).await.status, 200);
+    assert_eq!(site.send(0, "POST", "/v1/steps", key, &[], &open).await.status, 200);
 }
 
-async fn fetch_all(site: &Site, key: &KeySecret, step: u64, published: u64, staleness: &mut Vec<u64>) {
+async fn fetch_all(site: &DaemonSite, key: &KeySecret, step: u64, published: u64, staleness: &mut Vec<u64>) {
     let mut cursor = FetchCursor::default();
     loop {
         let fetch =
             FetchRequest { trainer: "menus".into(), step, cursor: cursor.clone(), published, max: 256, wait_ms: 5_000 };
-        let answer = site.call(0, "POST", "/v1/steps/fetch", key, &[], &fetch).await;
+        let answer = site.send(0, "POST", "/v1/steps/fetch", key, &[], &fetch).await;
         assert_eq!(answer.status, 200, "{answer:?}");
         let answer: FetchAnswer = answer.json();
         for sample in &answer.samples {
--- a/crates/cli/tests/processes/check.rs
+++ b/crates/cli/tests/processes/check.rs
@@ -1,13 +1,14 @@
 //! `pimentoslip check`
 
-use super::support::{Workdir, cli};
+use super::support::{Workdir, run_cli};
 
 const EXAMPLES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples");
 
 #[test]
 fn both_deployments_are_accepted() {
     for site in ["ayacucho", "viti-levu"] {
-        let output = cli(&["check", &format!("{EXAMPLES}/base.toml"), "--overlay", &format!("{EXAMPLES}/{site}.toml")]);
+        let output =
+            run_cli(&["check", &format!("{EXAMPLES}/base.toml"), "--overlay", &format!("{EXAMPLES}/{site}.toml")]);
         assert!(output.status.success(), "{site}: {}", String::from_utf8_lossy(&output.stderr));
         assert!(String::from_utf8_lossy(&output.stdout).contains(site));
     }
@@ -46,7 +47,7 @@
     let base = workdir.write("base.toml", include_str!("support/site-base.toml"));
     for (text, file, key, remedy) in FAULTS {
         let overlay = workdir.write("overlay.toml", text);
-        let output = cli(&["check", &base, "--overlay", &overlay]);
+        let output = run_cli(&["check", &base, "--overlay", &overlay]);
         let message = String::from_utf8_lossy(&output.stderr);
         assert_eq!(output.status.code(), Some(2), "{text}: {message}");
         for part in [*file, &format!(": {key}: "), *remedy] {
@@ -59,13 +60,13 @@
 fn all_faults_are_listed_at_once() {
     let workdir = Workdir::new();
     let base = workdir.write("base.toml", "[services.a]\nkind = 'plain'\nqueue_depth = 0\ntimeout_ms = 0\n");
-    let output = cli(&["check", &base]);
+    let output = run_cli(&["check", &base]);
     assert_eq!(String::from_utf8_lossy(&output.stderr).lines().count(), 3);
 }
 
 #[test]
 fn a_missing_file_is_a_clear_error() {
-    let output = cli(&["check", "no-such-file.toml"]);
+    let output = run_cli(&["check", "no-such-file.toml"]);
     assert_eq!(output.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&output.stderr).contains("cannot read no-such-file.toml"));
 }
--- a/crates/cli/tests/processes/configuration.rs
+++ b/crates/cli/tests/processes/configuration.rs
@@ -1,6 +1,6 @@
 //! Configuration and keys under outages, cuts, races and restarts.
 
-use super::support::{Answer, HttpClient, OPERATOR_KEY, Site, SiteShape, cli, wait_for};
+use super::support::{DaemonSite, HttpAnswer, HttpClient, OPERATOR_KEY, SiteOptions, run_cli, wait_for};
 use futures_util::{StreamExt, future::join_all};
 use pimentoslip_kernel::KeySecret;
 use pimentoslip_standin::{KvFault, RelayRule, TcpRelay};
@@ -8,14 +8,14 @@
 
 const DOWN: KvFault = KvFault { down: true, slow_ms: 0, lose_answers: 0 };
 
-async fn quiet_site() -> (Site, KeySecret) {
-    let site = Site::start(SiteShape { engines: vec![], ..SiteShape::default() }).await;
+async fn quiet_site() -> (DaemonSite, KeySecret) {
+    let site = DaemonSite::start(SiteOptions { engines: vec![], ..SiteOptions::default() }).await;
     let key = site.create_key(0, 1).await;
     (site, key)
 }
 
-async fn call(site: &Site, at: usize, key: &KeySecret) -> Answer {
-    site.call(at, "GET", "/services/desk/orders", key, &[], &()).await
+async fn call(site: &DaemonSite, daemon: usize, key: &KeySecret) -> HttpAnswer {
+    site.send(daemon, "GET", "/services/desk/orders", key, &[], &()).await
 }
 
 #[actix_rt::test]
@@ -23,9 +23,9 @@
     let (site, key) = quiet_site().await;
     let callers: Vec<HttpClient> = (0..3).map(|_| HttpClient::new()).collect();
     let bearer = format!("Bearer {}", key.expose());
-    let ask = |at: usize| {
-        let url = format!("http://{}/services/desk/orders", site.daemons[at].public);
-        let (caller, bearer) = (callers[at].clone(), bearer.clone());
+    let ask = |daemon: usize| {
+        let url = format!("http://{}/services/desk/orders", site.daemons[daemon].public_address);
+        let (caller, bearer) = (callers[daemon].clone(), bearer.clone());
         async move { caller.send("GET", &url, &[("authorization", &bearer)], &()).await.status }
     };
     assert_eq!(join_all((0..3).map(ask)).await, [200, 200, 200]);
@@ -37,14 +37,14 @@
 
 #[actix_rt::test]
 async fn a_running_stream_ends_when_its_key_is_withdrawn() {
-    let shape = SiteShape {
+    let options = SiteOptions {
         engine_flags: vec!["--token-us=20000".to_owned(), "--shortest=2000".to_owned()],
-        ..SiteShape::default()
+        ..SiteOptions::default()
     };
-    let site = Site::start(shape).await;
+    let site = DaemonSite::start(options).await;
     let key = site.create_key(0, 1).await;
     let body = serde_json::json!({ "model": "drafts", "stream": true, "max_tokens": 2000, "messages": [] });
-    let url = format!("http://{}/v1/chat/completions", site.daemons[0].public);
+    let url = format!("http://{}/v1/chat/completions", site.daemons[0].public_address);
     let request = site.http.request("POST", &url).bearer_auth(key.expose());
     let mut stream = request.send_json(&body).await.expect("a stream");
     stream.next().await.expect("a chunk").expect("a chunk");
@@ -69,13 +69,13 @@
     let (mut site, key) = quiet_site().await;
     let withdrawn = site.create_key(1, 2).await;
     assert_eq!(site.withdraw_key(0, &withdrawn).await.status, 200);
-    site.kv_fault(DOWN).await;
+    site.set_kv_fault(DOWN).await;
     // Long past the bound after which unconfirmed configuration is not trusted.
     for _ in 0..16 {
         actix_rt::time::sleep(std::time::Duration::from_millis(500)).await;
-        for at in 0..3 {
-            assert_eq!(call(&site, at, &key).await.status, 200);
-            assert_eq!(call(&site, at, &withdrawn).await.status, 401);
+        for daemon in 0..3 {
+            assert_eq!(call(&site, daemon, &key).await.status, 200);
+            assert_eq!(call(&site, daemon, &withdrawn).await.status, 401);
         }
     }
     let refused = site.withdraw_key(0, &key).await;
@@ -89,10 +89,10 @@
 }
 
 /// A site whose last daemon reaches the service through a relay.
-async fn cut_off_site() -> (Site, KeySecret, TcpRelay) {
-    let shape = SiteShape { daemons: vec!["a", "b"], engines: vec![], ..SiteShape::default() };
-    let mut site = Site::start(shape).await;
-    let relay = TcpRelay::start(site.kv.parse().expect("an address")).await.expect("a relay");
+async fn cut_off_site() -> (DaemonSite, KeySecret, TcpRelay) {
+    let options = SiteOptions { daemons: vec!["a", "b"], engines: vec![], ..SiteOptions::default() };
+    let mut site = DaemonSite::start(options).await;
+    let relay = TcpRelay::start(site.kv_address.parse().expect("an address")).await.expect("a relay");
     site.start_daemon("c", &[format!("--kv={}", relay.address)]).await;
     site.wait_ready().await;
     let key = site.create_key(0, 1).await;
@@ -121,10 +121,11 @@
     .await;
     assert_eq!((refused.status, refused.error("code").as_str()), (503, "config_stale"));
     assert_eq!(refused.error("run_state"), "not run");
-    let open = site.http.send("GET", &format!("http://{}/services/desk/menu", site.daemons[2].public), &[], &()).await;
+    let open =
+        site.http.send("GET", &format!("http://{}/services/desk/menu", site.daemons[2].public_address), &[], &()).await;
     assert_eq!(open.status, 200, "open routes need no key");
-    site.daemons[0].process.thaw();
-    site.daemons[1].process.thaw();
+    site.daemons[0].process.resume();
+    site.daemons[1].process.resume();
     wait_for("it serves again", || async { (call(&site, 2, &key).await.status == 200).then_some(()) }).await;
 }
 
@@ -140,16 +141,16 @@
     actix_rt::time::sleep(std::time::Duration::from_secs(3)).await;
     // The frozen daemon wakes, cut from the service: it trusts nothing before it has asked its peers.
     relay.set(RelayRule::Cut);
-    site.daemons[2].process.thaw();
+    site.daemons[2].process.resume();
     let refused = call(&site, 2, &key).await;
     assert!([401, 503].contains(&refused.status), "{refused:?}");
-    let output = cli(&[
+    let output = run_cli(&[
         "key",
         "withdraw",
         "velorio",
         &key.id,
         "--daemon",
-        &site.daemons[0].control,
+        &site.daemons[0].control_address,
         "--operator-key",
         OPERATOR_KEY,
     ]);
@@ -159,7 +160,7 @@
 #[actix_rt::test]
 async fn racing_operators_lose_nothing() {
     let (site, _) = quiet_site().await;
-    site.kv_fault(KvFault { slow_ms: 5, lose_answers: 3, ..KvFault::default() }).await;
+    site.set_kv_fault(KvFault { slow_ms: 5, lose_answers: 3, ..KvFault::default() }).await;
     let requests: Vec<KeyRequest> = (0..9)
         .map(|number| KeyRequest {
             change: format!("race-{number}").into(),
@@ -178,12 +179,12 @@
         .await;
     };
     join_all((0..9).map(create)).await;
-    for at in 0..3 {
-        let list: KeyListAnswer = site.admin_get(at, "keys").await.expect("keys");
+    for daemon in 0..3 {
+        let list: KeyListAnswer = site.admin_get(daemon, "keys").await.expect("keys");
         for request in requests {
             let found =
                 list.keys.iter().filter(|key| key.key == request.key && key.organisation == request.organisation);
-            assert_eq!(found.count(), 1, "{request:?} at daemon {at}");
+            assert_eq!(found.count(), 1, "{request:?} at daemon {daemon}");
         }
     }
 }
@@ -192,7 +193,7 @@
 async fn a_change_whose_answer_was_lost_is_made_once() {
     let (site, _) = quiet_site().await;
     let before = site.status(0).await.expect("status").revision;
-    site.kv_fault(KvFault { lose_answers: 1, ..KvFault::default() }).await;
+    site.set_kv_fault(KvFault { lose_answers: 1, ..KvFault::default() }).await;
     let secret = site.create_key(0, 7).await;
     assert_eq!(call(&site, 2, &secret).await.status, 200);
     let list: KeyListAnswer = site.admin_get(1, "keys").await.expect("keys");
@@ -202,14 +203,14 @@
 
 #[actix_rt::test]
 async fn applying_again_changes_nothing_and_removal_holds() {
-    let mut site = Site::start(SiteShape { engines: vec![], ..SiteShape::default() }).await;
+    let mut site = DaemonSite::start(SiteOptions { engines: vec![], ..SiteOptions::default() }).await;
     let key = site.create_key(0, 1).await;
-    assert!(site.apply().await.contains(" 0 records changed"));
-    site.shape.base =
-        site.shape.base.replace("[organisations.velorio]\nweight = 4\nservices = [\"drafts\", \"desk\"]", "");
-    assert!(site.apply().await.contains(" 1 records changed"));
-    for at in 0..3 {
-        assert_eq!(call(&site, at, &key).await.status, 401, "a removed organisation's key does not work");
+    assert!(site.apply_config().await.contains(" 0 records changed"));
+    site.options.base_config =
+        site.options.base_config.replace("[organisations.velorio]\nweight = 4\nservices = [\"drafts\", \"desk\"]", "");
+    assert!(site.apply_config().await.contains(" 1 records changed"));
+    for daemon in 0..3 {
+        assert_eq!(call(&site, daemon, &key).await.status, 401, "a removed organisation's key does not work");
     }
 }
 
@@ -219,9 +220,9 @@
     let (site, key) = quiet_site().await;
     site.daemons[1].process.freeze();
     for daemon in &site.daemons {
-        site.unlist_vm(&daemon.name).await;
+        site.remove_vm(&daemon.name).await;
     }
-    site.kv_fault(DOWN).await;
+    site.set_kv_fault(DOWN).await;
     let refused = wait_for("what cannot be confirmed is refused", || async {
         let answer = call(&site, 0, &key).await;
         (answer.status != 200).then_some(answer)
--- a/crates/cli/tests/processes/demo.rs
+++ b/crates/cli/tests/processes/demo.rs
@@ -1,10 +1,10 @@
 //! `pimentoslip demo`
 
-use super::support::cli;
+use super::support::run_cli;
 
 #[test]
 fn demo_holds_all_its_checks() {
-    let output = cli(&["demo"]);
+    let output = run_cli(&["demo"]);
     let text = String::from_utf8_lossy(&output.stdout);
     assert!(output.status.success(), "{text}{}", String::from_utf8_lossy(&output.stderr));
     assert!(text.contains(" 0 failed."), "{text}");
--- a/crates/cli/tests/processes/duties.rs
+++ b/crates/cli/tests/processes/duties.rs
@@ -1,6 +1,6 @@
 //! Duties under freezes, kills and lost answers.
 
-use super::support::{HttpClient, Site, SiteShape, wait_for};
+use super::support::{DaemonSite, HttpClient, SiteOptions, wait_for};
 use actix_rt::task::JoinHandle;
 use pimentoslip_kernel::KeySecret;
 use pimentoslip_standin::{KvFault, OrderLog, PlainFault, SpareUpstream, UsageLog};
@@ -16,27 +16,28 @@
 standing_cents_per_hour = 1
 ";
 
-async fn duty_site(checks_fencing: bool) -> Site {
-    let shape = SiteShape { checks_fencing, engines: vec![], ..SiteShape::default() };
-    let base = shape.base.replace("failure_domains = [\"a\", \"b\", \"c\"]", "failure_domains = [\"a\"]");
-    let base = base.replace(
+async fn duty_site(checks_fencing: bool) -> DaemonSite {
+    let options = SiteOptions { checks_fencing, engines: vec![], ..SiteOptions::default() };
+    let base_config =
+        options.base_config.replace("failure_domains = [\"a\", \"b\", \"c\"]", "failure_domains = [\"a\"]");
+    let base_config = base_config.replace(
         "usage_window_seconds = 2",
         &format!(
             "usage_window_seconds = 2\norders_check_fencing = {checks_fencing}\nusage_checks_fencing = {checks_fencing}"
         ),
     );
-    Site::start(SiteShape { base: base + ORDERED_SERVICE, ..shape }).await
+    DaemonSite::start(SiteOptions { base_config: base_config + ORDERED_SERVICE, ..options }).await
 }
 
-async fn orders(site: &Site) -> Vec<OrderLog> {
-    site.http.get(&format!("http://{}/standin/orders", site.orders)).await.unwrap_or_default()
+async fn orders(site: &DaemonSite) -> Vec<OrderLog> {
+    site.http.get_json(&format!("http://{}/standin/orders", site.orders_address)).await.unwrap_or_default()
 }
 
-async fn reports(site: &Site) -> Vec<UsageLog> {
-    site.http.get(&format!("http://{}/standin/reports", site.usage)).await.unwrap_or_default()
+async fn reports(site: &DaemonSite) -> Vec<UsageLog> {
+    site.http.get_json(&format!("http://{}/standin/reports", site.usage_address)).await.unwrap_or_default()
 }
 
-async fn add_spare(site: &Site, number: usize) {
+async fn add_spare(site: &DaemonSite, number: usize) {
     let spare = SpareUpstream {
         name: format!("cards-{number}").into(),
         service: "cards".into(),
@@ -44,16 +45,16 @@
         address: format!("127.0.0.1:{}", 1 + number).into(),
         reclaimable: false,
     };
-    site.http.put(&format!("http://{}/standin/spares", site.orders), &spare).await;
+    site.http.put_json(&format!("http://{}/standin/spares", site.orders_address), &spare).await;
 }
 
 /// The daemon that holds `duty`, other than `not`.
-async fn holder(site: &Site, duty: &str, not: Option<usize>) -> usize {
+async fn holder(site: &DaemonSite, duty: &str, not: Option<usize>) -> usize {
     wait_for("somebody holds the duty", || async {
-        for at in (0..site.daemons.len()).filter(|at| Some(*at) != not) {
-            let Some(status) = site.status(at).await else { continue };
+        for daemon in (0..site.daemons.len()).filter(|daemon| Some(*daemon) != not) {
+            let Some(status) = site.status(daemon).await else { continue };
             if status.duties.iter().any(|entry| &*entry.duty == duty && entry.state == "held") {
-                return Some(at);
+                return Some(daemon);
             }
         }
         None
@@ -61,7 +62,7 @@
     .await
 }
 
-async fn wait_started(site: &Site, count: usize) {
+async fn wait_started(site: &DaemonSite, count: usize) {
     wait_for("the upstreams are started", || async {
         let started = orders(site).await.iter().filter(|order| order.vm.is_some()).count();
         (started >= count).then_some(())
@@ -103,8 +104,8 @@
     } else {
         // Nothing proves that the frozen holder has ended, so that nobody orders in its place.
         wait_for("a successor waits for proof", || async {
-            for at in (0..3).filter(|at| *at != first) {
-                let status = site.status(at).await?;
+            for daemon in (0..3).filter(|daemon| *daemon != first) {
+                let status = site.status(daemon).await?;
                 if status.duties.iter().any(|duty| &*duty.duty == "order-a" && duty.state == "settling") {
                     return Some(());
                 }
@@ -114,11 +115,11 @@
         .await;
         assert_eq!(orders(&site).await.iter().filter(|order| order.vm.is_some()).count(), 1);
     }
-    site.daemons[first].process.thaw();
+    site.daemons[first].process.resume();
     add_spare(&site, 3).await;
     if !checks_fencing {
         // The platform takes the VM off its list, which is proof.
-        site.unlist_vm(&site.daemons[first].name).await;
+        site.remove_vm(&site.daemons[first].name).await;
     }
     wait_started(&site, 3).await;
     check_orders(&orders(&site).await);
@@ -143,7 +144,7 @@
     for round in 0..2 {
         let first = holder(&site, "order-a", None).await;
         site.daemons[first].process.kill();
-        site.kv_fault(KvFault { lose_answers: 2, ..KvFault::default() }).await;
+        site.set_kv_fault(KvFault { lose_answers: 2, ..KvFault::default() }).await;
         add_spare(&site, 2 + round).await;
         wait_started(&site, 2 + round).await;
         site.restart_daemon(first).await;
@@ -174,9 +175,9 @@
     let key = site.create_key(0, 1).await;
     let mut sent = 0;
     for round in 0..3 {
-        for at in 0..3 {
+        for daemon in 0..3 {
             for _ in 0..5 {
-                assert_eq!(site.call(at, "GET", "/services/desk/orders", &key, &[], &()).await.status, 200);
+                assert_eq!(site.send(daemon, "GET", "/services/desk/orders", &key, &[], &()).await.status, 200);
                 sent += 1;
             }
         }
@@ -187,19 +188,19 @@
             // A killed daemon may lose what was not gathered yet; a planned stop loses nothing.
             wait_billed(&site, sent).await;
         }
-        site.kv_fault(KvFault { lose_answers: 2, ..KvFault::default() }).await;
+        site.set_kv_fault(KvFault { lose_answers: 2, ..KvFault::default() }).await;
         if planned {
             // A call that ends after the daemon has given its duties up is billed as well.
-            site.desk_fault(PlainFault { answer_after_ms: 4_000, ..PlainFault::default() }).await;
-            let ran = site.desk_runs().await.len();
+            site.set_desk_fault(PlainFault { answer_after_ms: 4_000, ..PlainFault::default() }).await;
+            let ran = site.desk_requests().await.len();
             let slow = spawn_slow_call(&site, reporter, &key);
-            wait_for("the slow call runs", || async { (site.desk_runs().await.len() > ran).then_some(()) }).await;
+            wait_for("the slow call runs", || async { (site.desk_requests().await.len() > ran).then_some(()) }).await;
             site.daemons[reporter].process.terminate();
             assert_eq!(slow.await.expect("a task"), 200);
             sent += 1;
-            site.desk_fault(PlainFault::default()).await;
+            site.set_desk_fault(PlainFault::default()).await;
             let process = &mut site.daemons[reporter].process;
-            wait_for("the reporter stops", || std::future::ready(process.ended())).await;
+            wait_for("the reporter stops", || std::future::ready(process.exit_status())).await;
         }
         site.restart_daemon(reporter).await;
         site.wait_ready().await;
@@ -208,13 +209,13 @@
     check_reports(&reports(&site).await);
 }
 
-fn spawn_slow_call(site: &Site, at: usize, key: &KeySecret) -> JoinHandle<u16> {
-    let url = format!("http://{}/services/desk/orders", site.daemons[at].public);
+fn spawn_slow_call(site: &DaemonSite, daemon: usize, key: &KeySecret) -> JoinHandle<u16> {
+    let url = format!("http://{}/services/desk/orders", site.daemons[daemon].public_address);
     let bearer = format!("Bearer {}", key.expose());
     actix_rt::spawn(async move { HttpClient::new().send("GET", &url, &[("authorization", &bearer)], &()).await.status })
 }
 
-async fn wait_billed(site: &Site, sent: u64) {
+async fn wait_billed(site: &DaemonSite, sent: u64) {
     wait_for("everything counted is billed", || async { (billed(&reports(site).await) == sent).then_some(()) }).await;
 }
 
--- a/crates/cli/tests/processes/hostile.rs
+++ b/crates/cli/tests/processes/hostile.rs
@@ -1,6 +1,6 @@
 //! Hostile and malformed input: clear errors, nothing lost, no panic.
 
-use super::support::{OPERATOR_KEY, Site, SiteShape};
+use super::support::{DaemonSite, OPERATOR_KEY, SiteOptions};
 use pimentoslip_kernel::KeySecret;
 use std::{
     io::{Read, Write},
@@ -8,10 +8,12 @@
     time::Duration,
 };
 
-async fn site_with_key() -> (Site, KeySecret) {
-    let site =
-        Site::start(SiteShape { daemon_flags: vec!["--body-bytes-max=100000".to_owned()], ..SiteShape::default() })
-            .await;
+async fn site_with_key() -> (DaemonSite, KeySecret) {
+    let site = DaemonSite::start(SiteOptions {
+        daemon_flags: vec!["--body-bytes-max=100000".to_owned()],
+        ..SiteOptions::default()
+    })
+    .await;
     let key = site.create_key(0, 1).await;
     (site, key)
 }
@@ -74,7 +76,7 @@
         ("/nowhere".to_owned(), vec![("authorization", &bearer)], empty.clone(), "service_unknown"),
     ];
     for (path, headers, body, code) in cases {
-        let mut request = site.http.request("POST", &format!("http://{}{path}", site.daemons[0].public));
+        let mut request = site.http.request("POST", &format!("http://{}{path}", site.daemons[0].public_address));
         for (name, value) in &headers {
             request = request.append_header((*name, *value));
         }
@@ -89,11 +91,16 @@
         assert_eq!(error["error"]["run_state"], "not run", "{text}");
         assert!(!error["error"]["remedy"].as_str().unwrap_or("").is_empty());
     }
-    let seen = format!("{:?}{:?}{:?}", site.desk_runs().await, site.engine_seen(0).await, site.engine_seen(1).await);
+    let seen = format!(
+        "{:?}{:?}{:?}",
+        site.desk_requests().await,
+        site.engine_requests(0).await,
+        site.engine_requests(1).await
+    );
     assert!(!seen.contains(token) && !seen.contains(&escaped) && !seen.contains(&percent));
-    let allowed = site.call(0, "POST", "/services/desk/orders", &key, &[("x-extra", "v"), ("cookie", "c")], &()).await;
+    let allowed = site.send(0, "POST", "/services/desk/orders", &key, &[("x-extra", "v"), ("cookie", "c")], &()).await;
     assert_eq!(allowed.status, 200);
-    let seen = format!("{:?}", site.desk_runs().await);
+    let seen = format!("{:?}", site.desk_requests().await);
     assert!(!seen.contains("cookie") && !seen.contains("authorization"), "{seen}");
     assert!(!site.logs().contains(token), "no key in any log");
 }
@@ -113,15 +120,15 @@
     };
     assert_eq!(site.admin_post(0, "keys/create", &request).await.status, 200);
     let body = serde_json::json!({ "model": "drafts", "messages": [] });
-    let refused = site.call(0, "POST", "/v1/chat/completions", &secret, &[], &body).await;
+    let refused = site.send(0, "POST", "/v1/chat/completions", &secret, &[], &body).await;
     assert_eq!((refused.status, refused.error("code").as_str()), (403, "service_forbidden"));
-    assert_eq!(site.call(0, "POST", "/services/desk/orders", &secret, &[], &()).await.status, 200);
+    assert_eq!(site.send(0, "POST", "/services/desk/orders", &secret, &[], &()).await.status, 200);
 }
 
 #[actix_rt::test]
 async fn peers_and_operators_need_their_secrets() {
     let (site, key) = site_with_key().await;
-    let control = format!("http://{}", site.daemons[0].control);
+    let control = format!("http://{}", site.daemons[0].control_address);
     let bearer = format!("Bearer {}", key.expose());
     let paths = [
         "/peer/exchange",
@@ -149,7 +156,7 @@
             .http
             .send(
                 "POST",
-                &format!("http://{}{path}", site.daemons[0].public),
+                &format!("http://{}{path}", site.daemons[0].public_address),
                 &[("x-operator-key", OPERATOR_KEY), ("x-cluster-secret", "test-cluster-secret")],
                 &(),
             )
@@ -184,7 +191,7 @@
 #[actix_rt::test]
 async fn malformed_http_and_json_are_refused_and_end_nothing() {
     let (site, key) = site_with_key().await;
-    let public = site.daemons[0].public.clone();
+    let public = site.daemons[0].public_address.clone();
     let bearer = format!("authorization: Bearer {}", key.expose());
     let huge_header = format!("GET / HTTP/1.1\r\nhost: x\r\nx: {}\r\n\r\n", "y".repeat(1 << 20));
     let cases: Vec<Vec<u8>> = vec![
@@ -241,11 +248,11 @@
         assert!(answer.contains("body_malformed") && answer.contains("not run"), "{path} {body}: {answer}");
     }
     let large = serde_json::json!({ "model": "drafts", "x": "y".repeat(200_000) });
-    let answer = site.call(0, "POST", "/v1/chat/completions", &key, &[], &large).await;
+    let answer = site.send(0, "POST", "/v1/chat/completions", &key, &[], &large).await;
     assert_eq!((answer.status, answer.error("code").as_str()), (413, "body_too_large"));
     let body = serde_json::json!({ "model": "drafts", "messages": [] });
     assert_eq!(
-        site.call(0, "POST", "/v1/chat/completions", &key, &[], &body).await.status,
+        site.send(0, "POST", "/v1/chat/completions", &key, &[], &body).await.status,
         200,
         "the daemon serves on"
     );
@@ -282,7 +289,7 @@
 #[actix_rt::test]
 async fn a_slow_body_is_refused_as_not_run() {
     let (site, key) = site_with_key().await;
-    let mut stream = TcpStream::connect(&site.daemons[0].public).expect("connect");
+    let mut stream = TcpStream::connect(&site.daemons[0].public_address).expect("connect");
     let request = format!(
         "POST /services/desk/orders HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {}\r\ncontent-length: 100\r\n\r\nhalf",
         key.expose()
@@ -292,5 +299,5 @@
     let count = stream.read(&mut answer).expect("an answer");
     let answer = String::from_utf8_lossy(&answer[..count]);
     assert!(answer.contains("body_malformed") && answer.contains("not run"), "{answer}");
-    assert!(site.desk_runs().await.is_empty());
+    assert!(site.desk_requests().await.is_empty());
 }
--- a/crates/cli/tests/processes/path.rs
+++ b/crates/cli/tests/processes/path.rs
@@ -1,6 +1,6 @@
 //! The whole path through separate processes.
 
-use super::support::{OPERATOR_KEY, Site, SiteShape, cli, wait_for};
+use super::support::{DaemonSite, OPERATOR_KEY, SiteOptions, run_cli, wait_for};
 use pimentoslip_kernel::FetchCursor;
 use pimentoslip_standin::{OrderLog, SpareUpstream, UsageLog};
 use pimentoslip_wire::caller::{FetchAnswer, FetchRequest, OpenRequest, PublishRequest};
@@ -17,20 +17,20 @@
 
 #[actix_rt::test]
 async fn every_kind_of_call_passes_through_separate_processes() {
-    let shape = SiteShape::default();
-    let base = shape.base.clone() + ORDERED_SERVICE;
-    let site = Site::start(SiteShape { base, ..shape }).await;
+    let options = SiteOptions::default();
+    let base_config = options.base_config.clone() + ORDERED_SERVICE;
+    let site = DaemonSite::start(SiteOptions { base_config, ..options }).await;
     let key = site.create_key(0, 1).await;
 
     let body =
         serde_json::json!({ "model": "drafts", "stream": true, "messages": [{ "role": "user", "content": "card" }] });
-    let stream = site.call(0, "POST", "/v1/chat/completions", &key, &[], &body).await;
+    let stream = site.send(0, "POST", "/v1/chat/completions", &key, &[], &body).await;
     assert_eq!(stream.status, 200, "{stream:?}");
     assert!(stream.body.ends_with("data: [DONE]\n\n"), "{stream:?}");
 
     let request_id = stream.header("x-request-id");
     assert!(site.daemons[0].process.log().contains(&format!("request_id={request_id}")), "the daemon logs the id");
-    let seen: Vec<_> = [site.engine_seen(0).await, site.engine_seen(1).await].concat();
+    let seen: Vec<_> = [site.engine_requests(0).await, site.engine_requests(1).await].concat();
     assert!(
         seen.iter().any(|request| request.header("x-request-id").starts_with(&request_id)),
         "the engine sees the id"
@@ -39,14 +39,15 @@
 
     let order = serde_json::json!({ "trays": 3 });
     let header = [("idempotency-key", "order-1")];
-    let first = site.call(0, "POST", "/services/desk/orders?window=am", &key, &header, &order).await;
-    let second = site.call(1, "POST", "/services/desk/orders?window=am", &key, &header, &order).await;
+    let first = site.send(0, "POST", "/services/desk/orders?window=am", &key, &header, &order).await;
+    let second = site.send(1, "POST", "/services/desk/orders?window=am", &key, &header, &order).await;
     assert_eq!((first.status, second.status), (200, 200), "{first:?} {second:?}");
     assert_eq!(first.body, second.body);
     assert_eq!(second.header("x-replayed"), "true");
-    assert_eq!(site.desk_runs().await.len(), 1);
+    assert_eq!(site.desk_requests().await.len(), 1);
 
-    let open = site.http.send("GET", &format!("http://{}/services/desk/menu", site.daemons[2].public), &[], &()).await;
+    let open =
+        site.http.send("GET", &format!("http://{}/services/desk/menu", site.daemons[2].public_address), &[], &()).await;
     assert_eq!(open.status, 200, "{open:?}");
 
     step_is_fetched_to_its_end(&site, &key).await;
@@ -56,9 +57,9 @@
     command_line_shows_the_site(&site);
 }
 
-async fn step_is_fetched_to_its_end(site: &Site, key: &pimentoslip_kernel::KeySecret) {
+async fn step_is_fetched_to_its_end(site: &DaemonSite, key: &pimentoslip_kernel::KeySecret) {
     let publish = PublishRequest { service: "drafts".into(), version: 2 };
-    let published = site.call(2, "POST", "/v1/weights", key, &[], &publish).await;
+    let published = site.send(2, "POST", "/v1/weights", key, &[], &publish).await;
     assert_eq!(published.status, 200, "{published:?}");
     let prompts = (0..6).map(|group| format!("menu {group}").into()).collect();
     let open = OpenRequest {
@@ -69,7 +70,7 @@
         group_size: 4,
         max_tokens: 64,
     };
-    let opened = site.call(1, "POST", "/v1/steps", key, &[], &open).await;
+    let opened = site.send(1, "POST", "/v1/steps", key, &[], &open).await;
     assert_eq!(opened.status, 200, "{opened:?}");
     let mut cursor = FetchCursor::default();
     let mut versions = BTreeSet::new();
@@ -84,7 +85,7 @@
             max: 5,
             wait_ms: 2_000,
         };
-        let answer = site.call(turn % 3, "POST", "/v1/steps/fetch", key, &[], &fetch).await;
+        let answer = site.send(turn % 3, "POST", "/v1/steps/fetch", key, &[], &fetch).await;
         assert_eq!(answer.status, 200, "{answer:?}");
         let answer: FetchAnswer = answer.json();
         for sample in &answer.samples {
@@ -101,9 +102,9 @@
     assert!(versions.iter().all(|version| [1, 2].contains(version)), "{versions:?}");
 }
 
-async fn usage_window_is_reported(site: &Site) {
+async fn usage_window_is_reported(site: &DaemonSite) {
     let reports = wait_for("usage of the organisation is reported", || async {
-        let log: Vec<UsageLog> = site.http.get(&format!("http://{}/standin/reports", site.usage)).await?;
+        let log: Vec<UsageLog> = site.http.get_json(&format!("http://{}/standin/reports", site.usage_address)).await?;
         log.iter().any(|entry| entry.body.contains("velorio")).then_some(log)
     });
     for report in reports.await {
@@ -111,7 +112,7 @@
     }
 }
 
-async fn upstream_is_ordered(site: &Site) {
+async fn upstream_is_ordered(site: &DaemonSite) {
     let spare = SpareUpstream {
         name: "cards-1".into(),
         service: "cards".into(),
@@ -119,9 +120,9 @@
         address: site.engines[1].1.clone().into(),
         reclaimable: false,
     };
-    site.http.put(&format!("http://{}/standin/spares", site.orders), &spare).await;
+    site.http.put_json(&format!("http://{}/standin/spares", site.orders_address), &spare).await;
     let order = wait_for("the upstream is started by an order", || async {
-        let log: Vec<OrderLog> = site.http.get(&format!("http://{}/standin/orders", site.orders)).await?;
+        let log: Vec<OrderLog> = site.http.get_json(&format!("http://{}/standin/orders", site.orders_address)).await?;
         log.into_iter().find(|entry| entry.vm.as_deref() == Some("cards-1"))
     });
     assert!(order.await.request.fencing > 0);
@@ -132,34 +133,34 @@
     .await;
 }
 
-fn command_line_shows_the_site(site: &Site) {
-    let daemon = site.daemons[1].control.as_str();
+fn command_line_shows_the_site(site: &DaemonSite) {
+    let daemon = site.daemons[1].control_address.as_str();
     for command in ["show", "status", "usage"] {
         for json in [false, true] {
             let mut args = vec![command, "--daemon", daemon, "--operator-key", OPERATOR_KEY];
             args.extend(json.then_some("--json"));
-            let output = cli(&args);
+            let output = run_cli(&args);
             assert!(output.status.success(), "{command}: {}", String::from_utf8_lossy(&output.stderr));
             assert!(!output.stdout.is_empty());
         }
     }
     let to = ["--daemon", daemon, "--operator-key", OPERATOR_KEY];
     let said = |args: &[&str]| {
-        let output = cli(&[args, &to].concat());
+        let output = run_cli(&[args, &to].concat());
         assert!(output.status.success(), "{args:?}: {}", String::from_utf8_lossy(&output.stderr));
         String::from_utf8_lossy(&output.stdout).into_owned()
     };
-    let base = site.workdir.path("base.toml");
-    assert_eq!(said(&["diff", &base.to_string_lossy()]), "no difference\n");
-    let other = site.workdir.write("other.toml", &site.shape.base.replace("weight = 4", "weight = 5"));
+    let base_config = site.workdir.path("base.toml");
+    assert_eq!(said(&["diff", &base_config.to_string_lossy()]), "no difference\n");
+    let other = site.workdir.write("other.toml", &site.options.base_config.replace("weight = 4", "weight = 5"));
     assert_eq!(said(&["diff", &other]), "change organisation/velorio\n");
     let key = said(&["key", "create", "rose"]);
     let id = key.trim().split('-').nth(1).expect("an id").to_owned();
     assert!(said(&["key", "list"]).contains(&id) && !said(&["key", "list", "--json"]).contains(key.trim()));
     said(&["key", "withdraw", "rose", &id]);
     assert!(said(&["key", "list"]).lines().any(|line| line.contains(&id) && line.ends_with("withdrawn")));
-    let refused = cli(&["status", "--daemon", daemon, "--operator-key", "wrong-operator-key"]);
+    let refused = run_cli(&["status", "--daemon", daemon, "--operator-key", "wrong-operator-key"]);
     assert_eq!(refused.status.code(), Some(1));
-    let nobody = cli(&["status", "--daemon", "127.0.0.1:1", "--operator-key", OPERATOR_KEY]);
+    let nobody = run_cli(&["status", "--daemon", "127.0.0.1:1", "--operator-key", OPERATOR_KEY]);
     assert_eq!(nobody.status.code(), Some(3));
 }
--- a/crates/cli/tests/processes/platform_path.rs
+++ b/crates/cli/tests/processes/platform_path.rs
@@ -1,19 +1,19 @@
 //! Requests on the users' platform: whole answers, true refusals, nobody else's key.
 
-use crate::support::{Fleet, KEY, OTHER_KEY, wait_for};
+use crate::support::{EdgeSite, ROSE_KEY, TRAY_KEY, wait_for};
 use pimentoslip_standin::SamplerFault;
 use std::time::Duration;
 
 #[actix_rt::test]
 async fn a_request_runs_for_its_organisation_and_comes_back_unchanged() {
-    let fleet = Fleet::start(2).await;
+    let site = EdgeSite::start(2).await;
     for edge in 0..2 {
         let id = format!("quote-{edge}");
-        let reply = fleet.quote(edge, &id).await;
+        let reply = site.send_quote(edge, &id).await;
         assert_eq!((reply.status, reply.body.as_str()), (200, format!("answer to {id}").as_str()));
         assert_eq!(reply.header("server-signature"), format!("signed {id}"));
         assert_eq!(reply.header("request-id"), id);
-        let seen: Vec<_> = fleet.desks.iter().flat_map(|desk| desk.seen()).filter(|call| call.id == id).collect();
+        let seen: Vec<_> = site.desks.iter().flat_map(|desk| desk.seen()).filter(|call| call.id == id).collect();
         assert_eq!(seen.len(), 1);
         assert_eq!((seen[0].organisation.as_str(), seen[0].keyed), ("rose", false));
         assert_eq!((seen[0].path.as_str(), seen[0].body.as_slice()), ("/quote/roses", &b"how much"[..]));
@@ -23,8 +23,8 @@
 
 #[actix_rt::test]
 async fn refusals_say_why_and_nothing_runs() {
-    let fleet = Fleet::start(1).await;
-    let bearer = format!("Bearer {KEY}");
+    let site = EdgeSite::start(1).await;
+    let bearer = format!("Bearer {ROSE_KEY}");
     // path, key, status
     let cases = [
         ("/nowhere/x", Some(bearer.as_str()), 404),
@@ -40,48 +40,48 @@
         let mut headers = vec![("request-id", "refused"), ("deadline-ms", "1000")];
         headers.extend(key.map(|key| ("authorization", key)));
         let method = if path.starts_with("/pimentoslip") { "GET" } else { "POST" };
-        assert_eq!(fleet.call(0, method, path, &headers, "").await.status, status, "{path} with {key:?}");
+        assert_eq!(site.send(0, method, path, &headers, "").await.status, status, "{path} with {key:?}");
     }
     let long = "x".repeat(17_000);
     let large =
         [("request-id", "large"), ("deadline-ms", "1000"), ("authorization", bearer.as_str()), ("x-long", &long)];
-    assert_eq!(fleet.call(0, "POST", "/quote/x", &large, "").await.status, 431);
+    assert_eq!(site.send(0, "POST", "/quote/x", &large, "").await.status, 431);
     let large = [("request-id", "large"), ("deadline-ms", "1000"), ("authorization", bearer.as_str())];
-    assert_eq!(fleet.call(0, "POST", "/quote/x", &large, &"x".repeat(1_000_001)).await.status, 413);
+    assert_eq!(site.send(0, "POST", "/quote/x", &large, &"x".repeat(1_000_001)).await.status, 413);
     let open = [("request-id", "open"), ("deadline-ms", "1000")];
-    assert_eq!(fleet.call(0, "POST", "/score/x", &open, "").await.status, 200, "an open route needs no key");
-    let seen: Vec<_> = fleet.desks.iter().flat_map(|desk| desk.seen()).map(|call| call.id).collect();
+    assert_eq!(site.send(0, "POST", "/score/x", &open, "").await.status, 200, "an open route needs no key");
+    let seen: Vec<_> = site.desks.iter().flat_map(|desk| desk.seen()).map(|call| call.id).collect();
     assert_eq!(seen, ["open"]);
 }
 
 #[actix_rt::test]
 async fn an_edge_without_a_configuration_is_not_ready_and_refuses_with_503() {
-    let mut fleet = Fleet::without_edges();
-    let store = fleet.store.address;
-    fleet.add_edge(store);
-    wait_for("the edge answers", || async { (fleet.readiness(0).await == 503).then_some(()) }).await;
-    let reply = fleet.quote(0, "early").await;
+    let mut site = EdgeSite::without_edges();
+    let store = site.store.address;
+    site.start_edge(store);
+    wait_for("the edge answers", || async { (site.readiness_status(0).await == 503).then_some(()) }).await;
+    let reply = site.send_quote(0, "early").await;
     assert_eq!(reply.status, 503);
     assert!(!reply.header("retry-after").is_empty());
-    fleet.configure(2, &[("rose", KEY)]);
-    wait_for("the edge is ready", || async { (fleet.readiness(0).await == 200).then_some(()) }).await;
-    assert_eq!(fleet.quote(0, "later").await.status, 200);
+    site.write_config(2, &[("rose", ROSE_KEY)]);
+    wait_for("the edge is ready", || async { (site.readiness_status(0).await == 200).then_some(()) }).await;
+    assert_eq!(site.send_quote(0, "later").await.status, 200);
 }
 
 #[actix_rt::test]
 async fn a_withdrawn_key_stops_working_and_an_older_version_brings_nothing_back() {
-    let fleet = Fleet::start(1).await;
-    fleet.configure(5, &[("tray", OTHER_KEY)]);
-    wait_for("the key is refused", || async { (fleet.quote(0, "q").await.status == 401).then_some(()) }).await;
-    fleet.configure(4, &[("rose", KEY), ("tray", OTHER_KEY)]);
-    fleet.store.put("op/config", &serde_json::json!("not a configuration"));
+    let site = EdgeSite::start(1).await;
+    site.write_config(5, &[("tray", TRAY_KEY)]);
+    wait_for("the key is refused", || async { (site.send_quote(0, "q").await.status == 401).then_some(()) }).await;
+    site.write_config(4, &[("rose", ROSE_KEY), ("tray", TRAY_KEY)]);
+    site.store.put("op/config", &serde_json::json!("not a configuration"));
     actix_rt::time::sleep(Duration::from_millis(300)).await;
-    assert_eq!(fleet.quote(0, "q").await.status, 401);
+    assert_eq!(site.send_quote(0, "q").await.status, 401);
 }
 
 #[actix_rt::test]
 async fn an_idempotent_request_survives_the_failure_of_one_upstream() {
-    let fleet = Fleet::start(1).await;
+    let site = EdgeSite::start(1).await;
     let faults = [
         SamplerFault::Refuse,
         SamplerFault::Status(500),
@@ -91,11 +91,11 @@
     ];
     for (number, fault) in faults.into_iter().enumerate() {
         let id = format!("tough-{number}");
-        fleet.desks[0].set_faults([fault]);
-        let reply = fleet.quote(0, &id).await;
-        let reply = if reply.status == 200 { reply } else { fleet.quote(0, &id).await };
+        site.desks[0].set_faults([fault]);
+        let reply = site.send_quote(0, &id).await;
+        let reply = if reply.status == 200 { reply } else { site.send_quote(0, &id).await };
         assert_eq!((reply.status, reply.body.as_str()), (200, format!("answer to {id}").as_str()), "{fault:?}");
-        fleet.desks[0].set_faults([]);
+        site.desks[0].set_faults([]);
         // A failed upstream rests for a moment.
         actix_rt::time::sleep(Duration::from_millis(300)).await;
     }
@@ -103,60 +103,60 @@
 
 #[actix_rt::test]
 async fn a_request_that_may_run_once_is_sent_once_and_never_called_unrun() {
-    let fleet = Fleet::start(1).await;
+    let site = EdgeSite::start(1).await;
     for (number, fault) in
         [SamplerFault::LoseAnswer, SamplerFault::WrongId, SamplerFault::Truncate].into_iter().enumerate()
     {
         let id = format!("once-{number}");
-        fleet.desks.iter().for_each(|desk| desk.set_faults([fault]));
-        let key = format!("Bearer {KEY}");
+        site.desks.iter().for_each(|desk| desk.set_faults([fault]));
+        let key = format!("Bearer {ROSE_KEY}");
         let headers = [("request-id", id.as_str()), ("deadline-ms", "2000"), ("authorization", key.as_str())];
-        let reply = fleet.call(0, "POST", "/once/order", &headers, "one wreath").await;
+        let reply = site.send(0, "POST", "/once/order", &headers, "one wreath").await;
         assert_eq!(reply.status, 502, "{fault:?}");
-        let runs = fleet.desks.iter().flat_map(|desk| desk.seen()).filter(|call| call.id == id).count();
+        let runs = site.desks.iter().flat_map(|desk| desk.seen()).filter(|call| call.id == id).count();
         assert_eq!(runs, 1, "{fault:?}");
-        fleet.desks.iter().for_each(|desk| desk.set_faults([]));
+        site.desks.iter().for_each(|desk| desk.set_faults([]));
         actix_rt::time::sleep(Duration::from_millis(600)).await;
     }
 }
 
 #[actix_rt::test]
 async fn a_request_that_no_upstream_takes_is_refused_as_not_run() {
-    let fleet = Fleet::start(1).await;
-    fleet.desks.iter().for_each(|desk| desk.set_faults([SamplerFault::Refuse; 40]));
-    let reply = fleet.quote(0, "unlucky").await;
+    let site = EdgeSite::start(1).await;
+    site.desks.iter().for_each(|desk| desk.set_faults([SamplerFault::Refuse; 40]));
+    let reply = site.send_quote(0, "unlucky").await;
     assert_eq!(reply.status, 503);
     assert!(!reply.header("retry-after").is_empty());
-    assert!(fleet.desks.iter().all(|desk| desk.seen().is_empty()));
+    assert!(site.desks.iter().all(|desk| desk.seen().is_empty()));
 }
 
 #[actix_rt::test]
 async fn a_request_past_its_routes_timeout_may_have_run() {
-    let fleet = Fleet::start(1).await;
-    fleet.desks.iter().for_each(|desk| desk.set_faults([SamplerFault::Hang; 4]));
-    assert_eq!(fleet.quote(0, "late").await.status, 504);
+    let site = EdgeSite::start(1).await;
+    site.desks.iter().for_each(|desk| desk.set_faults([SamplerFault::Hang; 4]));
+    assert_eq!(site.send_quote(0, "late").await.status, 504);
 }
 
 #[actix_rt::test]
 async fn an_upstream_hears_that_the_client_left() {
-    let fleet = Fleet::start(1).await;
-    fleet.desks.iter().for_each(|desk| desk.set_faults([SamplerFault::Hang]));
-    let working = || fleet.desks.iter().map(|desk| desk.working()).sum::<usize>();
-    let gone = actix_rt::time::timeout(Duration::from_millis(400), fleet.quote(0, "left")).await;
+    let site = EdgeSite::start(1).await;
+    site.desks.iter().for_each(|desk| desk.set_faults([SamplerFault::Hang]));
+    let working = || site.desks.iter().map(|desk| desk.working()).sum::<usize>();
+    let gone = actix_rt::time::timeout(Duration::from_millis(400), site.send_quote(0, "left")).await;
     assert!(gone.is_err(), "the request hangs");
     wait_for("the upstream is let go", || async { (working() == 0).then_some(()) }).await;
-    let log = fleet.edges[0].process.log();
+    let log = site.edges[0].process.log();
     assert!(log.contains("event=client_left request_id=left"), "{log}");
 }
 
 #[actix_rt::test]
 async fn a_leaving_upstream_and_an_unreadable_entry_get_nothing() {
-    let fleet = Fleet::start(1).await;
-    fleet.desks[0].leave();
-    fleet.store.put("servers/strange", &serde_json::json!({ "service": 7, "address": "nowhere" }));
-    fleet.store.memory().put("servers/bytes", vec![0xff, 0xfe], 0);
+    let site = EdgeSite::start(1).await;
+    site.desks[0].leave();
+    site.store.put("servers/strange", &serde_json::json!({ "service": 7, "address": "nowhere" }));
+    site.store.memory().put("servers/bytes", vec![0xff, 0xfe], 0);
     wait_for("the entries are read", || async {
-        let log = fleet.edges[0].process.log();
+        let log = site.edges[0].process.log();
         (log.contains("upstream=desk-1 service=desk")
             && log.contains("state=leaving")
             && log.contains("upstream=bytes"))
@@ -164,34 +164,36 @@
     })
     .await;
     for number in 0..6 {
-        assert_eq!(fleet.quote(0, &format!("n-{number}")).await.status, 200);
+        assert_eq!(site.send_quote(0, &format!("n-{number}")).await.status, 200);
     }
-    assert!(fleet.desks[0].seen().is_empty());
-    assert_eq!(fleet.desks[1].seen().len(), 6);
+    assert!(site.desks[0].seen().is_empty());
+    assert_eq!(site.desks[1].seen().len(), 6);
 }
 
 #[actix_rt::test]
 async fn news_reaches_every_edge_also_when_the_one_that_watches_for_all_is_killed_or_frozen() {
-    let mut fleet = Fleet::start(4).await;
+    let mut site = EdgeSite::start(4).await;
     // Two edges are lost, one after the other; whichever watches, the others must hear of the next change.
     for (number, lost) in [0, 1].into_iter().enumerate() {
         if number == 0 {
-            fleet.edges[lost].process.freeze();
+            site.edges[lost].process.freeze();
         } else {
-            fleet.edges[lost].process.kill();
+            site.edges[lost].process.kill();
         }
         let (version, key) = (10 + number as u64, format!("key-{number}"));
-        fleet.configure(version, &[("rose", &key)]);
+        site.write_config(version, &[("rose", &key)]);
         let bearer = format!("Bearer {key}");
         for edge in lost + 1..4 {
             let headers = [("request-id", "news"), ("deadline-ms", "2000"), ("authorization", bearer.as_str())];
             wait_for("the new key holds", || async {
-                (fleet.call(edge, "POST", "/quote/x", &headers, "").await.status == 200).then_some(())
+                (site.send(edge, "POST", "/quote/x", &headers, "").await.status == 200).then_some(())
             })
             .await;
         }
     }
-    fleet.edges[0].process.thaw();
-    wait_for("the frozen edge hears of it too", || async { (fleet.quote(0, "old").await.status == 401).then_some(()) })
-        .await;
+    site.edges[0].process.resume();
+    wait_for("the frozen edge hears of it too", || async {
+        (site.send_quote(0, "old").await.status == 401).then_some(())
+    })
+    .await;
 }
--- a/crates/cli/tests/processes/requests.rs
+++ b/crates/cli/tests/processes/requests.rs
@@ -1,6 +1,6 @@
 //! Requests: at most once, "not run" is true, whole answers, under cuts, kills and crossed answers.
 
-use super::support::{Answer, HttpClient, Site, SiteShape, wait_for};
+use super::support::{DaemonSite, HttpAnswer, HttpClient, SiteOptions, wait_for};
 use actix_rt::{
     net::{TcpListener, TcpStream},
     task::JoinHandle,
@@ -13,35 +13,41 @@
 
 const ORDERS: &str = "/services/desk/orders";
 
-async fn small_site() -> (Site, KeySecret) {
-    let site = Site::start(SiteShape { engines: vec![], ..SiteShape::default() }).await;
+async fn small_site() -> (DaemonSite, KeySecret) {
+    let site = DaemonSite::start(SiteOptions { engines: vec![], ..SiteOptions::default() }).await;
     let key = site.create_key(0, 1).await;
     (site, key)
 }
 
 /// Puts a relay between the daemons and the plain service.
-async fn relayed_site() -> (Site, KeySecret, TcpRelay) {
+async fn relayed_site() -> (DaemonSite, KeySecret, TcpRelay) {
     let (site, key) = small_site().await;
-    let relay = TcpRelay::start(site.desk.parse().expect("an address")).await.expect("a relay");
+    let relay = TcpRelay::start(site.desk_address.parse().expect("an address")).await.expect("a relay");
     let address = relay.address.to_string();
-    site.list_vm("desk-1", VmRole::Upstream, "a", &address, Some("desk"), VmState::Live).await;
+    site.add_vm("desk-1", VmRole::Upstream, "a", &address, Some("desk"), VmState::Live).await;
     wait_for("the relay is in the way", || async {
         let before = relay.passed().1;
-        site.call(0, "GET", ORDERS, &key, &[], &()).await;
+        site.send(0, "GET", ORDERS, &key, &[], &()).await;
         (relay.passed().1 > before).then_some(())
     })
     .await;
     (site, key, relay)
 }
 
-async fn order(site: &Site, at: usize, key: &KeySecret, number: usize, idempotency_key: Option<&str>) -> Answer {
+async fn order(
+    site: &DaemonSite,
+    daemon: usize,
+    key: &KeySecret,
+    number: usize,
+    idempotency_key: Option<&str>,
+) -> HttpAnswer {
     let header: Vec<(&str, &str)> = idempotency_key.map(|key| ("idempotency-key", key)).into_iter().collect();
-    site.call(at, "POST", ORDERS, key, &header, &serde_json::json!({ "order": number })).await
+    site.send(daemon, "POST", ORDERS, key, &header, &serde_json::json!({ "order": number })).await
 }
 
 /// Sends order 1 to daemon 0 under a key of its own, beside the test.
-fn spawn_first_order(site: &Site, key: &KeySecret) -> JoinHandle<Answer> {
-    let url = format!("http://{}{ORDERS}", site.daemons[0].public);
+fn spawn_first_order(site: &DaemonSite, key: &KeySecret) -> JoinHandle<HttpAnswer> {
+    let url = format!("http://{}{ORDERS}", site.daemons[0].public_address);
     let bearer = format!("Bearer {}", key.expose());
     actix_rt::spawn(async move {
         let headers = [("authorization", bearer.as_str()), ("idempotency-key", "order-1")];
@@ -50,9 +56,9 @@
 }
 
 /// Runs of order `number`.
-async fn runs(site: &Site, number: usize) -> usize {
+async fn runs(site: &DaemonSite, number: usize) -> usize {
     let body = serde_json::json!({ "order": number }).to_string();
-    site.desk_runs().await.iter().filter(|run| run.body == body).count()
+    site.desk_requests().await.iter().filter(|run| run.body == body).count()
 }
 
 /// Cuts an exchange after every single byte and compares what the caller is told with what ran.
@@ -110,7 +116,7 @@
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
     drop(listener);
-    site.list_vm("desk-1", VmRole::Upstream, "a", &address, Some("desk"), VmState::Live).await;
+    site.add_vm("desk-1", VmRole::Upstream, "a", &address, Some("desk"), VmState::Live).await;
     let answer = wait_for("the upstream is unreachable", || async {
         let answer = order(&site, 0, &key, 1, None).await;
         (answer.status == 503).then_some(answer)
@@ -129,7 +135,7 @@
         let calls = (0..9).map(|call| order(site, call % 3, key, round, Some(name)));
         let answers = join_all(calls).await;
         assert_eq!(runs(site, round).await, 1, "{answers:?}");
-        let whole: Vec<&Answer> = answers.iter().filter(|answer| answer.status == 200).collect();
+        let whole: Vec<&HttpAnswer> = answers.iter().filter(|answer| answer.status == 200).collect();
         assert!(!whole.is_empty(), "{answers:?}");
         assert!(whole.iter().all(|answer| answer.body == whole[0].body));
         assert_eq!(whole.iter().filter(|answer| answer.header("x-replayed").is_empty()).count(), 1);
@@ -141,7 +147,7 @@
         }
     }
     let other = serde_json::json!({ "order": 99 });
-    let reused = site.call(1, "POST", ORDERS, &key, &[("idempotency-key", "order-0")], &other).await;
+    let reused = site.send(1, "POST", ORDERS, &key, &[("idempotency-key", "order-0")], &other).await;
     assert_eq!((reused.status, reused.error("code").as_str()), (422, "idempotency_key_reused"));
 }
 
@@ -195,12 +201,12 @@
 #[actix_rt::test]
 async fn a_daemon_killed_while_the_upstream_runs_leaves_one_run() {
     let (mut site, key) = small_site().await;
-    site.desk_fault(PlainFault { answer_after_ms: 60_000, ..PlainFault::default() }).await;
+    site.set_desk_fault(PlainFault { answer_after_ms: 60_000, ..PlainFault::default() }).await;
     let held = spawn_first_order(&site, &key);
     wait_for("the upstream runs it", || async { (runs(&site, 1).await == 1).then_some(()) }).await;
     site.daemons[0].process.kill();
     assert_eq!(held.await.expect("a task").status, 0);
-    site.desk_fault(PlainFault::default()).await;
+    site.set_desk_fault(PlainFault::default()).await;
     for _ in 0..20 {
         let answer = order(&site, 2, &key, 1, Some("order-1")).await;
         assert_ne!(answer.status, 200, "{answer:?}");
@@ -211,19 +217,19 @@
 #[actix_rt::test]
 async fn crossed_and_late_answers_reach_nobody_else() {
     let (site, key) = small_site().await;
-    site.desk_fault(PlainFault { cross: 1, ..PlainFault::default() }).await;
+    site.set_desk_fault(PlainFault { cross: 1, ..PlainFault::default() }).await;
     let crossed = order(&site, 0, &key, 1, None).await;
     assert_eq!((crossed.status, crossed.error("code").as_str()), (502, "answer_mismatch"));
     assert_eq!(crossed.error("run_state"), "may have run");
     assert_eq!(runs(&site, 1).await, 1);
 
-    site.desk_fault(PlainFault { answer_after_ms: 1_500, ..PlainFault::default() }).await;
-    let late = site.call(0, "POST", ORDERS, &key, &[("x-timeout-ms", "200")], &serde_json::json!({ "order": 2 })).await;
+    site.set_desk_fault(PlainFault { answer_after_ms: 1_500, ..PlainFault::default() }).await;
+    let late = site.send(0, "POST", ORDERS, &key, &[("x-timeout-ms", "200")], &serde_json::json!({ "order": 2 })).await;
     assert_eq!((late.status, late.error("run_state").as_str()), (504, "may have run"));
-    site.desk_fault(PlainFault::default()).await;
+    site.set_desk_fault(PlainFault::default()).await;
     for number in 3..20 {
         let answer = order(&site, 0, &key, number, None).await;
-        let run = site.desk_runs().await.len();
+        let run = site.desk_requests().await.len();
         assert_eq!(answer.json::<serde_json::Value>()["run"], run, "each caller gets its own answer");
     }
 }
@@ -231,12 +237,12 @@
 #[actix_rt::test]
 async fn refused_requests_are_tried_elsewhere_and_told_as_not_run() {
     let (site, key) = small_site().await;
-    site.desk_fault(PlainFault { refuse: 1, ..PlainFault::default() }).await;
+    site.set_desk_fault(PlainFault { refuse: 1, ..PlainFault::default() }).await;
     assert_eq!(order(&site, 0, &key, 1, None).await.status, 200, "one refusal is retried");
-    site.desk_fault(PlainFault { refuse: 10, ..PlainFault::default() }).await;
+    site.set_desk_fault(PlainFault { refuse: 10, ..PlainFault::default() }).await;
     let refused = order(&site, 0, &key, 2, Some("order-2")).await;
     assert_eq!((refused.status, refused.error("run_state").as_str()), (503, "not run"));
-    site.desk_fault(PlainFault::default()).await;
+    site.set_desk_fault(PlainFault::default()).await;
     let again = order(&site, 1, &key, 2, Some("order-2")).await;
     assert_eq!(again.status, 200, "a request that did not run may be sent again: {again:?}");
     assert_eq!((runs(&site, 1).await, runs(&site, 2).await), (1, 1));
@@ -245,12 +251,12 @@
 #[actix_rt::test]
 async fn claims_are_refused_as_not_run_while_the_service_is_away() {
     let (site, key) = small_site().await;
-    site.kv_fault(pimentoslip_standin::KvFault { down: true, ..Default::default() }).await;
+    site.set_kv_fault(pimentoslip_standin::KvFault { down: true, ..Default::default() }).await;
     let refused = order(&site, 0, &key, 1, Some("order-1")).await;
     assert_eq!((refused.status, refused.error("code").as_str()), (503, "claim_unavailable"));
     assert_eq!(refused.error("run_state"), "not run");
     assert_eq!(order(&site, 0, &key, 2, None).await.status, 200, "requests without a claim go on");
-    site.kv_fault(Default::default()).await;
+    site.set_kv_fault(Default::default()).await;
     let again = order(&site, 0, &key, 1, Some("order-1")).await;
     assert_eq!(again.status, 200, "{again:?}");
     assert_eq!(runs(&site, 1).await, 1);
@@ -284,15 +290,15 @@
             actix_rt::spawn(answer_twice(connection));
         }
     });
-    site.list_vm("desk-1", VmRole::Upstream, "a", &address, Some("desk"), VmState::Live).await;
+    site.add_vm("desk-1", VmRole::Upstream, "a", &address, Some("desk"), VmState::Live).await;
     wait_for("the doubling upstream is in use", || async {
-        let answer = site.call(0, "GET", "/services/desk/first", &key, &[], &()).await;
+        let answer = site.send(0, "GET", "/services/desk/first", &key, &[], &()).await;
         (answer.body == "/first").then_some(())
     })
     .await;
     let mut whole = 0;
     for number in 0..200 {
-        let answer = site.call(0, "GET", &format!("/services/desk/{number}"), &key, &[], &()).await;
+        let answer = site.send(0, "GET", &format!("/services/desk/{number}"), &key, &[], &()).await;
         if answer.status == 200 {
             whole += 1;
             assert_eq!(answer.body, format!("/{number}"), "each caller gets its own answer");
--- a/crates/cli/tests/processes/samples.rs
+++ b/crates/cli/tests/processes/samples.rs
@@ -1,6 +1,6 @@
 //! Steps through kills of their home, lost answers, and engines that swap or misbehave.
 
-use super::support::{Answer, Site, SiteShape, wait_for};
+use super::support::{DaemonSite, HttpAnswer, SiteOptions, wait_for};
 use pimentoslip_kernel::{FetchCursor, KeySecret, highest_ranked};
 use pimentoslip_standin::EngineFault;
 use pimentoslip_wire::caller::{FetchAnswer, FetchRequest, OpenRequest, PublishRequest, SampleBody};
@@ -20,8 +20,8 @@
     }
 }
 
-async fn open(site: &Site, at: usize, key: &KeySecret, step: u64) -> Answer {
-    site.call(at, "POST", "/v1/steps", key, &[], &open_request(step)).await
+async fn open(site: &DaemonSite, daemon: usize, key: &KeySecret, step: u64) -> HttpAnswer {
+    site.send(daemon, "POST", "/v1/steps", key, &[], &open_request(step)).await
 }
 
 /// A trainer with its cursor.
@@ -38,7 +38,7 @@
     }
 
     /// One fetch from daemon `at`. Opens the step again when its home is gone. True at the end.
-    async fn fetch(&mut self, site: &Site, at: usize, key: &KeySecret, max: usize) -> bool {
+    async fn fetch(&mut self, site: &DaemonSite, daemon: usize, key: &KeySecret, max: usize) -> bool {
         let fetch = FetchRequest {
             trainer: "menus".into(),
             step: self.step,
@@ -47,9 +47,9 @@
             max,
             wait_ms: 500,
         };
-        let answer = site.call(at, "POST", "/v1/steps/fetch", key, &[], &fetch).await;
+        let answer = site.send(daemon, "POST", "/v1/steps/fetch", key, &[], &fetch).await;
         if answer.error("code") == "step_unknown" {
-            open(site, at, key, self.step).await;
+            open(site, daemon, key, self.step).await;
         }
         if answer.status != 200 {
             return false;
@@ -64,7 +64,7 @@
     }
 
     /// Fetches to the end, from each of the daemons in turn.
-    async fn fetch_all(&mut self, site: &Site, daemons: &[usize], key: &KeySecret, max: usize) {
+    async fn fetch_all(&mut self, site: &DaemonSite, daemons: &[usize], key: &KeySecret, max: usize) {
         const TURNS: usize = 2_000;
         for turn in 0..TURNS {
             if self.fetch(site, daemons[turn % daemons.len()], key, max).await {
@@ -75,15 +75,15 @@
     }
 
     /// Publishes the next version, which the trainer knows of from then on.
-    async fn publish(&mut self, site: &Site, at: usize, key: &KeySecret, version: u64) {
+    async fn publish(&mut self, site: &DaemonSite, daemon: usize, key: &KeySecret, version: u64) {
         let publish = PublishRequest { service: "drafts".into(), version };
-        let answer = site.call(at, "POST", "/v1/weights", key, &[], &publish).await;
+        let answer = site.send(daemon, "POST", "/v1/weights", key, &[], &publish).await;
         assert_eq!(answer.status, 200, "{answer:?}");
         self.published = version;
     }
 }
 
-fn home_of(site: &Site, step: u64) -> usize {
+fn home_of(site: &DaemonSite, step: u64) -> usize {
     let names: Vec<String> = site.daemons.iter().map(|daemon| daemon.name.clone()).collect();
     let home = highest_ranked(&format!("step/velorio/menus/{step}"), &names).expect("a home");
     names.iter().position(|name| name == home).expect("a daemon")
@@ -91,7 +91,7 @@
 
 #[actix_rt::test]
 async fn a_step_outlives_its_home() {
-    let mut site = Site::start(SiteShape::default()).await;
+    let mut site = DaemonSite::start(SiteOptions::default()).await;
     let key = site.create_key(0, 1).await;
     for step in 1..=2 {
         let mut trainer = Trainer::new(step);
@@ -110,7 +110,7 @@
 
 #[actix_rt::test]
 async fn a_frozen_home_and_a_second_one_deliver_each_sample_once() {
-    let site = Site::start(SiteShape::default()).await;
+    let site = DaemonSite::start(SiteOptions::default()).await;
     let key = site.create_key(0, 1).await;
     let mut trainer = Trainer::new(1);
     let home = home_of(&site, 1);
@@ -124,7 +124,7 @@
         trainer.fetch(&site, other, &key, 3).await;
     }
     // The first home wakes and still holds its samples.
-    site.daemons[home].process.thaw();
+    site.daemons[home].process.resume();
     trainer.fetch_all(&site, &[home, entry, other], &key, 3).await;
     assert_eq!(trainer.samples.len(), SAMPLES);
 }
@@ -132,11 +132,11 @@
 #[actix_rt::test]
 async fn versions_are_true_across_swaps_and_none_is_older_than_the_bound() {
     const BOUND: u64 = 2;
-    let shape = SiteShape {
+    let options = SiteOptions {
         engine_flags: vec!["--token-us=2000".to_owned(), "--shortest=24".to_owned()],
-        ..SiteShape::default()
+        ..SiteOptions::default()
     };
-    let site = Site::start(shape).await;
+    let site = DaemonSite::start(options).await;
     let key = site.create_key(0, 1).await;
     let mut trainer = Trainer::new(1);
     open(&site, 0, &key, 1).await;
@@ -176,9 +176,9 @@
 
 #[actix_rt::test]
 async fn an_engine_that_swaps_in_the_middle_is_told_by_segments() {
-    let site = Site::start(SiteShape { engines: vec!["a"], ..SiteShape::default() }).await;
+    let site = DaemonSite::start(SiteOptions { engines: vec!["a"], ..SiteOptions::default() }).await;
     let key = site.create_key(0, 1).await;
-    site.engine_fault(0, EngineFault { swap_after_chunks: Some(2), ..EngineFault::default() }).await;
+    site.set_engine_fault(0, EngineFault { swap_after_chunks: Some(2), ..EngineFault::default() }).await;
     let mut trainer = Trainer::new(1);
     open(&site, 0, &key, 1).await;
     while !trainer.fetch(&site, 0, &key, 64).await {}
@@ -188,11 +188,11 @@
 
 #[actix_rt::test]
 async fn samples_of_unknown_version_and_cut_samples_are_run_again() {
-    let site = Site::start(SiteShape::default()).await;
+    let site = DaemonSite::start(SiteOptions::default()).await;
     let key = site.create_key(0, 1).await;
     let mute = EngineFault { omit_version: true, ..EngineFault::default() };
-    site.engine_fault(0, mute.clone()).await;
-    site.engine_fault(1, mute).await;
+    site.set_engine_fault(0, mute.clone()).await;
+    site.set_engine_fault(1, mute).await;
     let mut trainer = Trainer::new(1);
     open(&site, 0, &key, 1).await;
     wait_for("discarded samples are logged", || async {
@@ -202,7 +202,7 @@
     trainer.fetch(&site, 0, &key, 64).await;
     assert!(trainer.samples.is_empty(), "nothing of unknown version is delivered");
     for engine in 0..2 {
-        site.engine_fault(engine, EngineFault { cut_streams: 5, cross: 2, ..EngineFault::default() }).await;
+        site.set_engine_fault(engine, EngineFault { cut_streams: 5, cross: 2, ..EngineFault::default() }).await;
     }
     trainer.fetch_all(&site, &[1], &key, 64).await;
     assert_eq!(trainer.samples.len(), SAMPLES);
@@ -211,13 +211,13 @@
 
 #[actix_rt::test]
 async fn a_failed_swap_is_ordered_again() {
-    let site = Site::start(SiteShape { engines: vec!["a"], ..SiteShape::default() }).await;
+    let site = DaemonSite::start(SiteOptions { engines: vec!["a"], ..SiteOptions::default() }).await;
     let key = site.create_key(0, 1).await;
-    site.engine_fault(0, EngineFault { fail_swap: true, ..EngineFault::default() }).await;
+    site.set_engine_fault(0, EngineFault { fail_swap: true, ..EngineFault::default() }).await;
     let mut trainer = Trainer::new(1);
     trainer.publish(&site, 1, &key, 5).await;
     wait_for("the failure is logged", || async { site.logs().contains("event=weights_failed").then_some(()) }).await;
-    site.engine_fault(0, EngineFault::default()).await;
+    site.set_engine_fault(0, EngineFault::default()).await;
     wait_for("the engine has the weights", || async {
         let status = site.status(0).await?;
         status.upstreams.iter().any(|upstream| upstream.version == Some(5)).then_some(())
--- a/crates/cli/tests/processes/support/child_process.rs
+++ b/crates/cli/tests/processes/support/child_process.rs
@@ -51,7 +51,7 @@
 }
 
 /// Runs the operators' command line to its end.
-pub fn cli(args: &[&str]) -> Output {
+pub fn run_cli(args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_pimentoslip")).args(args).output().expect("run pimentoslip")
 }
 
@@ -86,7 +86,7 @@
     }
 
     /// Word of the first line that begins with `label`, without it.
-    pub fn word(&self, label: &str) -> String {
+    pub fn word_after(&self, label: &str) -> String {
         let words = self.first_line.split_whitespace();
         words.filter_map(|word| word.strip_prefix(label)).next_back().unwrap_or_default().to_owned()
     }
@@ -102,10 +102,10 @@
     }
 
     /// Waits until it has started or ended; whether it ended because an address was taken.
-    pub fn could_not_listen(&mut self) -> bool {
+    pub fn failed_to_listen(&mut self) -> bool {
         const POLL: Duration = Duration::from_millis(5);
         loop {
-            let ended = self.ended().is_some();
+            let ended = self.exit_status().is_some();
             let log = self.log();
             if log.contains("event=started") {
                 return false;
@@ -128,7 +128,7 @@
     }
 
     /// Lets it go on.
-    pub fn thaw(&self) {
+    pub fn resume(&self) {
         self.signal(Signal::SIGCONT);
     }
 
@@ -144,7 +144,7 @@
     }
 
     /// How it ended, if it has.
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 }
--- a/crates/cli/tests/processes/support/site.rs
+++ b/crates/cli/tests/processes/support/daemon_site.rs
@@ -1,6 +1,6 @@
 //! A site of separate processes on ports picked by the kernel.
 
-use super::{Answer, ChildProcess, HttpClient, Workdir, wait_for};
+use super::{ChildProcess, HttpAnswer, HttpClient, Workdir, wait_for};
 use pimentoslip_kernel::KeySecret;
 use pimentoslip_standin::{EngineFault, KvFault, PlainFault, SeenRequest};
 use pimentoslip_wire::{
@@ -19,7 +19,7 @@
 
 /// What to start.
 #[derive(Clone, Debug)]
-pub struct SiteShape {
+pub struct SiteOptions {
     /// Failure domain of each daemon.
     pub daemons: Vec<&'static str>,
     /// Failure domain of each engine.
@@ -31,10 +31,10 @@
     /// Whether the ordering and usage interfaces check fencing numbers.
     pub checks_fencing: bool,
     /// Configuration.
-    pub base: String,
+    pub base_config: String,
 }
 
-impl Default for SiteShape {
+impl Default for SiteOptions {
     fn default() -> Self {
         Self {
             daemons: vec!["a", "b", "c"],
@@ -42,7 +42,7 @@
             engine_flags: Vec::new(),
             daemon_flags: Vec::new(),
             checks_fencing: false,
-            base: BASE.to_owned(),
+            base_config: BASE.to_owned(),
         }
     }
 }
@@ -56,13 +56,13 @@
     /// Process.
     pub process: ChildProcess,
     /// Address for callers.
-    pub public: String,
+    pub public_address: String,
     /// Address for peers and operators.
-    pub control: String,
+    pub control_address: String,
 }
 
 /// All processes of a site.
-pub struct Site {
+pub struct DaemonSite {
     /// Folder with logs and files.
     pub workdir: Workdir,
     /// Daemons.
@@ -70,80 +70,80 @@
     /// Engines with their addresses.
     pub engines: Vec<(ChildProcess, String)>,
     /// Plain service.
-    pub desk: String,
+    pub desk_address: String,
     /// Key-value service.
-    pub kv: String,
+    pub kv_address: String,
     /// Ordering interface.
-    pub orders: String,
+    pub orders_address: String,
     /// Usage interface.
-    pub usage: String,
+    pub usage_address: String,
     /// VM list.
-    pub vms: String,
+    pub vms_address: String,
     /// HTTP client.
     pub http: HttpClient,
     /// What was asked for.
-    pub shape: SiteShape,
-    _standins: Vec<ChildProcess>,
-    started: usize,
+    pub options: SiteOptions,
+    _stand_ins: Vec<ChildProcess>,
+    daemons_started: usize,
 }
 
-impl Site {
+impl DaemonSite {
     /// Starts stand-ins and daemons and puts the configuration in force.
-    pub async fn start(shape: SiteShape) -> Self {
-        let mut site = Self::bare(shape).await;
-        for failure_domain in site.shape.daemons.clone() {
+    pub async fn start(options: SiteOptions) -> Self {
+        let mut site = Self::without_daemons(options).await;
+        for failure_domain in site.options.daemons.clone() {
             site.start_daemon(failure_domain, &[]).await;
         }
-        site.apply().await;
+        site.apply_config().await;
         site.wait_ready().await;
         site
     }
 
     /// Starts stand-ins only.
-    pub async fn bare(shape: SiteShape) -> Self {
+    pub async fn without_daemons(options: SiteOptions) -> Self {
         let workdir = Workdir::new();
-        let mut standins = Vec::new();
-        let mut standin = |kind: &str, flags: &[String]| {
-            let process = start_standin(&workdir, kind, standins.len(), flags);
-            let address = process.word("127").to_owned();
-            standins.push(process);
+        let mut stand_ins = Vec::new();
+        let mut start_stand_in = |kind: &str, flags: &[String]| {
+            let process = spawn_stand_in(&workdir, kind, stand_ins.len(), flags);
+            let address = process.word_after("127").to_owned();
+            stand_ins.push(process);
             format!("127{address}")
         };
-        let fencing: Vec<String> = shape.checks_fencing.then(|| "--checks-fencing".to_owned()).into_iter().collect();
-        let vms = standin("vms", &[]);
-        let kv = standin("kv", &[]);
-        let usage = standin("usage", &fencing);
-        let desk = standin("plain", &[]);
-        let orders = standin("orders", &[fencing, vec![format!("--vms={vms}")]].concat());
+        let fencing: Vec<String> = options.checks_fencing.then(|| "--checks-fencing".to_owned()).into_iter().collect();
+        let vms_address = start_stand_in("vms", &[]);
+        let kv_address = start_stand_in("kv", &[]);
+        let usage_address = start_stand_in("usage", &fencing);
+        let desk_address = start_stand_in("plain", &[]);
+        let orders_address = start_stand_in("orders", &[fencing, vec![format!("--vms={vms_address}")]].concat());
         let mut site = Self {
             workdir,
             daemons: Vec::new(),
             engines: Vec::new(),
-            desk: desk.clone(),
-            kv,
-            orders,
-            usage,
-            vms,
+            desk_address: desk_address.clone(),
+            kv_address,
+            orders_address,
+            usage_address,
+            vms_address,
             http: HttpClient::new(),
-            shape,
-            _standins: standins,
-            started: 0,
+            options,
+            _stand_ins: stand_ins,
+            daemons_started: 0,
         };
-        for failure_domain in site.shape.engines.clone() {
+        for failure_domain in site.options.engines.clone() {
             site.start_engine(failure_domain).await;
         }
-        site.list_vm("desk-1", VmRole::Upstream, "a", &desk, Some("desk"), VmState::Live).await;
+        site.add_vm("desk-1", VmRole::Upstream, "a", &desk_address, Some("desk"), VmState::Live).await;
         site
     }
 
     /// Starts one more engine and lists it. Its place among the engines.
     pub async fn start_engine(&mut self, failure_domain: &str) -> usize {
-        let at = self.engines.len();
-        let process = start_standin(&self.workdir, "engine", 100 + at, &self.shape.engine_flags);
-        let address = format!("127{}", process.word("127"));
+        let index = self.engines.len();
+        let process = spawn_stand_in(&self.workdir, "engine", 100 + index, &self.options.engine_flags);
+        let address = format!("127{}", process.word_after("127"));
         self.engines.push((process, address.clone()));
-        self.list_vm(
-            &format!("engine-{at}"),
+        self.add_vm(
+            &format!("engine-{index}"),
             VmRole::Upstream,
             failure_domain,
             &address,
@@ -151,26 +151,26 @@
             VmState::Live,
         )
         .await;
-        at
+        index
     }
 
     /// Starts one more daemon and lists it. Later flags override earlier ones.
     pub async fn start_daemon(&mut self, failure_domain: &'static str, extra: &[String]) -> usize {
-        let name = format!("entry-{}", self.started);
-        self.started += 1;
+        let name = format!("entry-{}", self.daemons_started);
+        self.daemons_started += 1;
         let daemon = self.spawn_daemon(&name, failure_domain, "127.0.0.1:0", extra);
-        self.list_vm(&name, VmRole::Entry, failure_domain, &daemon.control, None, VmState::Live).await;
+        self.add_vm(&name, VmRole::Entry, failure_domain, &daemon.control_address, None, VmState::Live).await;
         self.daemons.push(daemon);
         self.daemons.len() - 1
     }
 
-    /// Starts daemon `at` again under its name, on new ports.
-    pub async fn restart_daemon(&mut self, at: usize) {
-        let (name, failure_domain) = (self.daemons[at].name.clone(), self.daemons[at].failure_domain);
-        self.daemons[at].process.kill();
+    /// Starts daemon `index` again under its name, on new ports.
+    pub async fn restart_daemon(&mut self, index: usize) {
+        let (name, failure_domain) = (self.daemons[index].name.clone(), self.daemons[index].failure_domain);
+        self.daemons[index].process.kill();
         let daemon = self.spawn_daemon(&name, failure_domain, "127.0.0.1:0", &[]);
-        self.list_vm(&name, VmRole::Entry, failure_domain, &daemon.control, None, VmState::Live).await;
-        self.daemons[at] = daemon;
+        self.add_vm(&name, VmRole::Entry, failure_domain, &daemon.control_address, None, VmState::Live).await;
+        self.daemons[index] = daemon;
     }
 
     fn spawn_daemon(&self, name: &str, failure_domain: &'static str, listen: &str, extra: &[String]) -> DaemonProcess {
@@ -182,27 +182,27 @@
             ("control-listen", "127.0.0.1:0"),
             ("cluster-secret", CLUSTER_SECRET),
             ("operator-key", OPERATOR_KEY),
-            ("kv", &self.kv),
-            ("orders", &self.orders),
-            ("usage", &self.usage),
-            ("vms", &self.vms),
+            ("kv", &self.kv_address),
+            ("orders", &self.orders_address),
+            ("usage", &self.usage_address),
+            ("vms", &self.vms_address),
         ]
         .map(|(flag, value)| (flag.to_owned(), value.to_owned()))
         .to_vec();
-        for flag in self.shape.daemon_flags.iter().chain(extra) {
+        for flag in self.options.daemon_flags.iter().chain(extra) {
             let (flag, value) = flag.trim_start_matches("--").split_once('=').expect("--flag=value");
-            args.retain(|(known, _)| known != flag);
+            args.retain(|(default_flag, _)| default_flag != flag);
             args.push((flag.to_owned(), value.to_owned()));
         }
         let args: Vec<String> = args.into_iter().map(|(flag, value)| format!("--{flag}={value}")).collect();
         let log = self.workdir.path(&format!("{name}-{}.log", self.daemons.len()));
         let process = ChildProcess::start(env!("CARGO_BIN_EXE_pimentoslipd"), &args, log);
-        let (public, control) = (process.word("public="), process.word("control="));
-        DaemonProcess { name: name.to_owned(), failure_domain, process, public, control }
+        let (public_address, control_address) = (process.word_after("public="), process.word_after("control="));
+        DaemonProcess { name: name.to_owned(), failure_domain, process, public_address, control_address }
     }
 
     /// Puts a VM that cannot be reclaimed on the list.
-    pub async fn list_vm(
+    pub async fn add_vm(
         &self,
         name: &str,
         role: VmRole,
@@ -224,7 +224,7 @@
     }
 
     /// Puts an upstream that can be reclaimed on the list.
-    pub async fn list_reclaimable(&self, name: &str, failure_domain: &str, address: &str, service: &str) {
+    pub async fn add_reclaimable_vm(&self, name: &str, failure_domain: &str, address: &str, service: &str) {
         let entry = VmEntry {
             name: name.into(),
             role: VmRole::Upstream,
@@ -238,19 +238,19 @@
     }
 
     async fn put_vm(&self, entry: &VmEntry) {
-        self.http.put(&format!("http://{}/v1/vms/{}", self.vms, entry.name), entry).await;
+        self.http.put_json(&format!("http://{}/v1/vms/{}", self.vms_address, entry.name), entry).await;
     }
 
     /// Takes a VM off the list.
-    pub async fn unlist_vm(&self, name: &str) {
-        self.http.delete(&format!("http://{}/v1/vms/{name}", self.vms)).await;
+    pub async fn remove_vm(&self, name: &str) {
+        self.http.delete(&format!("http://{}/v1/vms/{name}", self.vms_address)).await;
     }
 
     /// Applies the configuration through the command line.
-    pub async fn apply(&self) -> String {
-        let base = self.workdir.write("base.toml", &self.shape.base);
-        let daemon = self.daemons[0].control.clone();
-        let output = super::cli(&["apply", &base, "--daemon", &daemon, "--operator-key", OPERATOR_KEY]);
+    pub async fn apply_config(&self) -> String {
+        let base_config = self.workdir.write("base.toml", &self.options.base_config);
+        let daemon = self.daemons[0].control_address.clone();
+        let output = super::run_cli(&["apply", &base_config, "--daemon", &daemon, "--operator-key", OPERATOR_KEY]);
         assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
         String::from_utf8_lossy(&output.stdout).into_owned()
     }
@@ -258,40 +258,40 @@
     /// Waits until every daemon knows the configuration, all daemons and all upstreams.
     pub async fn wait_ready(&self) {
         wait_for("all daemons are ready", || async {
-            for at in 0..self.daemons.len() {
-                let status = self.status(at).await?;
-                let known = status.daemons.iter().filter(|daemon| daemon.state == "alive").count();
+            for daemon in 0..self.daemons.len() {
+                let status = self.status(daemon).await?;
+                let alive = status.daemons.iter().filter(|daemon| daemon.state == "alive").count();
                 let upstreams = status.upstreams.iter().filter(|upstream| upstream.state == "live").count();
                 let ready = status.fresh && status.revision > 0;
-                (ready && known == self.daemons.len() && upstreams > self.engines.len()).then_some(())?;
+                (ready && alive == self.daemons.len() && upstreams > self.engines.len()).then_some(())?;
             }
             Some(())
         })
         .await;
     }
 
-    /// Status of daemon `at`, if it answers.
-    pub async fn status(&self, at: usize) -> Option<StatusAnswer> {
-        self.admin_get(at, "status").await
+    /// Status of daemon `daemon`, if it answers.
+    pub async fn status(&self, daemon: usize) -> Option<StatusAnswer> {
+        self.admin_get(daemon, "status").await
     }
 
-    /// Reads from the administration API of daemon `at`.
-    pub async fn admin_get<T: DeserializeOwned>(&self, at: usize, path: &str) -> Option<T> {
-        let url = format!("http://{}/admin/v1/{path}", self.daemons[at].control);
+    /// Reads from the administration API of daemon `daemon`.
+    pub async fn admin_get<T: DeserializeOwned>(&self, daemon: usize, path: &str) -> Option<T> {
+        let url = format!("http://{}/admin/v1/{path}", self.daemons[daemon].control_address);
         let mut answer =
             self.http.request("GET", &url).insert_header((OPERATOR_KEY_HEADER, OPERATOR_KEY)).send().await.ok()?;
         let body = answer.body().limit(16 << 20).await.ok()?;
         serde_json::from_slice(&body).ok()
     }
 
-    /// Sends to the administration API of daemon `at`.
-    pub async fn admin_post<Q: Serialize>(&self, at: usize, path: &str, body: &Q) -> Answer {
-        let url = format!("http://{}/admin/v1/{path}", self.daemons[at].control);
+    /// Sends to the administration API of daemon `daemon`.
+    pub async fn admin_post<Q: Serialize>(&self, daemon: usize, path: &str, body: &Q) -> HttpAnswer {
+        let url = format!("http://{}/admin/v1/{path}", self.daemons[daemon].control_address);
         self.http.send("POST", &url, &[(OPERATOR_KEY_HEADER, OPERATOR_KEY)], body).await
     }
 
-    /// Creates a key through daemon `at` and waits until every daemon has it.
-    pub async fn create_key(&self, at: usize, seed: u64) -> KeySecret {
+    /// Creates a key through daemon `daemon` and waits until every daemon has it.
+    pub async fn create_key(&self, daemon: usize, seed: u64) -> KeySecret {
         use rand::SeedableRng;
         let secret = KeySecret::generate(&mut rand_chacha::ChaCha8Rng::seed_from_u64(seed));
         let request = KeyRequest {
@@ -300,12 +300,12 @@
             key: secret.id.clone(),
             hash: Some(secret.hash()),
         };
-        let answer = self.admin_post(at, "keys/create", &request).await;
+        let answer = self.admin_post(daemon, "keys/create", &request).await;
         assert_eq!(answer.status, 200, "{answer:?}");
         let revision = answer.json::<ChangeAnswer>().revision;
         wait_for("the key is known everywhere", || async {
-            for at in 0..self.daemons.len() {
-                (self.status(at).await?.revision >= revision).then_some(())?;
+            for daemon in 0..self.daemons.len() {
+                (self.status(daemon).await?.revision >= revision).then_some(())?;
             }
             Some(())
         })
@@ -313,56 +313,56 @@
         secret
     }
 
-    /// Withdraws a key through daemon `at`.
-    pub async fn withdraw_key(&self, at: usize, secret: &KeySecret) -> Answer {
+    /// Withdraws a key through daemon `daemon`.
+    pub async fn withdraw_key(&self, daemon: usize, secret: &KeySecret) -> HttpAnswer {
         let request = KeyRequest {
             change: format!("withdraw-{}", secret.id).into(),
             organisation: KEY_ORGANISATION.into(),
             key: secret.id.clone(),
             hash: None,
         };
-        self.admin_post(at, "keys/withdraw", &request).await
+        self.admin_post(daemon, "keys/withdraw", &request).await
     }
 
-    /// Sends to daemon `at` with a key.
-    pub async fn call<Q: Serialize>(
+    /// Sends to daemon `daemon` with a key.
+    pub async fn send<Q: Serialize>(
         &self,
-        at: usize,
+        daemon: usize,
         method: &str,
         path: &str,
         key: &KeySecret,
         extra: &[(&str, &str)],
         body: &Q,
-    ) -> Answer {
-        let url = format!("http://{}{path}", self.daemons[at].public);
+    ) -> HttpAnswer {
+        let url = format!("http://{}{path}", self.daemons[daemon].public_address);
         let bearer = format!("Bearer {}", key.expose());
         let headers: Vec<(&str, &str)> = extra.iter().copied().chain([("authorization", bearer.as_str())]).collect();
         self.http.send(method, &url, &headers, body).await
     }
 
     /// Requests that the plain service ran.
-    pub async fn desk_runs(&self) -> Vec<SeenRequest> {
-        self.http.get(&format!("http://{}/standin/seen", self.desk)).await.unwrap_or_default()
+    pub async fn desk_requests(&self) -> Vec<SeenRequest> {
+        self.http.get_json(&format!("http://{}/standin/seen", self.desk_address)).await.unwrap_or_default()
     }
 
-    /// Requests that engine `at` was sent.
-    pub async fn engine_seen(&self, at: usize) -> Vec<SeenRequest> {
-        self.http.get(&format!("http://{}/standin/seen", self.engines[at].1)).await.unwrap_or_default()
+    /// Requests that engine `engine` was sent.
+    pub async fn engine_requests(&self, engine: usize) -> Vec<SeenRequest> {
+        self.http.get_json(&format!("http://{}/standin/seen", self.engines[engine].1)).await.unwrap_or_default()
     }
 
     /// Sets faults of the key-value service.
-    pub async fn kv_fault(&self, fault: KvFault) {
-        self.http.put(&format!("http://{}/standin/fault", self.kv), &fault).await;
+    pub async fn set_kv_fault(&self, fault: KvFault) {
+        self.http.put_json(&format!("http://{}/standin/fault", self.kv_address), &fault).await;
     }
 
     /// Sets faults of the plain service.
-    pub async fn desk_fault(&self, fault: PlainFault) {
-        self.http.put(&format!("http://{}/standin/fault", self.desk), &fault).await;
+    pub async fn set_desk_fault(&self, fault: PlainFault) {
+        self.http.put_json(&format!("http://{}/standin/fault", self.desk_address), &fault).await;
     }
 
-    /// Sets faults of engine `at`.
-    pub async fn engine_fault(&self, at: usize, fault: EngineFault) {
-        self.http.put(&format!("http://{}/standin/fault", self.engines[at].1), &fault).await;
+    /// Sets faults of engine `engine`.
+    pub async fn set_engine_fault(&self, engine: usize, fault: EngineFault) {
+        self.http.put_json(&format!("http://{}/standin/fault", self.engines[engine].1), &fault).await;
     }
 
     /// Logs of all daemons.
@@ -371,8 +371,8 @@
     }
 }
 
-fn start_standin(workdir: &Workdir, kind: &str, at: usize, flags: &[String]) -> ChildProcess {
+fn spawn_stand_in(workdir: &Workdir, kind: &str, number: usize, flags: &[String]) -> ChildProcess {
     let args = [vec!["standin".to_owned(), kind.to_owned()], flags.to_vec()].concat();
-    let log = workdir.path(&format!("{kind}-{at}.log"));
+    let log = workdir.path(&format!("{kind}-{number}.log"));
     ChildProcess::start(env!("CARGO_BIN_EXE_pimentoslip"), &args, log)
 }
--- a/crates/cli/tests/processes/support/fleet.rs
+++ b/crates/cli/tests/processes/support/edge_site.rs
@@ -7,16 +7,16 @@
 use std::{net::SocketAddr, time::Duration};
 
 /// Key of the organisation `rose`.
-pub const KEY: &str = "key-of-rose";
+pub const ROSE_KEY: &str = "key-of-rose";
 /// Key of the organisation `tray`.
-pub const OTHER_KEY: &str = "key-of-tray";
+pub const TRAY_KEY: &str = "key-of-tray";
 const HOST: &str = "desk.example";
 const TIMEOUT: Duration = Duration::from_secs(30);
 const ANSWER_BYTES_MAX: usize = 16 << 20;
 
 /// An answer; status 0 if none came whole.
 #[derive(Clone, Debug)]
-pub struct Reply {
+pub struct EdgeReply {
     /// Status.
     pub status: u16,
     /// Headers.
@@ -25,7 +25,7 @@
     pub body: String,
 }
 
-impl Reply {
+impl EdgeReply {
     /// The parsed body.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.body).unwrap_or_else(|error| panic!("{error} in {self:?}"))
@@ -38,18 +38,18 @@
 }
 
 /// One edge daemon.
-pub struct Edge {
+pub struct EdgeProcess {
     /// Its process.
     pub process: ChildProcess,
     /// Name of its VM.
     pub vm: String,
-    front: SocketAddr,
-    ready: SocketAddr,
+    frontend_address: SocketAddr,
+    readiness_address: SocketAddr,
     settings: String,
 }
 
 /// The site.
-pub struct Fleet {
+pub struct EdgeSite {
     /// Store.
     pub store: FleetStore,
     /// Interface for usage reports.
@@ -59,7 +59,7 @@
     /// Model engines of `engine`.
     pub engines: Vec<FleetSampler>,
     /// Edges.
-    pub edges: Vec<Edge>,
+    pub edges: Vec<EdgeProcess>,
     workdir: Workdir,
 }
 
@@ -69,17 +69,17 @@
     listener.local_addr().expect("its address")
 }
 
-impl Fleet {
+impl EdgeSite {
     /// Starts the site with `edges` edges, whose store is the site's.
     pub async fn start(edges: usize) -> Self {
-        let mut fleet = Self::without_edges();
-        fleet.configure(2, &[("rose", KEY), ("tray", OTHER_KEY)]);
+        let mut site = Self::without_edges();
+        site.write_config(2, &[("rose", ROSE_KEY), ("tray", TRAY_KEY)]);
         for _ in 0..edges {
-            let store = fleet.store.address;
-            fleet.add_edge(store);
+            let store = site.store.address;
+            site.start_edge(store);
         }
-        fleet.wait_ready().await;
-        fleet
+        site.wait_ready().await;
+        site
     }
 
     /// Everything but edges and a configuration.
@@ -108,7 +108,7 @@
     }
 
     /// Writes a configuration.
-    pub fn configure(&self, version: u64, keys: &[(&str, &str)]) {
+    pub fn write_config(&self, version: u64, keys: &[(&str, &str)]) {
         let tenants: Vec<Value> =
             keys.iter().map(|(name, key)| json!({ "name": name, "apiKeys": [key], "priority": 1 })).collect();
         let route = |name: &str, prefix: &str, kind: &str, service: &str| {
@@ -136,52 +136,52 @@
     }
 
     /// Starts one more edge, whose store is at `store`.
-    pub fn add_edge(&mut self, store: SocketAddr) {
+    pub fn start_edge(&mut self, store: SocketAddr) {
         // Between the choice of a free port and its use another test may take it.
-        let mut edge = self.try_edge(store);
-        while edge.process.could_not_listen() {
-            edge = self.try_edge(store);
+        let mut edge = self.try_start_edge(store);
+        while edge.process.failed_to_listen() {
+            edge = self.try_start_edge(store);
         }
         self.edges.push(edge);
     }
 
-    fn try_edge(&self, store: SocketAddr) -> Edge {
+    fn try_start_edge(&self, store: SocketAddr) -> EdgeProcess {
         let vm = format!("edge-{}", self.edges.len());
-        let (front, ready, control) = (free_address(), free_address(), free_address());
+        let (frontend_address, readiness_address, control) = (free_address(), free_address(), free_address());
         let settings = json!({
             "nodeName": vm, "ip": "127.0.0.1", "zone": "north", "zones": { "north": "land" },
-            "listenAddrs": { "frontend": front, "ready": ready }, "internalPorts": [control.port(), control.port()],
+            "listenAddrs": { "frontend": frontend_address, "ready": readiness_address }, "internalPorts": [control.port(), control.port()],
             "platform": { "address": store, "valueBytes": 1_048_576, "minTtlMs": 1000 },
             "cloudApi": { "address": self.provider.address },
             "bounds": { "leaseMs": 1000, "graceS": 8, "reportWindowS": 1, "statusS": 120 },
         });
         let settings = self.workdir.write(&format!("{vm}.json"), &settings.to_string());
-        let process = self.spawn(&vm, &settings);
-        Edge { process, vm, front, ready, settings }
+        let process = self.spawn_edge(&vm, &settings);
+        EdgeProcess { process, vm, frontend_address, readiness_address, settings }
     }
 
-    fn spawn(&self, vm: &str, settings: &str) -> ChildProcess {
+    fn spawn_edge(&self, vm: &str, settings: &str) -> ChildProcess {
         let program = env!("CARGO_BIN_EXE_pimentoslipd");
         let log = self.workdir.path(&format!("{vm}.log"));
         ChildProcess::start_logged(program, &["edge"], ("PIMENTOSLIP_BOOT", settings), log)
     }
 
     /// Starts the process of an edge again.
-    pub fn restart(&mut self, edge: usize) {
+    pub fn restart_edge(&mut self, edge: usize) {
         let (vm, settings) = (self.edges[edge].vm.clone(), self.edges[edge].settings.clone());
-        self.edges[edge].process = self.spawn(&vm, &settings);
+        self.edges[edge].process = self.spawn_edge(&vm, &settings);
     }
 
     /// Status of an edge's readiness.
-    pub async fn readiness(&self, edge: usize) -> u16 {
-        let url = format!("http://{}/pimentoslip/ready", self.edges[edge].ready);
+    pub async fn readiness_status(&self, edge: usize) -> u16 {
+        let url = format!("http://{}/pimentoslip/ready", self.edges[edge].readiness_address);
         Client::default().get(url).send().await.map_or(0, |answer| answer.status().as_u16())
     }
 
     /// Waits until every edge is ready and has heard of all others.
     pub async fn wait_ready(&self) {
         for edge in 0..self.edges.len() {
-            wait_for("an edge is ready", || async { (self.readiness(edge).await == 200).then_some(()) }).await;
+            wait_for("an edge is ready", || async { (self.readiness_status(edge).await == 200).then_some(()) }).await;
         }
         let all = self.edges.len();
         wait_for("all edges are present", || async {
@@ -193,11 +193,11 @@
     }
 
     /// Sends a request to an edge.
-    pub async fn call(&self, edge: usize, method: &str, path: &str, headers: &[(&str, &str)], body: &str) -> Reply {
+    pub async fn send(&self, edge: usize, method: &str, path: &str, headers: &[(&str, &str)], body: &str) -> EdgeReply {
         let method = Method::from_bytes(method.as_bytes()).expect("a method");
         let client = Client::builder().disable_timeout().finish();
         let mut request = client
-            .request(method, format!("http://{}{path}", self.edges[edge].front))
+            .request(method, format!("http://{}{path}", self.edges[edge].frontend_address))
             .timeout(TIMEOUT)
             .force_close()
             .insert_header(("host", HOST));
@@ -205,44 +205,44 @@
             request = request.insert_header((*name, *value));
         }
         let Ok(mut answer) = request.send_body(body.to_owned()).await else {
-            return Reply { status: 0, headers: Vec::new(), body: String::new() };
+            return EdgeReply { status: 0, headers: Vec::new(), body: String::new() };
         };
         let headers = answer.headers().iter();
         let headers = headers.map(|(name, value)| (name.to_string(), value.to_str().unwrap_or_default().to_owned()));
         let (status, headers) = (answer.status().as_u16(), headers.collect());
         match answer.body().limit(ANSWER_BYTES_MAX).await {
-            Ok(body) => Reply { status, headers, body: String::from_utf8_lossy(&body).into_owned() },
-            Err(_) => Reply { status: 0, headers, body: String::new() },
+            Ok(body) => EdgeReply { status, headers, body: String::from_utf8_lossy(&body).into_owned() },
+            Err(_) => EdgeReply { status: 0, headers, body: String::new() },
         }
     }
 
     /// Asks for a quote.
-    pub async fn quote(&self, edge: usize, id: &str) -> Reply {
-        let key = format!("Bearer {KEY}");
+    pub async fn send_quote(&self, edge: usize, id: &str) -> EdgeReply {
+        let key = format!("Bearer {ROSE_KEY}");
         let headers = [("request-id", id), ("deadline-ms", "2000"), ("authorization", key.as_str())];
-        self.call(edge, "POST", "/quote/roses", &headers, "how much").await
+        self.send(edge, "POST", "/quote/roses", &headers, "how much").await
     }
 
     /// Submits a batch job.
-    pub async fn submit(&self, edge: usize, job: &str, body: &Value) -> Reply {
-        let key = format!("Bearer {KEY}");
+    pub async fn submit_job(&self, edge: usize, job: &str, body: &Value) -> EdgeReply {
+        let key = format!("Bearer {ROSE_KEY}");
         let headers = [("request-id", job), ("authorization", key.as_str()), ("deadline-ms", "5000")];
-        self.call(edge, "POST", &format!("/cards/{job}"), &headers, &body.to_string()).await
+        self.send(edge, "POST", &format!("/cards/{job}"), &headers, &body.to_string()).await
     }
 
     /// Calls about a batch job.
-    pub async fn about(&self, edge: usize, method: &str, path: &str) -> Reply {
-        let key = format!("Bearer {KEY}");
+    pub async fn send_job_request(&self, edge: usize, method: &str, path: &str) -> EdgeReply {
+        let key = format!("Bearer {ROSE_KEY}");
         let headers = [("request-id", "about"), ("authorization", key.as_str()), ("wait-ms", "500")];
-        self.call(edge, method, path, &headers, "").await
+        self.send(edge, method, path, &headers, "").await
     }
 
     /// All results of a job, once there are as many as items, read at `edge` in pieces.
-    pub async fn results(&self, edge: usize, job: &str) -> Vec<Value> {
+    pub async fn all_results(&self, edge: usize, job: &str) -> Vec<Value> {
         let mut results: Vec<Value> = Vec::new();
         loop {
             let path = format!("/pimentoslip/lots/{job}?after={}", results.len());
-            let reply = self.about(edge, "GET", &path).await;
+            let reply = self.send_job_request(edge, "GET", &path).await;
             if reply.status != 200 {
                 actix_rt::time::sleep(Duration::from_millis(100)).await;
                 continue;
@@ -257,13 +257,13 @@
     }
 
     /// Requests that upstreams of `engine` ran, with this id.
-    pub fn runs(&self, id: &str) -> Vec<pimentoslip_standin::SeenCall> {
+    pub fn engine_calls(&self, id: &str) -> Vec<pimentoslip_standin::SeenCall> {
         self.engines.iter().flat_map(FleetSampler::seen).filter(|call| call.id == id).collect()
     }
 }
 
 /// An item whose text has `events` events.
-pub fn item(id: &str, events: u64, scored: bool) -> Value {
+pub fn job_item(id: &str, events: u64, scored: bool) -> Value {
     let mut item = json!({
         "id": id, "path": format!("/cards/x/{id}"), "body": "q83v", "tokens": 100, "group": "g",
         "headers": { "Model": "verse", "Length-Hint": events.to_string(), "Token-Count": "10,90" },
@@ -275,6 +275,6 @@
 }
 
 /// A submission of `items`.
-pub fn submission(oldest_version: u64, items: &[Value]) -> Value {
+pub fn job_submission(oldest_version: u64, items: &[Value]) -> Value {
     json!({ "step": 0, "model": "verse", "minVersion": oldest_version, "desired": 1, "items": items })
 }
--- a/crates/cli/tests/processes/support/http_client.rs
+++ b/crates/cli/tests/processes/support/http_client.rs
@@ -9,7 +9,7 @@
 
 /// A whole answer, or how it failed.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct HttpAnswer {
     /// HTTP status; zero when no whole answer came.
     pub status: u16,
     /// Headers.
@@ -18,7 +18,7 @@
     pub body: String,
 }
 
-impl Answer {
+impl HttpAnswer {
     /// The parsed body.
     pub fn json<T: DeserializeOwned>(&self) -> T {
         serde_json::from_str(&self.body).unwrap_or_else(|error| panic!("{error} in {self:?}"))
@@ -55,27 +55,27 @@
     }
 
     /// Sends JSON with headers and reads the whole answer.
-    pub async fn send<Q: Serialize>(&self, method: &str, url: &str, headers: &[(&str, &str)], body: &Q) -> Answer {
+    pub async fn send<Q: Serialize>(&self, method: &str, url: &str, headers: &[(&str, &str)], body: &Q) -> HttpAnswer {
         let mut request = self.request(method, url);
         for (name, value) in headers {
             request = request.append_header((*name, *value));
         }
         let answer = match request.send_json(body).await {
             Ok(answer) => answer,
-            Err(error) => return Answer { status: 0, headers: Vec::new(), body: error.to_string() },
+            Err(error) => return HttpAnswer { status: 0, headers: Vec::new(), body: error.to_string() },
         };
         read(answer).await
     }
 
     /// Reads JSON.
-    pub async fn get<T: DeserializeOwned>(&self, url: &str) -> Option<T> {
+    pub async fn get_json<T: DeserializeOwned>(&self, url: &str) -> Option<T> {
         let mut answer = self.client.get(url).send().await.ok()?;
         let body = answer.body().limit(ANSWER_BYTES_MAX).await.ok()?;
         serde_json::from_slice(&body).ok()
     }
 
     /// Puts JSON, which must be accepted.
-    pub async fn put<Q: Serialize>(&self, url: &str, body: &Q) {
+    pub async fn put_json<Q: Serialize>(&self, url: &str, body: &Q) {
         let answer = self.client.put(url).send_json(body).await.expect("put");
         assert!(answer.status().is_success(), "{url} refused with {}", answer.status());
     }
@@ -86,7 +86,7 @@
     }
 }
 
-async fn read<S>(mut answer: awc::ClientResponse<S>) -> Answer
+async fn read<S>(mut answer: awc::ClientResponse<S>) -> HttpAnswer
 where
     S: futures_util::Stream<Item = Result<bytes::Bytes, awc::error::PayloadError>>,
 {
@@ -94,7 +94,7 @@
     let headers = headers.map(|(name, value)| (name.to_string(), value.to_str().unwrap_or("").to_owned())).collect();
     let status = answer.status().as_u16();
     match answer.body().limit(ANSWER_BYTES_MAX).await {
-        Ok(body) => Answer { status, headers, body: String::from_utf8_lossy(&body).into_owned() },
-        Err(error) => Answer { status: 0, headers, body: error.to_string() },
+        Ok(body) => HttpAnswer { status, headers, body: String::from_utf8_lossy(&body).into_owned() },
+        Err(error) => HttpAnswer { status: 0, headers, body: error.to_string() },
     }
 }
--- a/crates/cli/tests/processes/support/mod.rs
+++ b/crates/cli/tests/processes/support/mod.rs
@@ -1,14 +1,14 @@
 //! Runs the real binaries as separate processes.
 
 mod child_process;
-mod fleet;
+mod daemon_site;
+mod edge_site;
 mod http_client;
-mod site;
 
-pub use child_process::{ChildProcess, Workdir, cli};
-pub use fleet::{Fleet, KEY, OTHER_KEY, item, submission};
-pub use http_client::{Answer, HttpClient};
-pub use site::{OPERATOR_KEY, Site, SiteShape};
+pub use child_process::{ChildProcess, Workdir, run_cli};
+pub use daemon_site::{DaemonSite, OPERATOR_KEY, SiteOptions};
+pub use edge_site::{EdgeSite, ROSE_KEY, TRAY_KEY, job_item, job_submission};
+pub use http_client::{HttpAnswer, HttpClient};
 
 use std::{future::Future, time::Duration};
 
