--- a/crates/cli/benches/site/capacity.rs
+++ b/crates/cli/benches/site/capacity.rs
@@ -1,9 +1,15 @@
 //! Slopes for the capacity page.
 
-use crate::{probe::{cpu_seconds, fit, histogram, metric, quantile_ms, record, resident_bytes, spread}, support::{DaemonSite, SiteOptions}};
+use crate::{
+    probe::{cpu_seconds, fit, histogram, metric, quantile_ms, record, resident_bytes, spread},
+    support::{DaemonSite, SiteOptions},
+};
 use futures_util::StreamExt;
 use pimentoslip_kernel::KeySecret;
-use pimentoslip_wire::{admin::{ChangeResponse, KeyRequest}, provider::{VmRole, VmState}};
+use pimentoslip_wire::{
+    admin::{ChangeResponse, KeyRequest},
+    provider::{VmRole, VmState},
+};
 use std::time::{Duration, Instant};
 
 const DOMAINS: [&str; 3] = ["a", "b", "c"];
--- a/crates/cli/benches/site/training.rs
+++ b/crates/cli/benches/site/training.rs
@@ -1,6 +1,9 @@
 //! What trainers see: idle time, staleness, wasted tokens.
 
-use crate::{probe::{metric, spread}, support::{DaemonSite, SiteOptions}};
+use crate::{
+    probe::{metric, spread},
+    support::{DaemonSite, SiteOptions},
+};
 use pimentoslip_kernel::{FetchCursor, KeySecret};
 use pimentoslip_wire::caller::{FetchRequest, FetchResponse, OpenRequest, PublishRequest};
 use std::time::{Duration, Instant};
--- a/crates/cli/src/demo/demo_site.rs
+++ b/crates/cli/src/demo/demo_site.rs
@@ -2,7 +2,10 @@
 
 use crate::{CliResult, admin_client::AdminClient};
 use pimentoslip_daemon::{DaemonSettings, RunningDaemon, command, start};
-use pimentoslip_standin::{EngineSettings, OrderSettings, RunningStandin, start_engine, start_kv, start_orders, start_plain, start_usage, start_vms};
+use pimentoslip_standin::{
+    EngineSettings, OrderSettings, RunningStandin, start_engine, start_kv, start_orders, start_plain, start_usage,
+    start_vms,
+};
 use pimentoslip_wire::provider::{VmEntry, VmRole, VmState};
 use std::net::SocketAddr;
 
--- a/crates/cli/tests/processes/path.rs
+++ b/crates/cli/tests/processes/path.rs
@@ -104,7 +104,8 @@
 
 async fn usage_window_is_reported(site: &DaemonSite) {
     let reports = wait_for("usage of the organisation is reported", || async {
-        let log: Vec<RecordedUsageReport> = site.http.get_json(&format!("http://{}/standin/reports", site.usage_address)).await?;
+        let log: Vec<RecordedUsageReport> =
+            site.http.get_json(&format!("http://{}/standin/reports", site.usage_address)).await?;
         log.iter().any(|entry| entry.body.contains("velorio")).then_some(log)
     });
     for report in reports.await {
@@ -122,7 +123,8 @@
     };
     site.http.put_json(&format!("http://{}/standin/spares", site.orders_address), &spare).await;
     let order = wait_for("the upstream is started by an order", || async {
-        let log: Vec<RecordedOrder> = site.http.get_json(&format!("http://{}/standin/orders", site.orders_address)).await?;
+        let log: Vec<RecordedOrder> =
+            site.http.get_json(&format!("http://{}/standin/orders", site.orders_address)).await?;
         log.into_iter().find(|entry| entry.vm.as_deref() == Some("cards-1"))
     });
     assert!(order.await.request.fencing > 0);
--- a/crates/cli/tests/processes/platform_path.rs
+++ b/crates/cli/tests/processes/platform_path.rs
@@ -13,7 +13,8 @@
         assert_eq!((reply.status, reply.body.as_str()), (200, format!("answer to {id}").as_str()));
         assert_eq!(reply.header("server-signature"), format!("signed {id}"));
         assert_eq!(reply.header("request-id"), id);
-        let seen: Vec<_> = site.desks.iter().flat_map(|desk| desk.recorded_calls()).filter(|call| call.id == id).collect();
+        let seen: Vec<_> =
+            site.desks.iter().flat_map(|desk| desk.recorded_calls()).filter(|call| call.id == id).collect();
         assert_eq!(seen.len(), 1);
         assert_eq!((seen[0].organisation.as_str(), seen[0].has_key), ("rose", false));
         assert_eq!((seen[0].path.as_str(), seen[0].body.as_slice()), ("/quote/roses", &b"how much"[..]));
--- a/crates/cli/tests/processes/samples.rs
+++ b/crates/cli/tests/processes/samples.rs
@@ -202,7 +202,8 @@
     trainer.fetch(&site, 0, &key, 64).await;
     assert!(trainer.samples.is_empty(), "nothing of unknown version is delivered");
     for engine in 0..2 {
-        site.set_engine_fault(engine, EngineFault { cut_streams: 5, wrong_request_ids: 2, ..EngineFault::default() }).await;
+        site.set_engine_fault(engine, EngineFault { cut_streams: 5, wrong_request_ids: 2, ..EngineFault::default() })
+            .await;
     }
     trainer.fetch_all(&site, &[1], &key, 64).await;
     assert_eq!(trainer.samples.len(), SAMPLES);
--- a/crates/daemon/src/http/admin_api.rs
+++ b/crates/daemon/src/http/admin_api.rs
@@ -1,12 +1,18 @@
 //! Administration API for operators.
 
 use super::WorkerState;
-use crate::{config_writer::{ConfigWriter, WriteError}, step::ListStepsMessage, task::push_records};
+use crate::{
+    config_writer::{ConfigWriter, WriteError},
+    step::ListStepsMessage,
+    task::push_records,
+};
 use actix_web::{HttpResponse, web};
 use pimentoslip_client::KeyValueClient;
 use pimentoslip_kernel::{ConfigRecord, MemberState, RecordEntry, RecordName, SharedName};
 use pimentoslip_telemetry::LogLine;
-use pimentoslip_wire::admin::{ApplyRequest, ChangeResponse, ConfigResponse, DaemonStatus, DutyStatus, RecordBody, StatusResponse, UpstreamStatus};
+use pimentoslip_wire::admin::{
+    ApplyRequest, ChangeResponse, ConfigResponse, DaemonStatus, DutyStatus, RecordBody, StatusResponse, UpstreamStatus,
+};
 use std::{
     sync::{PoisonError, atomic::Ordering},
     time::Duration,
--- a/crates/daemon/src/http/engine_api.rs
+++ b/crates/daemon/src/http/engine_api.rs
@@ -1,7 +1,17 @@
 //! OpenAI-compatible API for calls to model engines.
 
-use super::{WorkerState, caller_auth::{CallerIdentity, authenticate, check_misplaced_key, idempotency_key, request_deadline}, request_body::read_body};
-use crate::{admission_controller::{AdmissionController, AdmissionGuard, AdmissionRequest}, api_error::{ApiError, Result}, request_id::RequestId, shared_state::InflightGuard, upstream::{StreamBody, StreamContext, UpstreamRequest, UpstreamResponse, dispatch}};
+use super::{
+    WorkerState,
+    caller_auth::{CallerIdentity, authenticate, check_misplaced_key, idempotency_key, request_deadline},
+    request_body::read_body,
+};
+use crate::{
+    admission_controller::{AdmissionController, AdmissionGuard, AdmissionRequest},
+    api_error::{ApiError, Result},
+    request_id::RequestId,
+    shared_state::InflightGuard,
+    upstream::{StreamBody, StreamContext, UpstreamRequest, UpstreamResponse, dispatch},
+};
 use actix_web::{HttpRequest, HttpResponse, http::header::CONTENT_TYPE, web};
 use bytes::Bytes;
 use futures_util::Stream;
--- a/crates/daemon/src/http/peer_api.rs
+++ b/crates/daemon/src/http/peer_api.rs
@@ -8,7 +8,10 @@
 use actix_web::{HttpResponse, web};
 use bytes::Bytes;
 use pimentoslip_telemetry::LogLine;
-use pimentoslip_wire::{decode, encode, peer::{ClaimRequest, ClaimResponse, ExchangeRequest, ForwardRequest, SettleRequest, TotalsLine, TotalsResponse}};
+use pimentoslip_wire::{
+    decode, encode,
+    peer::{ClaimRequest, ClaimResponse, ExchangeRequest, ForwardRequest, SettleRequest, TotalsLine, TotalsResponse},
+};
 use serde::Serialize;
 use std::sync::atomic::Ordering;
 
--- a/crates/daemon/src/http/plain_api.rs
+++ b/crates/daemon/src/http/plain_api.rs
@@ -1,7 +1,16 @@
 //! Forwards calls to plain HTTP services, under a claim if the caller sends an idempotency key.
 
-use super::{WorkerState, caller_auth::{CallerIdentity, authenticate, check_misplaced_key, idempotency_key, request_deadline}, request_body::read_body};
-use crate::{api_error::{ApiError, Result}, claim::ClaimGrant, request_id::RequestId, upstream::{UpstreamRequest, dispatch}};
+use super::{
+    WorkerState,
+    caller_auth::{CallerIdentity, authenticate, check_misplaced_key, idempotency_key, request_deadline},
+    request_body::read_body,
+};
+use crate::{
+    api_error::{ApiError, Result},
+    claim::ClaimGrant,
+    request_id::RequestId,
+    upstream::{UpstreamRequest, dispatch},
+};
 use actix_web::{
     HttpRequest, HttpResponse,
     http::{
@@ -12,7 +21,10 @@
 };
 use bytes::Bytes;
 use pimentoslip_kernel::{RefusalReason, RequestClass, RunState, ServiceConfig, ServiceKind, SharedName, fingerprint};
-use pimentoslip_wire::{REPLAYED_HEADER, REQUEST_ID_HEADER, peer::{SettleState, StoredResponse}};
+use pimentoslip_wire::{
+    REPLAYED_HEADER, REQUEST_ID_HEADER,
+    peer::{SettleState, StoredResponse},
+};
 
 /// Priority sent to the upstream with each request.
 const PLAIN_PRIORITY: u32 = 50;
--- a/crates/daemon/src/http/worker_state.rs
+++ b/crates/daemon/src/http/worker_state.rs
@@ -1,6 +1,13 @@
 //! State and clients of one thread that serves requests.
 
-use crate::{api_error::Result, claim::{ClaimActor, ClaimClient}, peer_client::PeerClient, request_id::RequestId, shared_state::SharedState, step::{StepActor, StepClient}};
+use crate::{
+    api_error::Result,
+    claim::{ClaimActor, ClaimClient},
+    peer_client::PeerClient,
+    request_id::RequestId,
+    shared_state::SharedState,
+    step::{StepActor, StepClient},
+};
 use actix::Addr;
 use actix_web::HttpResponse;
 use awc::Client;
--- a/crates/daemon/src/step/step_actor.rs
+++ b/crates/daemon/src/step/step_actor.rs
@@ -1,6 +1,10 @@
 //! Runs the samples of the steps that this daemon owns, and delivers them to the trainers.
 
-use super::{sample_attempt::{SampleAttempt, SampleError}, step_key, step_state::{StepState, WaitingFetch}};
+use super::{
+    sample_attempt::{SampleAttempt, SampleError},
+    step_key,
+    step_state::{StepState, WaitingFetch},
+};
 use crate::shared_state::SharedState;
 use actix::{Actor, AsyncContext, Context, Handler, Message, MessageResult, ResponseFuture};
 use actix_rt::task::JoinHandle;
@@ -8,7 +12,10 @@
 use pimentoslip_client::plain_client;
 use pimentoslip_kernel::{DispatchOrder, RefusalReason, SampleResult, SharedName, StepSpec, TimePoint};
 use pimentoslip_telemetry::LogLine;
-use pimentoslip_wire::{admin::StepStatus, caller::{FetchRequest, FetchResponse, OpenRequest, OpenResponse}};
+use pimentoslip_wire::{
+    admin::StepStatus,
+    caller::{FetchRequest, FetchResponse, OpenRequest, OpenResponse},
+};
 use std::{
     collections::{BTreeMap, HashMap},
     sync::Arc,
--- a/crates/daemon/src/step/step_client.rs
+++ b/crates/daemon/src/step/step_client.rs
@@ -10,7 +10,10 @@
 use actix::Addr;
 use pimentoslip_kernel::{RefusalReason, RunState, SharedName};
 use pimentoslip_telemetry::LogLine;
-use pimentoslip_wire::{caller::{FetchRequest, FetchResponse, OpenRequest, OpenResponse, Refusal}, peer::{ForwardRequest, ForwardResponse}};
+use pimentoslip_wire::{
+    caller::{FetchRequest, FetchResponse, OpenRequest, OpenResponse, Refusal},
+    peer::{ForwardRequest, ForwardResponse},
+};
 use std::sync::Arc;
 
 /// Timeout of a forwarded call, in addition to the time for which the call itself may wait.
@@ -64,7 +67,11 @@
             ForwardRequest::Fetch { organisation, request_id, fetch } => {
                 LogLine::new("step_fetch").field("request_id", &request_id).info();
                 let outcome = self.actor.send(FetchSamplesMessage { organisation, fetch }).await;
-                forward_answer(outcome.unwrap_or(Err(RefusalReason::StepUnknown)), &request_id, ForwardResponse::Fetched)
+                forward_answer(
+                    outcome.unwrap_or(Err(RefusalReason::StepUnknown)),
+                    &request_id,
+                    ForwardResponse::Fetched,
+                )
             }
         }
     }
--- a/crates/daemon/src/task/exchange_task.rs
+++ b/crates/daemon/src/task/exchange_task.rs
@@ -11,7 +11,11 @@
 use pimentoslip_client::{EtcdClient, KeyValueClient};
 use pimentoslip_kernel::{MemberEntry, RecordEntry, RecordName, SharedName, TimePoint};
 use pimentoslip_telemetry::LogLine;
-use pimentoslip_wire::{decode, encode, kv::KeyValue, peer::{ExchangeRequest, ExchangeResponse, MemberBody}};
+use pimentoslip_wire::{
+    decode, encode,
+    kv::KeyValue,
+    peer::{ExchangeRequest, ExchangeResponse, MemberBody},
+};
 use std::{
     collections::BTreeMap,
     sync::{Arc, PoisonError},
--- a/crates/daemon/src/task/order_sender.rs
+++ b/crates/daemon/src/task/order_sender.rs
@@ -5,7 +5,10 @@
 use pimentoslip_client::{KeyValueClient, PlatformError, ProviderClient, Result};
 use pimentoslip_kernel::{SharedName, TimePoint};
 use pimentoslip_telemetry::LogLine;
-use pimentoslip_wire::{kv::TxnRequest, provider::{OrderRequest, OrderResponse, OrderState}};
+use pimentoslip_wire::{
+    kv::TxnRequest,
+    provider::{OrderRequest, OrderResponse, OrderState},
+};
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, sync::Arc};
 
--- a/crates/daemon/src/upstream/stream_body.rs
+++ b/crates/daemon/src/upstream/stream_body.rs
@@ -1,7 +1,12 @@
 //! Passes a streamed response from an upstream to the caller.
 
 use super::UpstreamGuard;
-use crate::{admission_controller::AdmissionGuard, api_error::ApiError, request_id::RequestId, shared_state::{InflightGuard, SharedState}};
+use crate::{
+    admission_controller::AdmissionGuard,
+    api_error::ApiError,
+    request_id::RequestId,
+    shared_state::{InflightGuard, SharedState},
+};
 use actix_rt::time::Sleep;
 use bytes::Bytes;
 use futures_util::Stream;
--- a/crates/edge/src/http/peer_api.rs
+++ b/crates/edge/src/http/peer_api.rs
@@ -9,7 +9,10 @@
 use pimentoslip_kernel::OwnerRecord;
 use pimentoslip_platform::{StoreError, decode_submission};
 use pimentoslip_telemetry::LogLine;
-use pimentoslip_wire::{CodecError, decode, encode, peer::{ChangesRequest, ItemRequest, JobPush, ResultsRequest, RunReport, UsagePush}};
+use pimentoslip_wire::{
+    CodecError, decode, encode,
+    peer::{ChangesRequest, ItemRequest, JobPush, ResultsRequest, RunReport, UsagePush},
+};
 use serde::Serialize;
 use std::sync::Arc;
 
--- a/crates/edge/src/store/operator_keys.rs
+++ b/crates/edge/src/store/operator_keys.rs
@@ -4,7 +4,10 @@
 use super::PrefixHandler;
 use crate::edge_state::EdgeState;
 use pimentoslip_kernel::TimePoint;
-use pimentoslip_platform::{CONFIG_KEY, OPERATOR_PREFIX, RangePage, StoreChange, StoreEntry, decode_config, decode_named_version, retired_vm, versioned_model};
+use pimentoslip_platform::{
+    CONFIG_KEY, OPERATOR_PREFIX, RangePage, StoreChange, StoreEntry, decode_config, decode_named_version, retired_vm,
+    versioned_model,
+};
 use pimentoslip_telemetry::LogLine;
 use std::sync::Arc;
 
--- a/crates/edge/src/store/store_access.rs
+++ b/crates/edge/src/store/store_access.rs
@@ -2,7 +2,9 @@
 
 use crate::edge_state::EdgeState;
 use pimentoslip_kernel::{ServicePath, SharedName, TimePoint, rank};
-use pimentoslip_platform::{CommitOutcome, RangePage, Result, StoreClient, StoreCommit, StoreEntry, StoreError, WatchBatch};
+use pimentoslip_platform::{
+    CommitOutcome, RangePage, Result, StoreClient, StoreCommit, StoreEntry, StoreError, WatchBatch,
+};
 use pimentoslip_telemetry::LogLine;
 use std::{cell::RefCell, collections::HashMap, net::SocketAddr, rc::Rc, sync::Arc};
 
