--- a/crates/cli/benches/site/capacity.rs
+++ b/crates/cli/benches/site/capacity.rs
@@ -89,10 +89,10 @@
     for count in [0_usize, 200, 400, 800] {
         while made < count {
             let request = KeyRequest {
-                change: format!("bench-{made}").into(),
+                change_id: format!("bench-{made}").into(),
                 organisation: "velorio".into(),
-                key: format!("benchkey{made:04}").into(),
-                hash: Some(format!("{made:064}")),
+                key_id: format!("benchkey{made:04}").into(),
+                key_hash: Some(format!("{made:064}")),
             };
             site.admin_post(0, "keys/create", &request).await;
             made += 1;
@@ -168,10 +168,10 @@
         let mut pending = 0;
         for change in 0..200 {
             let request = KeyRequest {
-                change: format!("bench-{change}").into(),
+                change_id: format!("bench-{change}").into(),
                 organisation: "velorio".into(),
-                key: format!("benchkey{:04}", change % 20).into(),
-                hash: Some(format!("{change:064}")),
+                key_id: format!("benchkey{:04}", change % 20).into(),
+                key_hash: Some(format!("{change:064}")),
             };
             let began = Instant::now();
             let answer = site.admin_post(change % count, "keys/create", &request).await;
--- a/crates/cli/benches/site/service.rs
+++ b/crates/cli/benches/site/service.rs
@@ -222,10 +222,10 @@
 async fn other_key(site: &Site, organisation: &str) -> KeySecret {
     let secret = KeySecret::generate(&mut ChaCha8Rng::seed_from_u64(99));
     let request = KeyRequest {
-        change: "other".into(),
+        change_id: "other".into(),
         organisation: organisation.into(),
-        key: secret.id.clone(),
-        hash: Some(secret.hash()),
+        key_id: secret.id.clone(),
+        key_hash: Some(secret.hash()),
     };
     assert_eq!(site.admin_post(0, "keys/create", &request).await.status, 200);
     secret
--- a/crates/cli/benches/site/training.rs
+++ b/crates/cli/benches/site/training.rs
@@ -103,13 +103,19 @@
 async fn fetch_all(site: &Site, key: &KeySecret, step: u64, published: u64, staleness: &mut Vec<u64>) {
     let mut cursor = FetchCursor::default();
     loop {
-        let fetch =
-            FetchRequest { trainer: "menus".into(), step, cursor: cursor.clone(), published, max: 256, wait_ms: 5_000 };
+        let fetch = FetchRequest {
+            trainer: "menus".into(),
+            step,
+            cursor: cursor.clone(),
+            published_version: published,
+            samples_max: 256,
+            wait_ms: 5_000,
+        };
         let answer = site.call(0, "POST", "/v1/steps/fetch", key, &[], &fetch).await;
         assert_eq!(answer.status, 200, "{answer:?}");
         let answer: FetchResponse = answer.json();
         for sample in &answer.samples {
-            cursor.insert(sample.sample);
+            cursor.insert(sample.position);
             let oldest = sample.segments.iter().map(|segment| segment.version).min().expect("a segment");
             staleness.push(published.saturating_sub(oldest));
         }
--- a/crates/cli/src/cmd/apply.rs
+++ b/crates/cli/src/cmd/apply.rs
@@ -32,7 +32,7 @@
     let args = Args::from(args);
     let records = args.files.read()?.records();
     let records = records.into_iter().map(|(name, record)| RecordBody { name, revision: 0, record }).collect();
-    let request = ApplyRequest { change: args.change, records };
+    let request = ApplyRequest { change_id: args.change, records };
     let answer: ChangeResponse = util::block_on(async { args.config.open().post("apply", &request).await })?;
     report_change(&answer, args.json)
 }
@@ -42,7 +42,7 @@
     if json {
         util::print_json(answer)?;
     } else {
-        println!("on record: revision {}, {} records changed", answer.revision, answer.changed);
+        println!("on record: revision {}, {} records changed", answer.revision, answer.changed_count);
         println!("confirmed by: {}", answer.confirmed.join(", "));
     }
     if answer.accepted {
--- a/crates/cli/src/cmd/key.rs
+++ b/crates/cli/src/cmd/key.rs
@@ -42,10 +42,10 @@
 async fn create(client: &AdminClient, organisation: &str, json: bool) -> CliResult<()> {
     let secret = KeySecret::generate(&mut rand::rng());
     let request = KeyRequest {
-        change: util::change_id(),
+        change_id: util::change_id(),
         organisation: organisation.into(),
-        key: secret.id.clone(),
-        hash: Some(secret.hash()),
+        key_id: secret.id.clone(),
+        key_hash: Some(secret.hash()),
     };
     let answer: ChangeResponse = client.post("keys/create", &request).await?;
     let created = KeyCreateResponse {
@@ -69,8 +69,12 @@
 }
 
 async fn withdraw(client: &AdminClient, organisation: &str, key: &str, json: bool) -> CliResult<()> {
-    let request =
-        KeyRequest { change: util::change_id(), organisation: organisation.into(), key: key.into(), hash: None };
+    let request = KeyRequest {
+        change_id: util::change_id(),
+        organisation: organisation.into(),
+        key_id: key.into(),
+        key_hash: None,
+    };
     let answer: ChangeResponse = client.post("keys/withdraw", &request).await?;
     report_change(&answer, json)
 }
@@ -85,7 +89,7 @@
         .iter()
         .map(|key| {
             let state = if key.withdrawn { "withdrawn" } else { "holds" };
-            vec![key.organisation.to_string(), key.key.to_string(), state.to_owned()]
+            vec![key.organisation.to_string(), key.key_id.to_string(), state.to_owned()]
         })
         .collect();
     util::print_table(&["organisation", "key", "state"], &rows);
--- a/crates/cli/src/cmd/status.rs
+++ b/crates/cli/src/cmd/status.rs
@@ -19,7 +19,7 @@
         "daemon {}: revision {}, {}{}",
         status.daemon,
         status.revision,
-        if status.fresh { "configuration confirmed" } else { "configuration not confirmed" },
+        if status.keys_trusted { "configuration confirmed" } else { "configuration not confirmed" },
         if status.draining { ", draining" } else { "" }
     );
     println!(
--- a/crates/cli/src/demo/scenes.rs
+++ b/crates/cli/src/demo/scenes.rs
@@ -76,24 +76,24 @@
     println!("An operator applies a base file with the site's overlay, and creates a key.");
     let file = ConfigFile::parse(("demo-base.toml", BASE), Some(("demo-overlay.toml", OVERLAY)))?;
     let records = file.records().into_iter().map(|(name, record)| RecordBody { name, revision: 0, record }).collect();
-    let request = ApplyRequest { change: util::change_id(), records };
+    let request = ApplyRequest { change_id: util::change_id(), records };
     let answer: ChangeResponse = site.admin(0).post("apply", &request).await?;
     check.expect(
-        answer.changed >= 3,
-        format!("{} records are in force at revision {}", answer.changed, answer.revision),
+        answer.changed_count >= 3,
+        format!("{} records are in force at revision {}", answer.changed_count, answer.revision),
     );
     let secret = KeySecret::generate(&mut rand::rng());
     let request = KeyRequest {
-        change: util::change_id(),
+        change_id: util::change_id(),
         organisation: "velorio".into(),
-        key: secret.id.clone(),
-        hash: Some(secret.hash()),
+        key_id: secret.id.clone(),
+        key_hash: Some(secret.hash()),
     };
     let answer: ChangeResponse = site.admin(1).post("keys/create", &request).await?;
     let ready = wait_for(|| async {
         for at in 0..site.daemons.len() {
             let status: StatusResponse = site.admin(at).get("status").await.ok()?;
-            (status.fresh && status.revision >= answer.revision && status.upstreams.len() >= 3).then_some(())?;
+            (status.keys_trusted && status.revision >= answer.revision && status.upstreams.len() >= 3).then_some(())?;
         }
         Some(())
     });
@@ -166,15 +166,15 @@
             trainer: "menus".into(),
             step: 1,
             cursor: cursor.clone(),
-            published: 2,
-            max: 16,
+            published_version: 2,
+            samples_max: 16,
             wait_ms: 2_000,
         };
         let (_, _, bytes) = post(site, turn % 3, "/v1/steps/fetch", key, &fetch, &[]).await?;
         let Ok(answer) = serde_json::from_slice::<FetchResponse>(&bytes) else { continue };
         for sample in &answer.samples {
-            doubled += usize::from(cursor.contains(sample.sample));
-            cursor.insert(sample.sample);
+            doubled += usize::from(cursor.contains(sample.position));
+            cursor.insert(sample.position);
             versions.extend(sample.segments.iter().map(|segment| segment.version));
         }
         if answer.complete {
@@ -202,7 +202,7 @@
         log.into_iter().find(|entry| entry.vm.as_deref() == Some("engine-2"))
     });
     let done = done.await;
-    let text = done.as_ref().map_or_else(String::new, |entry| format!("order {}", entry.request.order));
+    let text = done.as_ref().map_or_else(String::new, |entry| format!("order {}", entry.request.order_id));
     check.expect(done.is_some(), format!("the upstream was started by {text}"));
     Ok(())
 }
@@ -224,8 +224,12 @@
 
 async fn withdrawal(site: &DemoSite, key: &KeySecret, check: &mut DemoCheck) -> CliResult<()> {
     println!("The operator withdraws the key.");
-    let request =
-        KeyRequest { change: util::change_id(), organisation: "velorio".into(), key: key.id.clone(), hash: None };
+    let request = KeyRequest {
+        change_id: util::change_id(),
+        organisation: "velorio".into(),
+        key_id: key.id.clone(),
+        key_hash: None,
+    };
     let _: ChangeResponse = site.admin(2).post("keys/withdraw", &request).await?;
     let body = serde_json::json!({ "model": "drafts", "messages": [] });
     for at in 0..site.daemons.len() {
--- a/crates/cli/tests/processes/configuration.rs
+++ b/crates/cli/tests/processes/configuration.rs
@@ -162,10 +162,10 @@
     site.kv_fault(KvFault { slow_ms: 5, lose_answers: 3, ..KvFault::default() }).await;
     let requests: Vec<KeyRequest> = (0..9)
         .map(|number| KeyRequest {
-            change: format!("race-{number}").into(),
+            change_id: format!("race-{number}").into(),
             organisation: if number % 3 == 0 { "rose" } else { "velorio" }.into(),
-            key: format!("racekey{number:05}").into(),
-            hash: Some("0".repeat(64)),
+            key_id: format!("racekey{number:05}").into(),
+            key_hash: Some("0".repeat(64)),
         })
         .collect();
     let (site, requests) = (&site, &requests);
@@ -182,7 +182,7 @@
         let list: KeyListResponse = site.admin_get(at, "keys").await.expect("keys");
         for request in requests {
             let found =
-                list.keys.iter().filter(|key| key.key == request.key && key.organisation == request.organisation);
+                list.keys.iter().filter(|key| key.key_id == request.key_id && key.organisation == request.organisation);
             assert_eq!(found.count(), 1, "{request:?} at daemon {at}");
         }
     }
@@ -196,7 +196,7 @@
     let secret = site.create_key(0, 7).await;
     assert_eq!(call(&site, 2, &secret).await.status, 200);
     let list: KeyListResponse = site.admin_get(1, "keys").await.expect("keys");
-    assert_eq!(list.keys.iter().filter(|key| key.key == secret.id).count(), 1);
+    assert_eq!(list.keys.iter().filter(|key| key.key_id == secret.id).count(), 1);
     assert!(site.status(0).await.expect("status").revision > before);
 }
 
--- a/crates/cli/tests/processes/hostile.rs
+++ b/crates/cli/tests/processes/hostile.rs
@@ -106,10 +106,10 @@
         KeySecret::generate(&mut rand_chacha::ChaCha8Rng::seed_from_u64(77))
     };
     let request = pimentoslip_wire::admin::KeyRequest {
-        change: "rose".into(),
+        change_id: "rose".into(),
         organisation: "rose".into(),
-        key: secret.id.clone(),
-        hash: Some(secret.hash()),
+        key_id: secret.id.clone(),
+        key_hash: Some(secret.hash()),
     };
     assert_eq!(site.admin_post(0, "keys/create", &request).await.status, 200);
     let body = serde_json::json!({ "model": "drafts", "messages": [] });
--- a/crates/cli/tests/processes/path.rs
+++ b/crates/cli/tests/processes/path.rs
@@ -80,17 +80,17 @@
             trainer: "menus".into(),
             step: 7,
             cursor: cursor.clone(),
-            published: 2,
-            max: 5,
+            published_version: 2,
+            samples_max: 5,
             wait_ms: 2_000,
         };
         let answer = site.call(turn % 3, "POST", "/v1/steps/fetch", key, &[], &fetch).await;
         assert_eq!(answer.status, 200, "{answer:?}");
         let answer: FetchResponse = answer.json();
         for sample in &answer.samples {
-            assert!(!cursor.contains(sample.sample), "sample {} came twice", sample.sample);
+            assert!(!cursor.contains(sample.position), "sample {} came twice", sample.position);
             assert_eq!(sample.segments[0].start, 0);
-            cursor.insert(sample.sample);
+            cursor.insert(sample.position);
             versions.extend(sample.segments.iter().map(|segment| segment.version));
         }
         if answer.complete {
--- a/crates/cli/tests/processes/samples.rs
+++ b/crates/cli/tests/processes/samples.rs
@@ -43,8 +43,8 @@
             trainer: "menus".into(),
             step: self.step,
             cursor: self.cursor.clone(),
-            published: self.published,
-            max,
+            published_version: self.published,
+            samples_max: max,
             wait_ms: 500,
         };
         let answer = site.call(at, "POST", "/v1/steps/fetch", key, &[], &fetch).await;
@@ -56,8 +56,8 @@
         }
         let answer: FetchResponse = answer.json();
         for sample in answer.samples {
-            assert!(!self.cursor.contains(sample.sample), "sample {} came twice", sample.sample);
-            self.cursor.insert(sample.sample);
+            assert!(!self.cursor.contains(sample.position), "sample {} came twice", sample.position);
+            self.cursor.insert(sample.position);
             self.samples.push(sample);
         }
         answer.complete
--- a/crates/cli/tests/processes/support/site.rs
+++ b/crates/cli/tests/processes/support/site.rs
@@ -262,7 +262,7 @@
                 let status = self.status(at).await?;
                 let known = status.daemons.iter().filter(|daemon| daemon.state == "alive").count();
                 let upstreams = status.upstreams.iter().filter(|upstream| upstream.state == "live").count();
-                let ready = status.fresh && status.revision > 0;
+                let ready = status.keys_trusted && status.revision > 0;
                 (ready && known == self.daemons.len() && upstreams > self.engines.len()).then_some(())?;
             }
             Some(())
@@ -295,10 +295,10 @@
         use rand::SeedableRng;
         let secret = KeySecret::generate(&mut rand_chacha::ChaCha8Rng::seed_from_u64(seed));
         let request = KeyRequest {
-            change: format!("create-{seed}").into(),
+            change_id: format!("create-{seed}").into(),
             organisation: KEY_ORGANISATION.into(),
-            key: secret.id.clone(),
-            hash: Some(secret.hash()),
+            key_id: secret.id.clone(),
+            key_hash: Some(secret.hash()),
         };
         let answer = self.admin_post(at, "keys/create", &request).await;
         assert_eq!(answer.status, 200, "{answer:?}");
@@ -316,10 +316,10 @@
     /// Withdraws a key through daemon `at`.
     pub async fn withdraw_key(&self, at: usize, secret: &KeySecret) -> Answer {
         let request = KeyRequest {
-            change: format!("withdraw-{}", secret.id).into(),
+            change_id: format!("withdraw-{}", secret.id).into(),
             organisation: KEY_ORGANISATION.into(),
-            key: secret.id.clone(),
-            hash: None,
+            key_id: secret.id.clone(),
+            key_hash: None,
         };
         self.admin_post(at, "keys/withdraw", &request).await
     }
--- a/crates/client/src/call_timeout.rs
+++ b/crates/client/src/call_timeout.rs
@@ -12,5 +12,5 @@
     /// Calls to the ordering, usage and list interfaces.
     pub const PROVIDER: Duration = Duration::from_millis(1_500);
     /// Unacknowledged bytes on an order's connection are given up after this; shorter than the lease guard.
-    pub const USER: Duration = Duration::from_millis(1_500);
+    pub const TCP_USER: Duration = Duration::from_millis(1_500);
 }
--- a/crates/client/src/etcd_client.rs
+++ b/crates/client/src/etcd_client.rs
@@ -77,21 +77,21 @@
         self.call("/v3/kv/txn", txn).await
     }
 
-    async fn grant(&self, ttl_ms: u64) -> Result<u64> {
+    async fn grant_lease(&self, ttl_ms: u64) -> Result<u64> {
         let question = LeaseGrantRequest { ttl_seconds: ttl_ms.div_ceil(MS_PER_SECOND) };
         let granted: LeaseGrantResponse = self.call("/v3/lease/grant", &question).await?;
         Ok(granted.id)
     }
 
-    async fn keep_alive(&self, lease: u64) -> Result<()> {
+    async fn renew_lease(&self, lease: u64) -> Result<()> {
         let answer: KeepAliveResponse = self.call("/v3/lease/keepalive", &LeaseId { id: lease }).await?;
         if answer.result.ttl_seconds == 0 {
-            return Err(PlatformError::LeaseGone);
+            return Err(PlatformError::LeaseNotFound);
         }
         Ok(())
     }
 
-    async fn revoke(&self, lease: u64) -> Result<()> {
+    async fn revoke_lease(&self, lease: u64) -> Result<()> {
         let _: ResponseEnvelope = self.call("/v3/lease/revoke", &LeaseId { id: lease }).await?;
         Ok(())
     }
--- a/crates/client/src/key_value_client.rs
+++ b/crates/client/src/key_value_client.rs
@@ -16,13 +16,13 @@
     fn commit(&self, txn: &TxnRequest) -> impl Future<Output = Result<TxnResponse>>;
 
     /// Grants a lease of `ttl_ms`, rounded up to whole seconds.
-    fn grant(&self, ttl_ms: u64) -> impl Future<Output = Result<u64>>;
+    fn grant_lease(&self, ttl_ms: u64) -> impl Future<Output = Result<u64>>;
 
     /// Renews a lease.
-    fn keep_alive(&self, lease: u64) -> impl Future<Output = Result<()>>;
+    fn renew_lease(&self, lease: u64) -> impl Future<Output = Result<()>>;
 
     /// Ends a lease and the keys that hang on it.
-    fn revoke(&self, lease: u64) -> impl Future<Output = Result<()>>;
+    fn revoke_lease(&self, lease: u64) -> impl Future<Output = Result<()>>;
 
     /// Waits until something below `prefix` is written at revision `since` or later, or until no
     /// answer comes in time. Counts as one call.
--- a/crates/client/src/lease_clock.rs
+++ b/crates/client/src/lease_clock.rs
@@ -39,7 +39,7 @@
 
     /// Milliseconds since boot, counting the time for which the VM was suspended.
     #[must_use]
-    pub fn steady(&self) -> TimePoint {
+    pub fn since_boot(&self) -> TimePoint {
         TimePoint(read(ClockId::CLOCK_BOOTTIME))
     }
 
--- a/crates/client/src/platform_error.rs
+++ b/crates/client/src/platform_error.rs
@@ -32,5 +32,5 @@
     },
     /// The lease that a renewal named is gone.
     #[error("the lease is gone; acquire it again")]
-    LeaseGone,
+    LeaseNotFound,
 }
--- a/crates/client/src/provider_client.rs
+++ b/crates/client/src/provider_client.rs
@@ -33,7 +33,7 @@
     pub fn new(clock: Arc<LeaseClock>, orders: Arc<str>, usage: Arc<str>, vms: Arc<str>) -> Self {
         Self {
             plain: plain_client(),
-            guarded: client_with_tcp_user_timeout(CallTimeout::USER),
+            guarded: client_with_tcp_user_timeout(CallTimeout::TCP_USER),
             clock,
             orders,
             usage,
@@ -47,9 +47,9 @@
     }
 
     /// Sends an order that must have left before `deadline`.
-    pub async fn order(&self, order: &OrderRequest, deadline: TimePoint) -> Result<OrderResponse> {
+    pub async fn send_order(&self, order: &OrderRequest, deadline: TimePoint) -> Result<OrderResponse> {
         let body = to_json(order)?;
-        let path = format!("/v1/orders/{}", order.order);
+        let path = format!("/v1/orders/{}", order.order_id);
         let (status, answer) = self.put(&self.orders, &path, order.fencing, body, deadline).await?;
         if status >= 400 && status != CONFLICT {
             return Err(PlatformError::Refused { endpoint: self.orders.to_string(), status });
@@ -58,7 +58,7 @@
     }
 
     /// What became of an order; None when it never arrived.
-    pub async fn order_state(&self, order: &str) -> Result<Option<OrderResponse>> {
+    pub async fn order_status(&self, order: &str) -> Result<Option<OrderResponse>> {
         match self.get(&self.orders, &format!("/v1/orders/{order}")).await {
             Ok(answer) => Ok(Some(answer)),
             Err(PlatformError::Refused { status: NOT_FOUND, .. }) => Ok(None),
@@ -67,7 +67,7 @@
     }
 
     /// Sends the sealed bytes of a usage window before `deadline`.
-    pub async fn report(
+    pub async fn report_usage(
         &self,
         site: &str,
         window: u64,
--- a/crates/client/tests/contract/key_value.rs
+++ b/crates/client/tests/contract/key_value.rs
@@ -64,19 +64,19 @@
 async fn a_key_ends_with_its_lease() {
     let (client, prefix) = (client(), prefix("lease"));
     let key = format!("{prefix}held");
-    let lease = client.grant(2_000).await.expect("a lease");
+    let lease = client.grant_lease(2_000).await.expect("a lease");
     let put = TxnRequest::default().expect(&key, 0).put(&key, b"x".to_vec(), lease);
     assert!(client.commit(&put).await.expect("an answer").succeeded);
-    client.keep_alive(lease).await.expect("it lives");
+    client.renew_lease(lease).await.expect("it lives");
     // However slow the machine, the key is gone at some time after the lease was last renewed.
     while !client.get(&key).await.expect("an answer").kvs.is_empty() {
         actix_rt::time::sleep(Duration::from_millis(100)).await;
     }
-    assert_eq!(client.keep_alive(lease).await, Err(PlatformError::LeaseGone));
-    let lease = client.grant(60_000).await.expect("a lease");
+    assert_eq!(client.renew_lease(lease).await, Err(PlatformError::LeaseNotFound));
+    let lease = client.grant_lease(60_000).await.expect("a lease");
     let put = TxnRequest::default().expect(&key, 0).put(&key, b"x".to_vec(), lease);
     assert!(client.commit(&put).await.expect("an answer").succeeded, "an ended key does not exist");
-    client.revoke(lease).await.expect("it ends");
+    client.revoke_lease(lease).await.expect("it ends");
     assert!(client.get(&key).await.expect("an answer").kvs.is_empty());
 }
 
--- a/crates/client/tests/contract/provider.rs
+++ b/crates/client/tests/contract/provider.rs
@@ -34,7 +34,7 @@
 
 fn order(id: &str, fencing: u64) -> OrderRequest {
     OrderRequest {
-        order: format!("{id}-{}", std::process::id()).into(),
+        order_id: format!("{id}-{}", std::process::id()).into(),
         action: OrderAction::Start,
         failure_domain: "contract".into(),
         service: "contract".into(),
@@ -48,19 +48,19 @@
 async fn an_order_repeated_under_its_id_is_the_same_order() {
     let client = fixture(false).client;
     let order = order("twice", 1);
-    assert_eq!(client.order_state(&order.order).await.expect("an answer"), None, "it never arrived");
-    let first = client.order(&order, LATER).await.expect("an answer");
-    assert_eq!(client.order(&order, LATER).await.expect("an answer"), first);
-    assert_eq!(client.order_state(&order.order).await.expect("an answer"), Some(first));
+    assert_eq!(client.order_status(&order.order_id).await.expect("an answer"), None, "it never arrived");
+    let first = client.send_order(&order, LATER).await.expect("an answer");
+    assert_eq!(client.send_order(&order, LATER).await.expect("an answer"), first);
+    assert_eq!(client.order_status(&order.order_id).await.expect("an answer"), Some(first));
 }
 
 #[actix_rt::test]
 async fn a_checking_receiver_refuses_an_older_fencing_number() {
     let client = fixture(true).client;
-    client.order(&order("new", 7), LATER).await.expect("an answer");
-    assert_eq!(client.order(&order("old", 6), LATER).await.expect("an answer").state, OrderState::Fenced);
-    client.report("contract", 1, 7, "{}".into(), LATER).await.expect("accepted");
-    client.report("contract", 2, 6, "{}".into(), LATER).await.expect_err("refused");
+    client.send_order(&order("new", 7), LATER).await.expect("an answer");
+    assert_eq!(client.send_order(&order("old", 6), LATER).await.expect("an answer").state, OrderState::Fenced);
+    client.report_usage("contract", 1, 7, "{}".into(), LATER).await.expect("accepted");
+    client.report_usage("contract", 2, 6, "{}".into(), LATER).await.expect_err("refused");
 }
 
 #[actix_rt::test]
@@ -68,13 +68,13 @@
     let fixture = fixture(false);
     let passed = fixture.clock.now();
     let late = order("late", 1);
-    fixture.client.order(&late, passed).await.expect_err("it is not sent");
+    fixture.client.send_order(&late, passed).await.expect_err("it is not sent");
     assert_eq!(
-        fixture.client.order_state(&late.order).await.expect("an answer"),
+        fixture.client.order_status(&late.order_id).await.expect("an answer"),
         None,
         "the receiver saw no whole order"
     );
-    fixture.client.report("contract", 3, 1, "{}".into(), passed).await.expect_err("it is not sent");
+    fixture.client.report_usage("contract", 3, 1, "{}".into(), passed).await.expect_err("it is not sent");
     let url = format!("http://{}/standin/reports", fixture.usage);
     if std::env::var_os("PIMENTOSLIP_CONTRACT_USAGE").is_none() {
         let mut answer = awc::Client::default().get(url).send().await.expect("an answer");
--- a/crates/daemon/src/claim/claim_actor.rs
+++ b/crates/daemon/src/claim/claim_actor.rs
@@ -68,9 +68,9 @@
         let key = ClaimKey(request.key.clone());
         let now = self.shared.now();
         let deadline = now.plus_ms(request.within_ms);
-        let response = match state.table.claim(&key, request.grant, request.fingerprint, deadline, now) {
+        let response = match state.table.claim(&key, request.grant_id, request.fingerprint, deadline, now) {
             Ok(ClaimAnswer::Queued) => {
-                self.waiting.entry((key, request.grant)).or_default().push(sender);
+                self.waiting.entry((key, request.grant_id)).or_default().push(sender);
                 self.plan_flush(context);
                 return;
             }
@@ -222,7 +222,7 @@
     type Result = MessageResult<SettleMessage>;
 
     fn handle(&mut self, message: SettleMessage, _context: &mut Context<Self>) -> Self::Result {
-        let SettleRequest { key, grant, state } = message.0;
+        let SettleRequest { key, grant_id: grant, state } = message.0;
         let table = &mut self.shards[shard_of(&key) as usize].table;
         let key = ClaimKey(key);
         match state {
--- a/crates/daemon/src/claim/claim_gate.rs
+++ b/crates/daemon/src/claim/claim_gate.rs
@@ -53,8 +53,8 @@
         within_ms: u64,
         id: &RequestId,
     ) -> Result<std::result::Result<ClaimTicket, StoredResponse>> {
-        let request = ClaimRequest { key: key.clone(), grant: self.shared.draw(), fingerprint, within_ms };
-        let ticket = ClaimTicket { key, grant: request.grant };
+        let request = ClaimRequest { key: key.clone(), grant_id: self.shared.draw(), fingerprint, within_ms };
+        let ticket = ClaimTicket { key, grant: request.grant_id };
         let refuse = |reason| Err(ApiError::not_run(reason, id));
         for _ in 0..CLAIM_ATTEMPTS {
             match self.ask(&request).await {
@@ -73,7 +73,7 @@
 
     /// Tells the owner how the request of `ticket` ended.
     pub async fn settle(&self, ticket: &ClaimTicket, state: SettleState) {
-        let request = SettleRequest { key: ticket.key.clone(), grant: ticket.grant, state };
+        let request = SettleRequest { key: ticket.key.clone(), grant_id: ticket.grant, state };
         for _ in 0..SETTLE_ATTEMPTS {
             if self.settle_once(&request).await {
                 return;
--- a/crates/daemon/src/claim/claim_store.rs
+++ b/crates/daemon/src/claim/claim_store.rs
@@ -83,7 +83,7 @@
             // Another one was faster, or the answer was lost: the record itself tells.
             Ok(_) | Err(_) => match self.owner_record(shard).await? {
                 OwnerRecord::Mine(epoch) => Ok(epoch),
-                OwnerRecord::Others(_) => Err(PlatformError::LeaseGone),
+                OwnerRecord::Others(_) => Err(PlatformError::LeaseNotFound),
             },
         }
     }
@@ -111,7 +111,7 @@
         {
             return Ok(lease);
         }
-        let lease = self.kv.grant(RETENTION_MS + LEASE_SPAN_MS).await?;
+        let lease = self.kv.grant_lease(RETENTION_MS + LEASE_SPAN_MS).await?;
         self.lease = Some((lease, now.plus_ms(LEASE_SPAN_MS)));
         Ok(lease)
     }
--- a/crates/daemon/src/http/admin_api.rs
+++ b/crates/daemon/src/http/admin_api.rs
@@ -42,7 +42,7 @@
     let (confirmed, unconfirmed) = push_until_confirmed(worker, entries).await;
     let accepted = unconfirmed.is_empty();
     LogLine::new("change").field("revision", revision).field("accepted", accepted).info();
-    let answer = ChangeResponse { accepted, revision, changed, confirmed, unconfirmed };
+    let answer = ChangeResponse { accepted, revision, changed_count: changed, confirmed, unconfirmed };
     if accepted { HttpResponse::Ok().json(answer) } else { HttpResponse::Accepted().json(answer) }
 }
 
@@ -76,7 +76,7 @@
     let mut entries = Vec::new();
     for (name, record) in wanted {
         let edit = |stored: Option<&ConfigRecord>| Ok((stored != Some(&record)).then(|| record.clone()));
-        entries.extend(writer.update(&name, &request.change, edit).await?);
+        entries.extend(writer.update(&name, &request.change_id, edit).await?);
     }
     Ok(entries)
 }
@@ -142,7 +142,7 @@
     let answer = StatusResponse {
         daemon: shared.settings.name.clone(),
         revision: config.newest_revision(),
-        fresh,
+        keys_trusted: fresh,
         draining: shared.draining.load(Ordering::SeqCst),
         daemons: daemons(&worker),
         duties: duties(&worker),
--- a/crates/daemon/src/http/key_api.rs
+++ b/crates/daemon/src/http/key_api.rs
@@ -13,7 +13,7 @@
 
 /// Handles `POST /keys/create`. The operator's tool draws the key and sends only its hash.
 pub async fn create(worker: web::Data<WorkerState>, request: web::Json<KeyRequest>) -> HttpResponse {
-    let Some(hash) = request.hash.clone().filter(|hash| hash.len() == HASH_CHARS) else {
+    let Some(hash) = request.key_hash.clone().filter(|hash| hash.len() == HASH_CHARS) else {
         return failed(&WriteError::Rejected(
             "the hash is missing or malformed; send the SHA-256 of the key".to_owned(),
         ));
@@ -28,7 +28,7 @@
         Err(error) => return failed(&error),
     }
     change(&worker, &request, |keys| {
-        keys.keys.insert(request.key.clone(), KeyEntry { hash: hash.clone(), withdrawn: false });
+        keys.keys.insert(request.key_id.clone(), KeyEntry { hash: hash.clone(), withdrawn: false });
         Ok(())
     })
     .await
@@ -36,12 +36,12 @@
 
 /// Handles `POST /keys/withdraw`.
 pub async fn withdraw(worker: web::Data<WorkerState>, request: web::Json<KeyRequest>) -> HttpResponse {
-    change(&worker, &request, |keys| match keys.keys.get_mut(&request.key) {
+    change(&worker, &request, |keys| match keys.keys.get_mut(&request.key_id) {
         Some(entry) => {
             entry.withdrawn = true;
             Ok(())
         }
-        None => Err(WriteError::Rejected(format!("unknown key {}; list the keys for their ids", request.key))),
+        None => Err(WriteError::Rejected(format!("unknown key {}; list the keys for their ids", request.key_id))),
     })
     .await
 }
@@ -53,7 +53,7 @@
 ) -> HttpResponse {
     let name = RecordName::Keys(request.organisation.clone());
     let writer = ConfigWriter::new(&worker.kv, &worker.shared);
-    let written = writer.update(&name, &request.change, |stored| {
+    let written = writer.update(&name, &request.change_id, |stored| {
         let mut keys = match stored {
             Some(ConfigRecord::Keys(keys)) => keys.clone(),
             _ => KeySet::default(),
@@ -80,5 +80,5 @@
 }
 
 fn body(organisation: &SharedName, key: &SharedName, entry: &KeyEntry) -> KeyBody {
-    KeyBody { organisation: organisation.clone(), key: key.clone(), withdrawn: entry.withdrawn }
+    KeyBody { organisation: organisation.clone(), key_id: key.clone(), withdrawn: entry.withdrawn }
 }
--- a/crates/daemon/src/http/trainer_api.rs
+++ b/crates/daemon/src/http/trainer_api.rs
@@ -45,7 +45,7 @@
     let outcome = async {
         let mut fetch: FetchRequest = parse(&worker, payload, &id).await?;
         check_name(&fetch.trainer, &id)?;
-        fetch.max = fetch.max.clamp(1, FETCH_MAX);
+        fetch.samples_max = fetch.samples_max.clamp(1, FETCH_MAX);
         let caller = authenticate_any(&worker, &request, &id)?;
         let answer = worker.steps.fetch(caller, fetch, &id).await?;
         Ok(json(&answer, &id))
--- a/crates/daemon/src/shared_state.rs
+++ b/crates/daemon/src/shared_state.rs
@@ -127,7 +127,7 @@
             name: self.settings.name.clone(),
             incarnation: self.incarnation,
             failure_domain: self.settings.failure_domain.clone(),
-            control: self.control.get().cloned().unwrap_or_else(|| "".into()),
+            control_address: self.control.get().cloned().unwrap_or_else(|| "".into()),
             state,
         }
     }
--- a/crates/daemon/src/step/step_actor.rs
+++ b/crates/daemon/src/step/step_actor.rs
@@ -96,7 +96,11 @@
         }
         let samples = spec.sample_count();
         if let Some(state) = self.steps.get(&key) {
-            return if *state.spec == spec { Ok(OpenResponse { samples }) } else { Err(RefusalReason::StepConflict) };
+            return if *state.spec == spec {
+                Ok(OpenResponse { sample_count: samples })
+            } else {
+                Err(RefusalReason::StepConflict)
+            };
         }
         let (bound, published) = {
             let config = self.shared.config();
@@ -106,7 +110,7 @@
         let state = StepState::new(organisation, spec, bound, published, idle_at);
         LogLine::new("step_opened").field("step", &key).field("samples", samples).info();
         self.steps.insert(key, state);
-        Ok(OpenResponse { samples })
+        Ok(OpenResponse { sample_count: samples })
     }
 
     fn fetch(&mut self, organisation: &str, fetch: FetchRequest, sender: oneshot::Sender<StepOutcome<FetchResponse>>) {
--- a/crates/daemon/src/step/step_state.rs
+++ b/crates/daemon/src/step/step_state.rs
@@ -56,7 +56,7 @@
             if wait.sender.is_closed() {
                 continue;
             }
-            let samples = self.ledger.fetch(&wait.fetch.cursor, wait.fetch.published, wait.fetch.max);
+            let samples = self.ledger.fetch(&wait.fetch.cursor, wait.fetch.published_version, wait.fetch.samples_max);
             let complete = self.ledger.is_complete();
             if samples.is_empty() && !complete && now < wait.deadline {
                 self.waiting.push(wait);
@@ -65,7 +65,7 @@
             shared.metrics.samples.inc_by(samples.len() as u64);
             let samples = samples.into_iter().map(SampleBody::from).collect();
             // The asker may have gone; it will ask again with the same cursor.
-            let _ = wait.sender.send(Ok(FetchResponse { samples, complete, total: self.spec.sample_count() }));
+            let _ = wait.sender.send(Ok(FetchResponse { samples, complete, sample_count: self.spec.sample_count() }));
         }
         let wasted = self.ledger.wasted_tokens();
         shared.metrics.wasted_tokens.inc_by(wasted - self.counted_waste);
--- a/crates/daemon/src/task/domain_duty.rs
+++ b/crates/daemon/src/task/domain_duty.rs
@@ -176,7 +176,7 @@
             shared.routes().draining_reported(vm);
         }
         let request = OrderRequest {
-            order: "".into(),
+            order_id: "".into(),
             action: order,
             failure_domain: domain.clone(),
             service: service.clone(),
--- a/crates/daemon/src/task/duty_lease.rs
+++ b/crates/daemon/src/task/duty_lease.rs
@@ -111,7 +111,7 @@
         on_record.push(self.own_record());
         let nonce = format!("{}/{}", self.shared.process(), self.shared.draw());
         let asked_at = self.shared.now();
-        let lease = self.kv.grant(self.holder.ttl_ms()).await?;
+        let lease = self.kv.grant_lease(self.holder.ttl_ms()).await?;
         let txn = TxnRequest::default()
             .expect(&self.holder_key(), 0)
             .expect(&self.previous_key(), revision)
@@ -124,7 +124,7 @@
             Err(_) => self.read_back(&nonce).await?,
         };
         let Some(fencing) = fencing else {
-            return self.kv.revoke(lease).await;
+            return self.kv.revoke_lease(lease).await;
         };
         self.lease = lease;
         self.previous = previous;
@@ -155,9 +155,9 @@
             return Ok(());
         }
         let asked_at = self.shared.now();
-        match self.kv.keep_alive(self.lease).await {
+        match self.kv.renew_lease(self.lease).await {
             Ok(()) => self.holder.lease_renewed(fencing, asked_at),
-            Err(PlatformError::LeaseGone) => self.holder.step_down(),
+            Err(PlatformError::LeaseNotFound) => self.holder.step_down(),
             Err(error) => return Err(error),
         }
         Ok(())
@@ -215,7 +215,7 @@
             return;
         }
         // If this fails the lease runs out by itself.
-        let _ = self.kv.revoke(self.lease).await;
+        let _ = self.kv.revoke_lease(self.lease).await;
         LogLine::new("duty_stepped_down").field("duty", &self.duty).info();
     }
 
--- a/crates/daemon/src/task/exchange_task.rs
+++ b/crates/daemon/src/task/exchange_task.rs
@@ -135,8 +135,8 @@
 fn question(shared: &SharedState, records: Vec<RecordEntry>) -> ExchangeRequest {
     let now = shared.now();
     ExchangeRequest {
-        from: shared.me(),
-        complete: shared.config().complete_revision(),
+        sender: shared.me(),
+        complete_revision: shared.config().complete_revision(),
         records,
         suspects: shared.suspects().active_marks(now),
         members_digest: members_digest(shared),
@@ -177,13 +177,13 @@
 }
 
 fn take_answer(shared: &SharedState, answer: ExchangeResponse, asked_at: TimePoint) {
-    let name = answer.from.name.clone();
-    let new = shared.apply(answer.records, answer.complete);
+    let name = answer.sender.name.clone();
+    let new = shared.apply(answer.records, answer.complete_revision);
     log_applied(&name, &new);
     shared.freshness().peer_answered(&name, asked_at, answer.age_ms);
     let now = shared.now();
     let mut members = shared.members();
-    members.peer_seen(MemberEntry::from(answer.from), asked_at);
+    members.peer_seen(MemberEntry::from(answer.sender), asked_at);
     for body in answer.members {
         members.member_reported(&MemberEntry::from(body), now);
     }
@@ -196,21 +196,21 @@
 #[must_use]
 pub fn answer_exchange(shared: &SharedState, request: ExchangeRequest) -> ExchangeResponse {
     let now = shared.now();
-    let name = request.from.name.clone();
+    let name = request.sender.name.clone();
     let new = shared.apply(request.records, 0);
     log_applied(&name, &new);
     {
         let mut suspects = shared.suspects();
         request.suspects.into_iter().for_each(|mark| suspects.merge(mark));
     }
-    shared.members().peer_seen(MemberEntry::from(request.from), now);
+    shared.members().peer_seen(MemberEntry::from(request.sender), now);
     let members = if members_digest(shared) == request.members_digest { Vec::new() } else { known_members(shared) };
     let age_ms = shared.freshness().age_ms(now);
     let config = shared.config();
     ExchangeResponse {
-        from: shared.me(),
-        complete: config.complete_revision(),
-        records: config.entries_since(request.complete),
+        sender: shared.me(),
+        complete_revision: config.complete_revision(),
+        records: config.entries_since(request.complete_revision),
         age_ms,
         suspects: shared.suspects().active_marks(now),
         members,
--- a/crates/daemon/src/task/order_book.rs
+++ b/crates/daemon/src/task/order_book.rs
@@ -94,14 +94,14 @@
 
     /// Asks what became of an order; one that never arrived is sent again under the same id.
     async fn settle(&mut self, request: OrderRequest, revision: u64, authority: &OrderAuthority) -> Result<()> {
-        let known = self.provider.order_state(&request.order).await?;
+        let known = self.provider.order_status(&request.order_id).await?;
         let request = OrderRequest { fencing: authority.fencing, ..request };
         let answer = match known {
             Some(answer) => answer,
-            None => self.provider.order(&request, authority.deadline).await?,
+            None => self.provider.send_order(&request, authority.deadline).await?,
         };
         LogLine::new("order_settled")
-            .field("order", &request.order)
+            .field("order", &request.order_id)
             .field("state", format!("{:?}", answer.state))
             .info();
         self.record_answer(request, answer, revision, authority).await
@@ -111,15 +111,15 @@
     pub async fn give(&mut self, request: OrderRequest, authority: &OrderAuthority) -> Result<OrderState> {
         self.sequence += 1;
         let order = format!("{}-{}-{}", self.failure_domain, authority.fencing, self.sequence).into();
-        let request = OrderRequest { order, fencing: authority.fencing, ..request };
-        let key = self.key(&request.order);
+        let request = OrderRequest { order_id: order, fencing: authority.fencing, ..request };
+        let key = self.key(&request.order_id);
         let value = encode(&StoredOrder { request: request.clone(), answer: None })?;
         let txn =
             TxnRequest::default().expect(&authority.holder_key, authority.fencing).expect(&key, 0).put(&key, value, 0);
         let written = self.kv.commit(&txn).await;
         let revision = match written {
             Ok(answer) if answer.succeeded => answer.header.revision,
-            Ok(_) => return Err(PlatformError::LeaseGone),
+            Ok(_) => return Err(PlatformError::LeaseNotFound),
             Err(error) => {
                 // The intent may be on record: it is settled before anything else is ordered.
                 self.settled_under = None;
@@ -127,8 +127,8 @@
             }
         };
         self.shared.metrics.orders.inc();
-        LogLine::new("order").field("order", &request.order).field("action", format!("{:?}", request.action)).info();
-        match self.provider.order(&request, authority.deadline).await {
+        LogLine::new("order").field("order", &request.order_id).field("action", format!("{:?}", request.action)).info();
+        match self.provider.send_order(&request, authority.deadline).await {
             Ok(answer) => {
                 let state = answer.state;
                 self.record_answer(request, answer, revision, authority).await?;
@@ -149,9 +149,9 @@
         authority: &OrderAuthority,
     ) -> Result<()> {
         self.note_started(&request, &answer);
-        let key = self.key(&request.order);
+        let key = self.key(&request.order_id);
         let value = encode(&StoredOrder { request, answer: Some(answer) })?;
-        let lease = self.kv.grant(SETTLED_RETENTION_MS).await?;
+        let lease = self.kv.grant_lease(SETTLED_RETENTION_MS).await?;
         let txn = TxnRequest::default()
             .expect(&authority.holder_key, authority.fencing)
             .expect(&key, revision)
--- a/crates/daemon/src/task/usage_task.rs
+++ b/crates/daemon/src/task/usage_task.rs
@@ -120,15 +120,16 @@
         holder_key: &str,
     ) -> Result<SealedWindow> {
         let window = UsageWindow::seal(index, last, &self.totals);
-        let report = serde_json::to_string(&UsageReport::of(site, &window)).map_err(|error| malformed(&error))?;
+        let report =
+            serde_json::to_string(&UsageReport::from_window(site, &window)).map_err(|error| malformed(&error))?;
         let sealed = SealedWindow { window, report };
         let value = serde_json::to_vec(&sealed).map_err(|error| malformed(&error))?;
         let key = window_key(&self.shared.settings.site, index);
-        let lease = self.kv.grant(RETENTION_MS).await?;
+        let lease = self.kv.grant_lease(RETENTION_MS).await?;
         let txn = TxnRequest::default().expect(holder_key, fencing).expect(&key, 0).put(&key, value, lease);
         // When the answer is lost, the next round reads what was sealed.
         if !self.kv.commit(&txn).await?.succeeded {
-            return Err(PlatformError::LeaseGone);
+            return Err(PlatformError::LeaseNotFound);
         }
         LogLine::new("usage_sealed").field("window", index).field("lines", sealed.window.lines.len()).info();
         Ok(sealed)
@@ -151,9 +152,9 @@
                 continue;
             }
             self.shared.metrics.reports.inc();
-            self.provider.report(site, index, fencing, sealed.report.clone().into(), deadline).await?;
+            self.provider.report_usage(site, index, fencing, sealed.report.clone().into(), deadline).await?;
             LogLine::new("usage_reported").field("window", index).info();
-            let lease = self.kv.grant(RETENTION_MS).await?;
+            let lease = self.kv.grant_lease(RETENTION_MS).await?;
             let txn = TxnRequest::default().expect(holder_key, fencing).put(&key, Vec::new(), lease);
             self.kv.commit(&txn).await?;
         }
--- a/crates/edge/src/duty/duty_task.rs
+++ b/crates/edge/src/duty/duty_task.rs
@@ -126,13 +126,12 @@
                 return;
             }
         };
-    let commit = StoreCommit::default().expect(KeyLayout::DUTY, replaces).put(KeyLayout::DUTY, entry, lease).put(
-        KeyLayout::DUTY_HISTORY,
-        history_entry,
-        0,
-    );
+    let commit = StoreCommit::default()
+        .expect(KeyLayout::DUTY_HOLDER_KEY, replaces)
+        .put(KeyLayout::DUTY_HOLDER_KEY, entry, lease)
+        .put(KeyLayout::DUTY_HISTORY_KEY, history_entry, 0);
     let revision = match store.commit(&commit).await {
-        Ok(CommitOutcome::Done(revision)) => revision,
+        Ok(CommitOutcome::Committed(revision)) => revision,
         Ok(CommitOutcome::Conflict(items)) => {
             // An earlier commit of this process may have succeeded without a response.
             let is_own = |item: &&StoreEntry| {
@@ -160,6 +159,6 @@
 
 /// Reads the previous holders of the duty from the store.
 async fn read_history(store: &StoreAccess) -> anyhow::Result<DutyHistory> {
-    let Some(item) = store.get(KeyLayout::DUTY_HISTORY).await? else { return Ok(DutyHistory::default()) };
+    let Some(item) = store.get(KeyLayout::DUTY_HISTORY_KEY).await? else { return Ok(DutyHistory::default()) };
     Ok(decode::<DutyHistoryEntry>(&item.value)?.into())
 }
--- a/crates/edge/src/duty/load_duty.rs
+++ b/crates/edge/src/duty/load_duty.rs
@@ -85,7 +85,7 @@
             jobs.iter().map(|(_, view)| &view.entry).filter(|entry| entry.model.as_ref() == Some(model)).collect();
         steps.sort_by_key(|entry| std::cmp::Reverse(entry.submitted_unix_ms));
         steps.truncate(RECENT_STEPS);
-        let tokens: u64 = steps.iter().map(|entry| entry.tokens).sum();
+        let tokens: u64 = steps.iter().map(|entry| entry.expected_tokens).sum();
         ModelDemand {
             newest_version: named_versions.get(model).copied().unwrap_or(0),
             oldest_usable_version: steps.first().map_or(0, |entry| entry.oldest_version),
@@ -153,7 +153,7 @@
         keep_runs,
         holder: &state.settings.vm,
         fencing_token: active_term.fencing_token,
-        accepted_before: order.accepted_before,
+        orders_accepted_before: order.accepted_before,
     };
     let Ok(body) = encode_version_order(&message) else { return (LoadOutcome::Refused, "unencodable".to_owned()) };
     // A process that is suspended here must not send the order after it resumes, so the body fails at this time.
--- a/crates/edge/src/duty/size_duty.rs
+++ b/crates/edge/src/duty/size_duty.rs
@@ -38,7 +38,7 @@
     /// Creates the duty, which sends orders while `term` allows it.
     #[must_use]
     pub fn new(state: Arc<EdgeState>, store: StoreAccess, term: SharedTerm) -> Self {
-        let provider = state.settings.provider.map(DutyClient::new);
+        let provider = state.settings.provider_address.map(DutyClient::new);
         Self { state, provider, term, store, services: BTreeMap::new() }
     }
 
@@ -76,7 +76,7 @@
             let rule = config.route(&entry.host, &entry.path);
             rule.is_some_and(|rule| rule.targets.iter().any(|target| *target.service == *service))
         });
-        routed.map(|entry| entry.items as u64).sum()
+        routed.map(|entry| entry.item_count as u64).sum()
     }
 }
 
@@ -87,7 +87,7 @@
     service: &SharedName,
     upstreams: &[SamplerRecord],
 ) -> Option<BTreeMap<SharedName, u64>> {
-    let key = KeyLayout::floor(service);
+    let key = KeyLayout::floor_key(service);
     let current = FloorEntry { standing: standing_counts(upstreams) };
     let floor = async {
         if let Some(item) = store.get(&key).await? {
@@ -95,7 +95,7 @@
         }
         let commit = StoreCommit::default().expect(key.clone(), 0).put(key.clone(), encode(&current)?, 0);
         match store.commit(&commit).await? {
-            CommitOutcome::Done(_) => Ok(current.clone()),
+            CommitOutcome::Committed(_) => Ok(current.clone()),
             CommitOutcome::Conflict(_) => {
                 anyhow::bail!("another daemon stored the floor at the same time; it is read in the next pass")
             }
@@ -121,7 +121,7 @@
     demand: u64,
 ) -> ScalingOutcome {
     let now = state.now();
-    let active_term = term.borrow().filter(|term| term.may_act(now, DutyClient::CALL_MS));
+    let active_term = term.borrow().filter(|term| term.may_act(now, DutyClient::CALL_TIMEOUT_MS));
     let Some(term) = active_term else { return ScalingOutcome::Failed };
     let _call_guard = state.track_duty_call();
     let duty_call = DutyAuthority { holder: &state.settings.vm, fencing_token: term.fencing_token };
@@ -129,7 +129,7 @@
         service: service.clone(),
         failure_domain: order.failure_domain.clone(),
         reclaimable: order.reclaimable,
-        desired: order.desired,
+        desired_count: order.desired,
     };
     let outcome = provider.scale(duty_call, &message).await;
     LogLine::new("upstreams_ordered")
@@ -144,6 +144,6 @@
     match outcome {
         DutyCallOutcome::Accepted => ScalingOutcome::Accepted,
         DutyCallOutcome::Refused(NONE_AVAILABLE_STATUS) => ScalingOutcome::Unavailable,
-        DutyCallOutcome::Refused(_) | DutyCallOutcome::Unanswered => ScalingOutcome::Failed,
+        DutyCallOutcome::Refused(_) | DutyCallOutcome::NoResponse => ScalingOutcome::Failed,
     }
 }
--- a/crates/edge/src/duty/usage_collector.rs
+++ b/crates/edge/src/duty/usage_collector.rs
@@ -70,7 +70,7 @@
         let pending = self.pending.take();
         let mut windows: BTreeMap<u64, Vec<UsageBatchEntry>> = BTreeMap::new();
         for entry in &pending {
-            windows.entry(entry.push.window).or_default().push(entry.push.part.clone());
+            windows.entry(entry.push.window).or_default().push(entry.push.batch.clone());
         }
         let mut all_written = true;
         let windows: Vec<(u64, Vec<UsageBatchEntry>)> = windows.into_iter().collect();
@@ -88,14 +88,15 @@
 pub async fn write_parts(state: &EdgeState, store: &StoreAccess, windows: &[(u64, Vec<UsageBatchEntry>)]) -> bool {
     let mut commit = StoreCommit::default();
     for (window, parts) in windows {
-        let value = match encode(&UsageBatchesEntry { parts: parts.clone() }) {
+        let value = match encode(&UsageBatchesEntry { batches: parts.clone() }) {
             Ok(value) => value,
             Err(error) => {
                 LogLine::new("usage_not_encoded").field("window", window).field("reason", error).warn();
                 return false;
             }
         };
-        let key = KeyLayout::count(*window, &state.settings.vm, state.incarnation, state.next_usage_write_number());
+        let key =
+            KeyLayout::usage_count_key(*window, &state.settings.vm, state.incarnation, state.next_usage_write_number());
         commit = commit.put(key, value, 0);
     }
     let parts: usize = windows.iter().map(|(_, parts)| parts.len()).sum();
--- a/crates/edge/src/duty/usage_count_task.rs
+++ b/crates/edge/src/duty/usage_count_task.rs
@@ -39,8 +39,8 @@
 async fn store_batch(state: &EdgeState, store: &StoreAccess, peers: &PeerClient, batch: UsageBatch) {
     let UsageBatch { number, window, counts } = batch;
     let part = UsageBatchEntry { daemon: state.settings.vm.clone(), incarnation: state.incarnation, number, counts };
-    let push = UsagePush { window, part };
-    if send_to_collector(state, peers, &push).await || write_parts(state, store, &[(window, vec![push.part])]).await {
+    let push = UsagePush { window, batch: part };
+    if send_to_collector(state, peers, &push).await || write_parts(state, store, &[(window, vec![push.batch])]).await {
         state.usage().batch_stored(number);
     }
 }
@@ -51,7 +51,7 @@
         let ownership = state.ownership();
         ownership.region_watcher(&state.settings.region).map(|(_, presence)| presence.control.clone())
     };
-    let own_control = || state.settings.control.map(|address| address.to_string().into());
+    let own_control = || state.settings.control_address.map(|address| address.to_string().into());
     let Some(control) = collector.or_else(own_control) else { return false };
     match peers.call::<bool>(&control, USAGE_PATH, push, COLLECT_TIMEOUT_MS).await {
         Ok(stored) => stored,
--- a/crates/edge/src/duty/usage_duty.rs
+++ b/crates/edge/src/duty/usage_duty.rs
@@ -43,14 +43,14 @@
     /// Creates the duty, which reports while `term` allows it.
     #[must_use]
     pub fn new(state: Arc<EdgeState>, store: StoreAccess, term: SharedTerm) -> Self {
-        let provider = state.settings.provider.map(DutyClient::new);
+        let provider = state.settings.provider_address.map(DutyClient::new);
         Self { state, store, provider, term, fencing_token: 0, next_window: None, unreported: BTreeMap::new() }
     }
 
     /// Seals the next window if it is due, and reports sealed windows.
     pub async fn tick(&mut self) {
         let now = self.state.now();
-        let active_term = self.term.borrow().filter(|term| term.may_act(now, DutyClient::CALL_MS));
+        let active_term = self.term.borrow().filter(|term| term.may_act(now, DutyClient::CALL_TIMEOUT_MS));
         let (Some(term), true) = (active_term, self.provider.is_some()) else { return };
         if self.fencing_token != term.fencing_token {
             self.fencing_token = term.fencing_token;
@@ -71,7 +71,7 @@
         if self.next_window.is_some() {
             return self.next_window;
         }
-        let page = match self.store.range(KeyLayout::SEALED).await {
+        let page = match self.store.range(KeyLayout::SEALED_USAGE_PREFIX).await {
             Ok(page) => page,
             Err(error) => {
                 LogLine::new("usage_read_failed").field("reason", error).warn();
@@ -80,8 +80,8 @@
         };
         let current = self.state.usage().window_at(self.state.unix_ms());
         let mut last_sealed = None;
-        for item in page.items {
-            let Some(window) = KeyLayout::sealed_window(&item.key) else { continue };
+        for item in page.entries {
+            let Some(window) = KeyLayout::parse_sealed_usage_key(&item.key) else { continue };
             last_sealed = last_sealed.max(Some(window));
             if window + LOOK_BACK_WINDOWS >= current
                 && let Some(entry) = decode_logged::<SealedUsageEntry>(&item)
@@ -98,7 +98,7 @@
     /// Sums a window's counts and stores the sums by one write that can succeed only once. Returns whether the window
     /// is sealed.
     async fn seal(&mut self, window: u64) -> bool {
-        let page = match self.store.range(&KeyLayout::counts(window)).await {
+        let page = match self.store.range(&KeyLayout::usage_counts_prefix(window)).await {
             Ok(page) => page,
             Err(error) => {
                 LogLine::new("usage_read_failed").field("window", window).field("reason", error).warn();
@@ -115,16 +115,16 @@
                 return false;
             }
         };
-        let key = KeyLayout::sealed(window);
+        let key = KeyLayout::sealed_usage_key(window);
         let mut commit = StoreCommit::default().expect(key.clone(), 0).put(key, value, 0);
-        for item in page.items.iter().take(REMOVALS_MAX) {
+        for item in page.entries.iter().take(REMOVALS_MAX) {
             commit = commit.remove(item.key.clone());
         }
         if let Some(expired_window) = window.checked_sub(SEALED_WINDOWS_KEPT) {
-            commit = commit.remove(KeyLayout::sealed(expired_window));
+            commit = commit.remove(KeyLayout::sealed_usage_key(expired_window));
         }
         let counts = match self.store.commit(&commit).await {
-            Ok(CommitOutcome::Done(_)) => counts,
+            Ok(CommitOutcome::Committed(_)) => counts,
             Ok(CommitOutcome::Conflict(items)) => {
                 // The window is sealed already, by whichever daemon; the stored sums are reported.
                 let sealed = items.first().and_then(decode_logged::<SealedUsageEntry>);
@@ -150,10 +150,12 @@
         let Some(provider) = self.provider.clone() else { return };
         while let Some((window, counts)) = self.unreported.first_key_value() {
             let now = self.state.now();
-            let Some(term) = self.term.borrow().filter(|term| term.may_act(now, DutyClient::CALL_MS)) else { return };
+            let Some(term) = self.term.borrow().filter(|term| term.may_act(now, DutyClient::CALL_TIMEOUT_MS)) else {
+                return;
+            };
             let duty_call = DutyAuthority { holder: &self.state.settings.vm, fencing_token: term.fencing_token };
             let call_guard = self.state.track_duty_call();
-            let outcome = provider.report(duty_call, *window, counts).await;
+            let outcome = provider.report_usage(duty_call, *window, counts).await;
             drop(call_guard);
             LogLine::new("usage_reported")
                 .field("window", window)
@@ -166,7 +168,7 @@
                     let window = *window;
                     self.unreported.remove(&window);
                 }
-                DutyCallOutcome::Refused(_) | DutyCallOutcome::Unanswered => return,
+                DutyCallOutcome::Refused(_) | DutyCallOutcome::NoResponse => return,
             }
         }
     }
@@ -175,8 +177,8 @@
 /// Batches of counts by daemon, incarnation and number of the batch. A batch may be stored in several entries and
 /// counts once.
 fn unique_parts(page: &RangePage) -> BTreeMap<(SharedName, u64, u64), BTreeMap<SharedName, u64>> {
-    let entries = page.items.iter().filter_map(decode_logged::<UsageBatchesEntry>);
-    let parts = entries.flat_map(|entry| entry.parts);
+    let entries = page.entries.iter().filter_map(decode_logged::<UsageBatchesEntry>);
+    let parts = entries.flat_map(|entry| entry.batches);
     parts.map(|part| ((part.daemon, part.incarnation, part.number), part.counts)).collect()
 }
 
--- a/crates/edge/src/edge_state.rs
+++ b/crates/edge/src/edge_state.rs
@@ -119,7 +119,7 @@
             newest_versions: Mutex::default(),
             retired_vms: Mutex::default(),
             ownership: Mutex::new(OwnershipTable::new(settings.vm.clone(), incarnation)),
-            jobs: Mutex::new(JobIndex::new(settings.memory_bytes / RESULTS_MEMORY_DIVISOR)),
+            jobs: Mutex::new(JobIndex::new(settings.memory_limit_bytes / RESULTS_MEMORY_DIVISOR)),
             usage: Mutex::new(UsageTally::new(settings.usage_window_ms)),
             lease: Mutex::default(),
             store_path: Mutex::new(PathSelector::new(fingerprint(&[settings.vm.as_bytes()]))),
@@ -135,7 +135,7 @@
     /// Current time of the monotonic clock, in milliseconds since boot.
     #[must_use]
     pub fn now(&self) -> TimePoint {
-        self.clock.steady()
+        self.clock.since_boot()
     }
 
     /// Wall-clock time in milliseconds since the Unix epoch; a jump of the VM's clock takes effect only if it lasts.
--- a/crates/edge/src/http/batch_api.rs
+++ b/crates/edge/src/http/batch_api.rs
@@ -48,10 +48,10 @@
         organisation,
         host: context.host.clone(),
         path: context.path.as_str().into(),
-        items: submission.items.len(),
+        item_count: submission.items.len(),
         model: submission.model.clone(),
         oldest_version: submission.oldest_version,
-        tokens: submission.items.iter().map(BatchItem::expected_tokens).sum(),
+        expected_tokens: submission.items.iter().map(BatchItem::expected_tokens).sum(),
         submitted_unix_ms: parts.state.unix_ms(),
     };
     let (step, items) = (submission.step, submission.items.len());
@@ -110,7 +110,7 @@
     let position = position.map_err(|_| ApiRefusal::Malformed)?;
     let wait_ms =
         header_text(request.headers(), header::WAIT_MS).and_then(|text| text.trim().parse().ok()).unwrap_or(0);
-    let wait_ms = if position >= view.entry.items { 0 } else { READ_WAIT_MS_MAX.min(wait_ms) };
+    let wait_ms = if position >= view.entry.item_count { 0 } else { READ_WAIT_MS_MAX.min(wait_ms) };
     let wait_until = context.arrived_at.plus_ms(wait_ms).min(context.deadline);
     let read = ResultsQuery { position, bytes_max: PAGE_BYTES_MAX, wait_until };
     let results = job::read_results(&parts.state, &parts.store, &parts.peer_client, &id.into(), &read).await;
@@ -119,14 +119,14 @@
         ApiRefusal::StoreUnreachable
     })?;
     let results: Vec<ListedResult<'_>> = results.iter().map(|result| listed_result(result)).collect();
-    let page = ResultPage { total: view.entry.items, next: position + results.len(), results };
+    let page = ResultPage { item_count: view.entry.item_count, next_position: position + results.len(), results };
     let body = encode_page(&page).map_err(|_| ApiRefusal::StoreUnreachable)?;
     Ok(HttpResponse::Ok().content_type("application/json").body(body))
 }
 
 fn listed_result(result: &ResultEntry) -> ListedResult<'_> {
     ListedResult {
-        id: &result.id,
+        id: &result.item_id,
         state: if result.completed { "completed" } else { "terminated" },
         text: &result.text,
         versions: &result.versions,
--- a/crates/edge/src/http/peer_api.rs
+++ b/crates/edge/src/http/peer_api.rs
@@ -26,12 +26,12 @@
     if !parts.state.store_path().is_direct_available() {
         return HttpResponse::ServiceUnavailable().finish();
     }
-    match parts.relay_client.pass_on(request.method().clone(), name, body).await {
+    match parts.relay_client.relay_call(request.method().clone(), name, body).await {
         Ok((status, body)) => {
             let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
             HttpResponse::build(status).content_type("application/json").body(body)
         }
-        Err(StoreError::NotDone { .. }) => HttpResponse::ServiceUnavailable().finish(),
+        Err(StoreError::NotApplied { .. }) => HttpResponse::ServiceUnavailable().finish(),
         Err(_) => HttpResponse::BadGateway().finish(),
     }
 }
@@ -105,11 +105,14 @@
         Ok(push) => push,
         Err(error) => return malformed_response(&error),
     };
-    if push.incarnation != state.incarnation || state.is_draining() {
+    if push.owner_incarnation != state.incarnation || state.is_draining() {
         return HttpResponse::Conflict().finish();
     }
-    let owner =
-        OwnerRecord { daemon: state.settings.vm.clone(), incarnation: push.incarnation, revision: push.revision };
+    let owner = OwnerRecord {
+        daemon: state.settings.vm.clone(),
+        incarnation: push.owner_incarnation,
+        revision: push.ownership_revision,
+    };
     let submission = match decode_submission(&push.body) {
         Ok(submission) => Arc::new(submission),
         Err(error) => {
@@ -119,6 +122,6 @@
     };
     let job =
         SubmittedJob { id: push.job, entry: push.entry, placement_key: "".into(), body: push.body.into(), submission };
-    accept_pushed_job(state, &job, Some(owner), push.state);
+    accept_pushed_job(state, &job, Some(owner), push.ledger_state);
     HttpResponse::Ok().finish()
 }
--- a/crates/edge/src/job/claim_task.rs
+++ b/crates/edge/src/job/claim_task.rs
@@ -38,10 +38,10 @@
         Ok(entry) => entry,
         Err(error) => return LogLine::new("job_claim_failed").field("job", &claim.job).field("reason", error).warn(),
     };
-    let key = KeyLayout::owner(&claim.job);
+    let key = KeyLayout::owner_key(&claim.job);
     let commit = StoreCommit::default().expect(key.clone(), claim.replaced_revision).put(key, entry, lease);
     match store.commit(&commit).await {
-        Ok(CommitOutcome::Done(revision)) => {
+        Ok(CommitOutcome::Committed(revision)) => {
             LogLine::new("job_claimed")
                 .field("job", &claim.job)
                 .field("replaces", claim.replaced_revision)
--- a/crates/edge/src/job/job_reader.rs
+++ b/crates/edge/src/job/job_reader.rs
@@ -43,10 +43,10 @@
     if let Some(view) = state.jobs().get(job) {
         return Ok(Some(view.clone()));
     }
-    let Some(item) = store.get(&KeyLayout::job(job)).await? else { return Ok(None) };
+    let Some(item) = store.get(&KeyLayout::job_key(job)).await? else { return Ok(None) };
     let entry =
         decode::<JobEntry>(&item.value).map_err(|error| StoreError::Malformed { problem: error.to_string() })?;
-    let ended = store.get(&KeyLayout::end(job)).await?.is_some();
+    let ended = store.get(&KeyLayout::end_key(job)).await?.is_some();
     Ok(Some(JobView { entry, ended, settled: false, chunk_ends: BTreeMap::new(), results_end: None }))
 }
 
@@ -84,9 +84,9 @@
         if left_ms == 0 || state.jobs().is_ended(job) {
             break;
         }
-        let batch = match store.watch(&KeyLayout::chunks(job), stored.revision, left_ms).await {
+        let batch = match store.watch(&KeyLayout::results_prefix(job), stored.revision, left_ms).await {
             Ok(batch) => batch,
-            Err(StoreError::HistoryGone) => return read_chunks(state, store, job, position, bytes_max).await,
+            Err(StoreError::HistoryCompacted) => return read_chunks(state, store, job, position, bytes_max).await,
             // The results read before the watch are still valid.
             Err(error) => {
                 LogLine::new("result_watch_failed").field("job", job).field("reason", error).warn();
@@ -114,19 +114,19 @@
     position: usize,
     bytes_max: usize,
 ) -> Result<StoredResults> {
-    let prefix = KeyLayout::chunks(job);
+    let prefix = KeyLayout::results_prefix(job);
     // Starts at the chunk that holds the position, or else after the last chunk before it that has been read.
     let first_chunk = state.jobs().get(job).map_or(0, |view| {
         let nearest_chunk = view.chunk_ends.range(..=position).next_back();
         nearest_chunk.map_or(0, |(first, next)| if position < *next { *first } else { *next })
     });
-    let mut after = KeyLayout::before_chunk(job, first_chunk);
+    let mut after = KeyLayout::key_before_results(job, first_chunk);
     let mut results = Vec::new();
     loop {
         let page: RangePage = store.page(&prefix, after.as_deref()).await?;
-        after = page.items.last().map(|item| item.key.clone()).or(after);
-        let has_more = page.more && !page.items.is_empty();
-        append_consecutive(state, job, page.items.into_iter(), position, bytes_max, &mut results)?;
+        after = page.entries.last().map(|item| item.key.clone()).or(after);
+        let has_more = page.has_more && !page.entries.is_empty();
+        append_consecutive(state, job, page.entries.into_iter(), position, bytes_max, &mut results)?;
         let bytes = total_text_bytes(&results);
         if !has_more && bytes < bytes_max {
             state.jobs().results_end_observed(job, position + results.len(), page.revision);
@@ -156,8 +156,8 @@
     for item in items {
         let entry: ResultsEntry =
             decode(&item.value).map_err(|error| StoreError::Malformed { problem: error.to_string() })?;
-        state.jobs().chunk_stored(job, entry.first, entry.next());
-        for (result_position, result) in (entry.first..).zip(entry.results) {
+        state.jobs().chunk_stored(job, entry.first_position, entry.next_position());
+        for (result_position, result) in (entry.first_position..).zip(entry.results) {
             if result_position != position + results.len() {
                 continue;
             }
@@ -173,9 +173,9 @@
 
 /// The encoded submission, joined from its stored parts.
 async fn read_encoded_submission(store: &StoreAccess, job: &str) -> Result<Bytes> {
-    let page = store.range(&KeyLayout::parts(job)).await?;
+    let page = store.range(&KeyLayout::submission_prefix(job)).await?;
     let mut body = BytesMut::new();
-    for item in &page.items {
+    for item in &page.entries {
         body.extend_from_slice(&item.value);
     }
     Ok(body.freeze())
@@ -206,17 +206,17 @@
 
 /// Reads all stored results of a job, in order of their positions.
 pub async fn read_all_results(state: &EdgeState, store: &StoreAccess, job: &str) -> Result<Vec<ResultEntry>> {
-    let page = store.range(&KeyLayout::chunks(job)).await?;
+    let page = store.range(&KeyLayout::results_prefix(job)).await?;
     let mut results = Vec::new();
-    append_consecutive(state, job, page.items.into_iter(), 0, usize::MAX, &mut results)?;
+    append_consecutive(state, job, page.entries.into_iter(), 0, usize::MAX, &mut results)?;
     Ok(results.into_iter().map(Arc::unwrap_or_clone).collect())
 }
 
 /// Reads the text checkpoints that previous owners stored. A malformed entry counts as an empty checkpoint: the
 /// generation of its texts starts again.
 pub async fn read_checkpoints(store: &StoreAccess, job: &str) -> Result<Vec<TextCheckpoint>> {
-    let page = store.range(&KeyLayout::texts(job)).await?;
-    let checkpoints = page.items.iter().map(|item| match decode::<TextCheckpointEntry>(&item.value) {
+    let page = store.range(&KeyLayout::text_checkpoints_prefix(job)).await?;
+    let checkpoints = page.entries.iter().map(|item| match decode::<TextCheckpointEntry>(&item.value) {
         Ok(entry) => TextCheckpoint::from(entry),
         Err(error) => {
             LogLine::new("entry_unreadable").field("key", &item.key).field("reason", error).warn();
--- a/crates/edge/src/job/job_runner.rs
+++ b/crates/edge/src/job/job_runner.rs
@@ -131,7 +131,7 @@
     let rule = state.config().and_then(|config| config.route(&entry.host, &entry.path).cloned());
     let terms = batch_terms(rule.as_deref(), &submission, submitted_at);
     let specs = submission.items.iter().map(item_spec).collect();
-    let stored_indexes: Vec<usize> = results.iter().map(|result| result.index).collect();
+    let stored_indexes: Vec<usize> = results.iter().map(|result| result.item_index).collect();
     let mut ledger = BatchLedger::new(terms, specs, &stored_indexes);
     let handed_over = previous_ledger.as_ref().map_or(0, |ledger| ledger.items.len() + ledger.unlisted.len());
     if let Some(previous_ledger) = previous_ledger {
--- a/crates/edge/src/job/job_writer.rs
+++ b/crates/edge/src/job/job_writer.rs
@@ -60,9 +60,9 @@
         JobPush {
             job: self.id.clone(),
             entry: self.entry.clone(),
-            incarnation: owner.signature.incarnation,
-            revision,
-            state,
+            owner_incarnation: owner.signature.incarnation,
+            ownership_revision: revision,
+            ledger_state: state,
             body: self.body.to_vec(),
         }
     }
@@ -90,7 +90,7 @@
     loop {
         let Some(commit) = submission_commit(job, owner.as_ref()) else { return SubmitOutcome::NotDone };
         match parts.store.commit(&commit).await {
-            Ok(CommitOutcome::Done(revision)) => {
+            Ok(CommitOutcome::Committed(revision)) => {
                 assign_stored_job(parts, job, owner, revision);
                 return SubmitOutcome::Accepted;
             }
@@ -103,8 +103,8 @@
                 LogLine::new("submit_retry").field("job", &job.id).field("reason", &error).warn();
                 match error {
                     // The owner's lease has expired. The job is stored without an owner, and any daemon may claim it.
-                    StoreError::LeaseGone => owner = None,
-                    StoreError::NotDone { .. } => {}
+                    StoreError::LeaseNotFound => owner = None,
+                    StoreError::NotApplied { .. } => {}
                     _ => outcome_unknown = true,
                 }
             }
@@ -128,15 +128,19 @@
 /// `None` if an entry cannot be encoded.
 fn submission_commit(job: &SubmittedJob, owner: Option<&ChosenOwner>) -> Option<StoreCommit> {
     let entry = encode(&job.entry).ok()?;
-    let key = KeyLayout::job(&job.id);
+    let key = KeyLayout::job_key(&job.id);
     let mut commit = StoreCommit::default().expect(key.clone(), 0).put(key, entry, 0);
     if let Some(owner) = owner {
-        commit = commit.put(KeyLayout::owner(&job.id), encode(&owner.signature).ok()?, owner.presence.lease);
+        commit = commit.put(KeyLayout::owner_key(&job.id), encode(&owner.signature).ok()?, owner.presence.lease);
     }
     let length = job.body.len();
     let parts =
         (0..length).step_by(PART_BYTES_MAX).map(|start| job.body.slice(start..length.min(start + PART_BYTES_MAX)));
-    Some(parts.enumerate().fold(commit, |commit, (number, part)| commit.put(KeyLayout::part(&job.id, number), part, 0)))
+    Some(
+        parts.enumerate().fold(commit, |commit, (number, part)| {
+            commit.put(KeyLayout::submission_part_key(&job.id, number), part, 0)
+        }),
+    )
 }
 
 /// Records a job that was stored at `revision`, and transfers it to its owner: at once if that is this process, or else
@@ -179,10 +183,10 @@
     let own_vm = parts.state.settings.vm.clone();
     let Some(owner) = choose_owner(&parts.state, &job.placement_key, Some(&own_vm)) else { return };
     let Ok(signature) = encode(&owner.signature) else { return };
-    let key = KeyLayout::owner(&job.id);
+    let key = KeyLayout::owner_key(&job.id);
     let commit = StoreCommit::default().expect(key.clone(), revision).put(key, signature, owner.presence.lease);
     match parts.store.commit(&commit).await {
-        Ok(CommitOutcome::Done(revision)) => {
+        Ok(CommitOutcome::Committed(revision)) => {
             let push = job.push_message(&owner, revision, Some(ledger));
             push_job(parts.upstream_client.clone(), owner.presence.control, push).await;
         }
@@ -227,7 +231,7 @@
     if state.jobs().is_ended(job) {
         return true;
     }
-    let commit = StoreCommit::default().put(KeyLayout::end(job), Bytes::new(), 0).remove(KeyLayout::owner(job));
+    let commit = StoreCommit::default().put(KeyLayout::end_key(job), Bytes::new(), 0).remove(KeyLayout::owner_key(job));
     loop {
         match store.commit(&commit).await {
             Ok(_) => {
--- a/crates/edge/src/job/ledger_writer.rs
+++ b/crates/edge/src/job/ledger_writer.rs
@@ -87,9 +87,9 @@
 fn results_write(job: &OwnedJob) -> Option<ResultsWrite> {
     let mut ledger = job.ledger.borrow_mut();
     let chunk = ledger.next_chunk(CHUNK_BYTES_MAX)?;
-    let entry = ResultsEntry::of(chunk, |index| job.submission.items[index].id.clone());
+    let entry = ResultsEntry::from_chunk(chunk, |index| job.submission.items[index].id.clone());
     let value = encoded_entry(job, encode(&entry))?;
-    Some(ResultsWrite { key: KeyLayout::chunk(&job.id, entry.first), entry, value })
+    Some(ResultsWrite { key: KeyLayout::results_key(&job.id, entry.first_position), entry, value })
 }
 
 /// The next text checkpoint, if there is one.
@@ -97,7 +97,7 @@
     let mut ledger = job.ledger.borrow_mut();
     let (number, checkpoint) = ledger.next_checkpoint(CHECKPOINT_BYTES_MAX)?;
     let value = encoded_entry(job, encode(&TextCheckpointEntry::from(checkpoint)))?;
-    Some(CheckpointWrite { key: KeyLayout::text(&job.id, number), number, value })
+    Some(CheckpointWrite { key: KeyLayout::text_checkpoint_key(&job.id, number), number, value })
 }
 
 /// The encoded entry. `None` if it could not be encoded, which is logged.
@@ -118,14 +118,14 @@
     results: Option<&ResultsWrite>,
     checkpoint: Option<&CheckpointWrite>,
 ) -> WriteOutcome {
-    let mut commit = StoreCommit::default().expect(KeyLayout::owner(&job.id), job.owner_revision.get());
+    let mut commit = StoreCommit::default().expect(KeyLayout::owner_key(&job.id), job.owner_revision.get());
     let results_put = results.map(|write| (&write.key, &write.value));
     let checkpoint_put = checkpoint.map(|write| (&write.key, &write.value));
     for (key, value) in results_put.into_iter().chain(checkpoint_put) {
         commit = commit.expect(key.clone(), 0).put(key.clone(), value.clone(), 0);
     }
     match job.store.commit(&commit).await {
-        Ok(CommitOutcome::Done(revision)) => {
+        Ok(CommitOutcome::Committed(revision)) => {
             results.into_iter().for_each(|results| results_stored(job, &results.entry, revision));
             checkpoint.into_iter().for_each(|checkpoint| checkpoint_stored(job, checkpoint, revision));
             WriteOutcome::Continue
@@ -134,7 +134,7 @@
         Err(error) => {
             LogLine::new("ledger_not_written")
                 .field("job", &job.id)
-                .field("first", results.map_or(0, |results| results.entry.first))
+                .field("first", results.map_or(0, |results| results.entry.first_position))
                 .field("texts", checkpoint.map_or(0, |checkpoint| checkpoint.number))
                 .field("reason", error)
                 .warn();
@@ -167,7 +167,7 @@
     match stored_item(&results.key) {
         Some(item) if item.value == results.value => results_stored(job, &results.entry, item.revision),
         Some(_) => {
-            LogLine::new("results_conflict").field("job", &job.id).field("first", results.entry.first).warn();
+            LogLine::new("results_conflict").field("job", &job.id).field("first", results.entry.first_position).warn();
             return WriteOutcome::Superseded;
         }
         None => {}
@@ -179,15 +179,15 @@
 fn results_stored(job: &OwnedJob, entry: &ResultsEntry, revision: u64) {
     LogLine::new("results_listed")
         .field("job", &job.id)
-        .field("first", entry.first)
-        .field("next", entry.next())
+        .field("first", entry.first_position)
+        .field("next", entry.next_position())
         .field("revision", revision)
         .info();
-    job.ledger.borrow_mut().chunk_stored(entry.first);
+    job.ledger.borrow_mut().chunk_stored(entry.first_position);
     {
         let mut jobs = job.state.jobs();
-        jobs.chunk_stored(&job.id, entry.first, entry.next());
-        jobs.append_results(&job.id, entry.first, &entry.results);
+        jobs.chunk_stored(&job.id, entry.first_position, entry.next_position());
+        jobs.append_results(&job.id, entry.first_position, &entry.results);
     }
     job.state.results_listed.notify_waiters();
 }
--- a/crates/edge/src/job/owner_read.rs
+++ b/crates/edge/src/job/owner_read.rs
@@ -24,7 +24,7 @@
     loop {
         let change = state.results_listed.notified();
         let Some(results) = state.jobs().cached_results(job, query.position, query.bytes_max) else {
-            return ResultsResponse::Unsure;
+            return ResultsResponse::Unavailable;
         };
         if !results.is_empty() {
             return ResultsResponse::Listed(results);
@@ -32,7 +32,7 @@
         // Only the owner can tell that no further result is stored.
         let is_owner = state.ownership().is_owned_here(job) && state.jobs().has_state(job) && state.is_lease_valid();
         if !is_owner {
-            return ResultsResponse::Unsure;
+            return ResultsResponse::Unavailable;
         }
         let left_ms = query.wait_until.since_ms(state.now());
         if left_ms == 0 || state.jobs().is_ended(job) {
@@ -59,7 +59,7 @@
     let request = ResultsRequest { job: job.clone(), position, bytes_max, wait_ms };
     match peers.call(&control, RESULTS_PATH, &request, wait_ms + CALL_SLACK_MS).await {
         Ok(ResultsResponse::Listed(results)) => Some(results),
-        Ok(ResultsResponse::Unsure) => None,
+        Ok(ResultsResponse::Unavailable) => None,
         Err(error) => {
             LogLine::new("owner_read_failed").field("job", job).field("owner", control).field("reason", error).warn();
             None
@@ -76,7 +76,7 @@
     item: &str,
 ) -> Option<Option<Bytes>> {
     let answer = match local_item(state, job, item) {
-        ItemResponse::Unsure => {
+        ItemResponse::Unavailable => {
             let control = owner_control(state, job)?;
             let request = ItemRequest { job: job.clone(), item: item.into() };
             peers.call(&control, ITEM_BODY_PATH, &request, CALL_SLACK_MS).await
@@ -86,7 +86,7 @@
     match answer {
         Ok(ItemResponse::Body(body)) => Some(Some(body.into())),
         Ok(ItemResponse::Unknown) => Some(None),
-        Ok(ItemResponse::Unsure) => None,
+        Ok(ItemResponse::Unavailable) => None,
         Err(error) => {
             LogLine::new("owner_read_failed").field("job", job).field("item", item).field("reason", error).warn();
             None
@@ -96,7 +96,7 @@
 
 /// Reads the body of an item from the memory of this process; is unsure unless this process runs the job.
 pub fn local_item(state: &EdgeState, job: &str, item: &str) -> ItemResponse {
-    let Some(submission) = state.jobs().running_submission(job) else { return ItemResponse::Unsure };
+    let Some(submission) = state.jobs().running_submission(job) else { return ItemResponse::Unavailable };
     let matching_item = submission.items.iter().find(|candidate| *candidate.id == *item);
     matching_item.map_or(ItemResponse::Unknown, |item| ItemResponse::Body(item.body.to_vec()))
 }
--- a/crates/edge/src/lease_task.rs
+++ b/crates/edge/src/lease_task.rs
@@ -30,7 +30,7 @@
                     lease_renewed(&state, lease, requested_at.plus_ms(lease_ms));
                     RENEW_INTERVAL
                 }
-                Err(StoreError::LeaseGone) => {
+                Err(StoreError::LeaseNotFound) => {
                     LogLine::new("lease_lost").field("lease", lease).warn();
                     lease_lost(&state);
                     Duration::ZERO
@@ -68,11 +68,11 @@
             return RETRY_DELAY;
         }
     };
-    let control = state.settings.control.map(|address| address.to_string()).unwrap_or_default();
+    let control = state.settings.control_address.map(|address| address.to_string()).unwrap_or_default();
     let presence = PresenceEntry {
         incarnation: state.incarnation,
         lease,
-        control: control.into(),
+        control_address: control.into(),
         failure_domain: state.settings.failure_domain.clone(),
         region: state.settings.region.clone(),
     };
@@ -83,7 +83,7 @@
             return RETRY_DELAY;
         }
     };
-    let commit = StoreCommit::default().put(KeyLayout::daemon(&state.settings.vm), entry, lease);
+    let commit = StoreCommit::default().put(KeyLayout::presence_key(&state.settings.vm), entry, lease);
     if let Err(error) = store.commit(&commit).await {
         LogLine::new("presence_not_recorded").field("reason", error).warn();
         return RETRY_DELAY;
--- a/crates/edge/src/run_edge.rs
+++ b/crates/edge/src/run_edge.rs
@@ -48,8 +48,8 @@
     let mut hangup = signal(SignalKind::hangup())?;
     let state = EdgeState::new(settings);
     let public_server = serve_public(&state)?;
-    serve_internal(&state, state.settings.ready, configure_ready)?;
-    serve_internal(&state, state.settings.control, configure_control)?;
+    serve_internal(&state, state.settings.ready_address, configure_ready)?;
+    serve_internal(&state, state.settings.control_address, configure_control)?;
     let metrics_address = metrics_port.and_then(|port| Some(SocketAddr::new(state.settings.ip.parse().ok()?, port)));
     if let Err(error) = serve_internal(&state, metrics_address, configure_control) {
         LogLine::new("metrics_not_served").field("reason", format!("{error:#}")).warn();
@@ -123,7 +123,7 @@
 
 /// Starts the public HTTP server, to which callers connect.
 fn serve_public(state: &Arc<EdgeState>) -> Result<ServerHandle> {
-    let address = state.settings.public.context("the settings file has no public address; add one")?;
+    let address = state.settings.public_address.context("the settings file has no public address; add one")?;
     let shared_state = state.clone();
     let server = HttpServer::new(move || {
         let parts = WorkerParts::new(shared_state.clone());
@@ -180,7 +180,7 @@
     }
     revoke_lease(state, &store).await;
     let balancer_deadline = started_at.plus_ms(BALANCER_REACTION_MS);
-    let request_deadline = started_at.plus_ms(state.settings.grace_ms.saturating_sub(GRACE_MARGIN_MS));
+    let request_deadline = started_at.plus_ms(state.settings.shutdown_grace_ms.saturating_sub(GRACE_MARGIN_MS));
     while state.now() < balancer_deadline || (state.active_requests() > 0 && state.now() < request_deadline) {
         actix_rt::time::sleep(POLL_INTERVAL).await;
     }
--- a/crates/edge/src/steady_time.rs
+++ b/crates/edge/src/steady_time.rs
@@ -15,13 +15,13 @@
     /// Starts with the current offset between the VM's wall clock and its monotonic clock.
     #[must_use]
     pub fn new(clock: &LeaseClock) -> Self {
-        Self { offset: Mutex::new(WallClockOffset::new(clock.steady(), clock.unix_ms())) }
+        Self { offset: Mutex::new(WallClockOffset::new(clock.since_boot(), clock.unix_ms())) }
     }
 
     /// Wall-clock time in milliseconds since the Unix epoch.
     #[must_use]
     pub fn unix_ms(&self, clock: &LeaseClock) -> u64 {
         let mut offset = self.offset.lock().unwrap_or_else(PoisonError::into_inner);
-        offset.corrected_unix_ms(clock.steady(), clock.unix_ms())
+        offset.corrected_unix_ms(clock.since_boot(), clock.unix_ms())
     }
 }
--- a/crates/edge/src/store/change_feed.rs
+++ b/crates/edge/src/store/change_feed.rs
@@ -80,9 +80,9 @@
                 Ok(ChangesResponse::Changes { changes, revision }) => {
                     return Ok(WatchBatch { changes: changes.into_iter().map(store_change).collect(), revision });
                 }
-                Ok(ChangesResponse::HistoryGone) => return Err(StoreError::HistoryGone),
+                Ok(ChangesResponse::HistoryCompacted) => return Err(StoreError::HistoryCompacted),
                 // It has asked further up itself. Only this VM's own way is left.
-                Ok(ChangesResponse::StoreAway) => break,
+                Ok(ChangesResponse::StoreUnreachable) => break,
                 Err(error) => self.silent(&source.daemon, &error),
             }
             is_retry = true;
@@ -121,7 +121,7 @@
             revision: item.revision,
             written: Some(EntryBody {
                 value: item.value.to_vec(),
-                created_revision: item.created_rev,
+                created_revision: item.created_revision,
                 lease: item.lease,
             }),
         },
@@ -136,7 +136,7 @@
             key,
             value: Bytes::from(entry.value),
             revision,
-            created_rev: entry.created_revision,
+            created_revision: entry.created_revision,
             lease: entry.lease,
         }),
         None => StoreChange::Removed { key, revision },
--- a/crates/edge/src/store/change_hub.rs
+++ b/crates/edge/src/store/change_hub.rs
@@ -48,8 +48,8 @@
                 changes: news.changes.iter().map(change_message).collect(),
                 revision: news.revision,
             },
-            Err(StoreError::HistoryGone) => ChangesResponse::HistoryGone,
-            Err(_) => ChangesResponse::StoreAway,
+            Err(StoreError::HistoryCompacted) => ChangesResponse::HistoryCompacted,
+            Err(_) => ChangesResponse::StoreUnreachable,
         }
     }
 
--- a/crates/edge/src/store/coordination_keys.rs
+++ b/crates/edge/src/store/coordination_keys.rs
@@ -27,7 +27,7 @@
 
     fn written(&mut self, item: &StoreEntry, now: TimePoint) {
         self.known.insert(item.key.clone());
-        if let Some(job) = KeyLayout::parse_job(&item.key) {
+        if let Some(job) = KeyLayout::parse_job_key(&item.key) {
             match decode::<JobEntry>(&item.value) {
                 Ok(entry) => {
                     self.state.jobs().job_accepted(job.into(), entry);
@@ -40,13 +40,13 @@
                 }
                 Err(error) => unreadable(item, &error),
             }
-        } else if let Some(job) = KeyLayout::parse_end(&item.key) {
+        } else if let Some(job) = KeyLayout::parse_end_key(&item.key) {
             self.state.jobs().job_ended(job);
             self.state.ownership().job_closed(job);
-        } else if let Some(daemon) = KeyLayout::parse_daemon(&item.key) {
+        } else if let Some(daemon) = KeyLayout::parse_presence_key(&item.key) {
             match decode::<PresenceEntry>(&item.value) {
                 Ok(entry) => {
-                    let PresenceEntry { incarnation, lease, control, failure_domain, region } = entry;
+                    let PresenceEntry { incarnation, lease, control_address: control, failure_domain, region } = entry;
                     let presence = DaemonPresence { incarnation, lease, control, failure_domain, region };
                     self.state.ownership().daemon_joined(daemon.into(), presence);
                 }
@@ -62,9 +62,9 @@
 
     /// A record signed by a daemon.
     fn signed(&self, item: &StoreEntry, entry: DaemonEntry, now: TimePoint) {
-        if let Some(job) = KeyLayout::parse_owner(&item.key) {
+        if let Some(job) = KeyLayout::parse_owner_key(&item.key) {
             self.state.ownership().owner_recorded(job.into(), entry.into_owner(item.revision), now);
-        } else if item.key == KeyLayout::DUTY {
+        } else if item.key == KeyLayout::DUTY_HOLDER_KEY {
             LogLine::new("duty_holder").field("holder", &entry.daemon).field("fencing_token", item.revision).info();
             self.state.lease().duty_observed(item.revision, entry);
         }
@@ -72,15 +72,15 @@
 
     fn removed(&mut self, key: &str, revision: u64, now: TimePoint) {
         self.known.remove(key);
-        if let Some(job) = KeyLayout::parse_owner(key) {
+        if let Some(job) = KeyLayout::parse_owner_key(key) {
             self.state.ownership().owner_removed(job, revision, now);
-        } else if let Some(daemon) = KeyLayout::parse_daemon(key) {
+        } else if let Some(daemon) = KeyLayout::parse_presence_key(key) {
             LogLine::new("daemon_left").field("daemon", daemon).info();
             self.state.ownership().daemon_left(daemon);
-        } else if let Some(job) = KeyLayout::parse_job(key) {
+        } else if let Some(job) = KeyLayout::parse_job_key(key) {
             self.state.jobs().job_deleted(job);
             self.state.ownership().job_deleted(job);
-        } else if key == KeyLayout::DUTY {
+        } else if key == KeyLayout::DUTY_HOLDER_KEY {
             let mut lease = self.state.lease();
             if lease.duty.as_ref().is_some_and(|(known, _)| *known <= revision) {
                 lease.duty = None;
@@ -94,17 +94,17 @@
 }
 
 impl PrefixHandler for CoordinationKeys {
-    const PREFIX: &'static str = KeyLayout::FOLLOWED;
+    const PREFIX: &'static str = KeyLayout::WATCHED_PREFIX;
     const BATCH_DELAY_MS: u64 = 300;
 
     fn apply_snapshot(&mut self, page: RangePage, now: TimePoint) {
-        let listed: BTreeSet<String> = page.items.iter().map(|item| item.key.clone()).collect();
+        let listed: BTreeSet<String> = page.entries.iter().map(|item| item.key.clone()).collect();
         for key in std::mem::take(&mut self.known) {
             if !listed.contains(&key) {
                 self.removed(&key, page.revision, now);
             }
         }
-        for item in &page.items {
+        for item in &page.entries {
             self.written(item, now);
         }
         self.state.job_changed.notify_waiters();
--- a/crates/edge/src/store/operator_keys.rs
+++ b/crates/edge/src/store/operator_keys.rs
@@ -72,7 +72,7 @@
     const BATCH_DELAY_MS: u64 = 0;
 
     fn apply_snapshot(&mut self, page: RangePage, _now: TimePoint) {
-        for item in &page.items {
+        for item in &page.entries {
             self.written(item);
         }
     }
--- a/crates/edge/src/store/prefix_handler.rs
+++ b/crates/edge/src/store/prefix_handler.rs
@@ -60,7 +60,7 @@
                         actix_rt::time::sleep(Duration::from_millis(F::BATCH_DELAY_MS)).await;
                     }
                 }
-                Err(error @ (StoreError::HistoryGone | StoreError::Malformed { .. })) => {
+                Err(error @ (StoreError::HistoryCompacted | StoreError::Malformed { .. })) => {
                     LogLine::new("store_reread").field("prefix", F::PREFIX).field("reason", &error).warn();
                     break;
                 }
--- a/crates/edge/src/store/store_access.rs
+++ b/crates/edge/src/store/store_access.rs
@@ -37,7 +37,7 @@
     /// The same access, whose calls serve `purpose`.
     #[must_use]
     pub fn with_purpose(&self, purpose: &'static str) -> Self {
-        Self { direct: self.direct.purposed(purpose), relays: Rc::default(), ..self.clone() }
+        Self { direct: self.direct.with_purpose(purpose), relays: Rc::default(), ..self.clone() }
     }
 
     /// The way of the next call; none while the store is away and not to be asked yet.
@@ -65,7 +65,7 @@
         let control = self.state.ownership().daemon(peer)?.control.clone();
         let address = control.parse::<SocketAddr>().ok()?;
         let mut relays = self.relays.borrow_mut();
-        let client = relays.entry(control).or_insert_with(|| self.direct.through(address, RELAY_PATH));
+        let client = relays.entry(control).or_insert_with(|| self.direct.relayed_through(address, RELAY_PATH));
         Some(client.clone())
     }
 
@@ -73,7 +73,7 @@
         let now = self.state.now();
         let mut choice = self.state.store_path();
         match result {
-            Err(error @ (StoreError::NotDone { .. } | StoreError::Unknown { .. })) => {
+            Err(error @ (StoreError::NotApplied { .. } | StoreError::OutcomeUnknown { .. })) => {
                 if choice.call_failed(path, began, now) {
                     LogLine::new("store_path_lost").field("path", path).field("reason", error).warn();
                 }
@@ -99,8 +99,8 @@
         let result = call(&client, &path).await;
         self.note(&path, began, &result);
         let again = match &result {
-            Err(StoreError::NotDone { .. }) => true,
-            Err(StoreError::Unknown { .. }) => repeatable,
+            Err(StoreError::NotApplied { .. }) => true,
+            Err(StoreError::OutcomeUnknown { .. }) => repeatable,
             _ => false,
         };
         if !again {
@@ -120,7 +120,7 @@
 
     /// As [`StoreClient::page`].
     pub async fn page(&self, prefix: &str, after: Option<&str>) -> Result<RangePage> {
-        self.call(true, async |client, _| client.page(prefix, after).await).await
+        self.call(true, async |client, _| client.range_page(prefix, after).await).await
     }
 
     /// As [`StoreClient::range`].
@@ -144,21 +144,21 @@
 
     /// As [`StoreClient::grant`].
     pub async fn grant_lease(&self, ttl_ms: u64) -> Result<u64> {
-        self.call(false, async |client, _| client.grant(ttl_ms).await).await
+        self.call(false, async |client, _| client.grant_lease(ttl_ms).await).await
     }
 
     /// As [`StoreClient::keep`].
     pub async fn renew_lease(&self, lease: u64) -> Result<()> {
-        self.call(true, async |client, _| client.keep(lease).await).await
+        self.call(true, async |client, _| client.renew_lease(lease).await).await
     }
 
     /// As [`StoreClient::end`].
     pub async fn revoke_lease(&self, lease: u64) -> Result<()> {
-        self.call(true, async |client, _| client.end(lease).await).await
+        self.call(true, async |client, _| client.revoke_lease(lease).await).await
     }
 }
 
 /// The store was away a moment ago, and no call was made.
 fn resting() -> StoreError {
-    StoreError::NotDone { problem: "it was away a moment ago".to_owned() }
+    StoreError::NotApplied { problem: "it was away a moment ago".to_owned() }
 }
--- a/crates/edge/src/store/upstream_keys.rs
+++ b/crates/edge/src/store/upstream_keys.rs
@@ -78,10 +78,10 @@
     const BATCH_DELAY_MS: u64 = 0;
 
     fn apply_snapshot(&mut self, page: RangePage, now: TimePoint) {
-        for item in &page.items {
+        for item in &page.entries {
             self.written(item);
         }
-        let listed = |id: &str| page.items.iter().any(|item| upstream_id(&item.key) == Some(id));
+        let listed = |id: &str| page.entries.iter().any(|item| upstream_id(&item.key) == Some(id));
         let gone: Vec<SharedName> =
             self.state.upstreams().records().map(|record| record.id.clone()).filter(|id| !listed(id)).collect();
         for id in gone {
--- a/crates/edge/src/worker_parts.rs
+++ b/crates/edge/src/worker_parts.rs
@@ -47,15 +47,15 @@
     /// Creates the clients of the current thread.
     #[must_use]
     pub fn new(state: Arc<EdgeState>) -> Self {
-        let direct_client = StoreClient::new(state.settings.store, EdgeMetrics::count_store_call);
-        let store = StoreAccess::new(state.clone(), direct_client.purposed("serve_batches"));
+        let direct_client = StoreClient::new(state.settings.store_address, EdgeMetrics::count_store_call);
+        let store = StoreAccess::new(state.clone(), direct_client.with_purpose("serve_batches"));
         let peer_client = PeerClient::default();
         let change_feed = ChangeFeed::new(state.clone(), store.clone(), peer_client.clone());
         Self {
             upstream_client: client_with_tcp_user_timeout(UPSTREAM_USER_TIMEOUT),
             change_hub: ChangeHub::new(change_feed.with_purpose("news")),
             usage_collector: UsageCollector::new(state.clone(), store.with_purpose("usage")),
-            relay_client: direct_client.purposed("relay"),
+            relay_client: direct_client.with_purpose("relay"),
             peer_client,
             store,
             change_feed,
--- a/crates/standin/src/orders_service.rs
+++ b/crates/standin/src/orders_service.rs
@@ -78,9 +78,9 @@
         .lock()
         .unwrap_or_else(PoisonError::into_inner)
         .iter()
-        .find(|entry| entry.request.order == request.order)
+        .find(|entry| entry.request.order_id == request.order_id)
         .and_then(|entry| entry.vm.clone());
-    let answer = OrderResponse { order: request.order, state: outcome, vm };
+    let answer = OrderResponse { order_id: request.order_id, state: outcome, vm };
     if outcome == OrderState::Fenced {
         return HttpResponse::Conflict().json(answer);
     }
@@ -89,7 +89,7 @@
 
 fn decide(state: &OrderBook, request: &OrderRequest) -> (OrderState, Option<SpareUpstream>) {
     let mut log = state.log.lock().unwrap_or_else(PoisonError::into_inner);
-    let known = log.iter().find(|entry| entry.request.order == request.order).map(|entry| entry.state);
+    let known = log.iter().find(|entry| entry.request.order_id == request.order_id).map(|entry| entry.state);
     let newest = log
         .iter()
         .filter(|entry| entry.request.failure_domain == request.failure_domain)
@@ -144,9 +144,9 @@
 
 async fn get(state: web::Data<OrderBook>, id: web::Path<String>) -> HttpResponse {
     let log = state.log.lock().unwrap_or_else(PoisonError::into_inner);
-    match log.iter().find(|entry| *entry.request.order == **id) {
+    match log.iter().find(|entry| *entry.request.order_id == **id) {
         Some(entry) => HttpResponse::Ok().json(OrderResponse {
-            order: entry.request.order.clone(),
+            order_id: entry.request.order_id.clone(),
             state: entry.state,
             vm: entry.vm.clone(),
         }),
--- a/crates/wire/src/admin/change.rs
+++ b/crates/wire/src/admin/change.rs
@@ -20,7 +20,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ApplyRequest {
     /// Chosen by the operator's tool; the same id again is the same change.
-    pub change: Arc<str>,
+    #[serde(rename = "change")]
+    pub change_id: Arc<str>,
     /// Wanted records.
     pub records: Vec<RecordBody>,
 }
@@ -34,7 +35,8 @@
     /// Highest revision written, or the one in force when nothing changed.
     pub revision: u64,
     /// Records written.
-    pub changed: usize,
+    #[serde(rename = "changed")]
+    pub changed_count: usize,
     /// Daemons that confirmed the change.
     pub confirmed: Vec<Arc<str>>,
     /// Daemons that did not answer in time; they refuse keyed calls until they have caught up.
--- a/crates/wire/src/admin/key_change.rs
+++ b/crates/wire/src/admin/key_change.rs
@@ -7,14 +7,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyRequest {
     /// Chosen by the operator's tool; the same id again is the same change.
-    pub change: Arc<str>,
+    #[serde(rename = "change")]
+    pub change_id: Arc<str>,
     /// Organisation.
     pub organisation: Arc<str>,
     /// Id of the key.
-    pub key: Arc<str>,
+    #[serde(rename = "key")]
+    pub key_id: Arc<str>,
     /// Hash of a new key, absent when withdrawing.
     #[serde(default)]
-    pub hash: Option<String>,
+    #[serde(rename = "hash")]
+    pub key_hash: Option<String>,
 }
 
 /// A new key, shown once by the operator's tool.
@@ -34,7 +37,8 @@
     /// Organisation.
     pub organisation: Arc<str>,
     /// Id.
-    pub key: Arc<str>,
+    #[serde(rename = "key")]
+    pub key_id: Arc<str>,
     /// Whether it was withdrawn.
     pub withdrawn: bool,
 }
--- a/crates/wire/src/admin/status.rs
+++ b/crates/wire/src/admin/status.rs
@@ -71,7 +71,8 @@
     /// Highest revision of any record.
     pub revision: u64,
     /// Whether keys are trusted.
-    pub fresh: bool,
+    #[serde(rename = "fresh")]
+    pub keys_trusted: bool,
     /// Whether it is leaving.
     pub draining: bool,
     /// Daemons.
--- a/crates/wire/src/caller/step.rs
+++ b/crates/wire/src/caller/step.rs
@@ -37,7 +37,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OpenResponse {
     /// Samples in the step.
-    pub samples: usize,
+    #[serde(rename = "samples")]
+    pub sample_count: usize,
 }
 
 /// Fetches whole samples.
@@ -53,10 +54,12 @@
     pub cursor: FetchCursor,
     /// Newest version that the trainer published.
     #[serde(default)]
-    pub published: u64,
+    #[serde(rename = "published")]
+    pub published_version: u64,
     /// Most samples in one answer.
     #[serde(default = "default_max")]
-    pub max: usize,
+    #[serde(rename = "max")]
+    pub samples_max: usize,
     /// How long to wait for the first sample, in milliseconds.
     #[serde(default)]
     pub wait_ms: u64,
@@ -87,7 +90,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SampleBody {
     /// Position in the step: `group * group_size + index`.
-    pub sample: usize,
+    #[serde(rename = "sample")]
+    pub position: usize,
     /// Generated text.
     pub text: String,
     /// Which version produced which tokens.
@@ -97,7 +101,7 @@
 impl From<SampleResult> for SampleBody {
     fn from(result: SampleResult) -> Self {
         let segments = result.segments.into_iter().map(SegmentBody::from).collect();
-        Self { sample: result.sample, text: result.text, segments }
+        Self { position: result.sample, text: result.text, segments }
     }
 }
 
@@ -109,5 +113,6 @@
     /// Whether the cursor held every sample already.
     pub complete: bool,
     /// Samples in the step.
-    pub total: usize,
+    #[serde(rename = "total")]
+    pub sample_count: usize,
 }
--- a/crates/wire/src/peer/changes.rs
+++ b/crates/wire/src/peer/changes.rs
@@ -47,7 +47,9 @@
         revision: u64,
     },
     /// The store has dropped that part of its history.
-    HistoryGone,
+    #[serde(rename = "HistoryGone")]
+    HistoryCompacted,
     /// The watching daemon does not reach the store.
-    StoreAway,
+    #[serde(rename = "StoreAway")]
+    StoreUnreachable,
 }
--- a/crates/wire/src/peer/claim.rs
+++ b/crates/wire/src/peer/claim.rs
@@ -21,7 +21,8 @@
     /// Organisation, service and idempotency key.
     pub key: Arc<str>,
     /// Number drawn by the asker for this attempt; the same number again is the same attempt.
-    pub grant: u64,
+    #[serde(rename = "grant")]
+    pub grant_id: u64,
     /// Fingerprint of the request.
     pub fingerprint: u64,
     /// Time within which the request will have ended, in milliseconds.
@@ -66,7 +67,8 @@
     /// Organisation, service and idempotency key.
     pub key: Arc<str>,
     /// Grant.
-    pub grant: u64,
+    #[serde(rename = "grant")]
+    pub grant_id: u64,
     /// Outcome.
     pub state: SettleState,
 }
--- a/crates/wire/src/peer/exchange.rs
+++ b/crates/wire/src/peer/exchange.rs
@@ -14,7 +14,8 @@
     /// Failure domain.
     pub failure_domain: Arc<str>,
     /// Address of the control listener.
-    pub control: Arc<str>,
+    #[serde(rename = "control")]
+    pub control_address: Arc<str>,
     /// Standing, as the sender sees it.
     pub state: MemberState,
 }
@@ -25,7 +26,7 @@
             name: entry.name.clone(),
             incarnation: entry.incarnation,
             failure_domain: entry.failure_domain.clone(),
-            control: entry.control.clone(),
+            control_address: entry.control.clone(),
             state: entry.state,
         }
     }
@@ -37,7 +38,7 @@
             name: body.name,
             incarnation: body.incarnation,
             failure_domain: body.failure_domain,
-            control: body.control,
+            control: body.control_address,
             state: body.state,
             heard_at: TimePoint::default(),
         }
@@ -48,9 +49,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExchangeRequest {
     /// Who asks.
-    pub from: MemberBody,
+    #[serde(rename = "from")]
+    pub sender: MemberBody,
     /// Revision up to which the asker holds everything.
-    pub complete: u64,
+    #[serde(rename = "complete")]
+    pub complete_revision: u64,
     /// Records that the asker thinks the peer lacks.
     pub records: Vec<RecordEntry>,
     /// Requests under suspicion.
@@ -64,9 +67,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExchangeResponse {
     /// Who answers.
-    pub from: MemberBody,
+    #[serde(rename = "from")]
+    pub sender: MemberBody,
     /// Revision up to which the peer holds everything.
-    pub complete: u64,
+    #[serde(rename = "complete")]
+    pub complete_revision: u64,
     /// Records newer than the asker's revision.
     pub records: Vec<RecordEntry>,
     /// Age of the peer's knowledge in milliseconds.
--- a/crates/wire/src/peer/job_push.rs
+++ b/crates/wire/src/peer/job_push.rs
@@ -12,11 +12,14 @@
     /// Its record.
     pub entry: JobEntry,
     /// Incarnation of the owner that is meant.
-    pub incarnation: u64,
+    #[serde(rename = "incarnation")]
+    pub owner_incarnation: u64,
     /// Revision of the ownership record.
-    pub revision: u64,
+    #[serde(rename = "revision")]
+    pub ownership_revision: u64,
     /// What a former owner knows beyond the record, if the job has run before.
-    pub state: Option<LedgerState>,
+    #[serde(rename = "state")]
+    pub ledger_state: Option<LedgerState>,
     /// The submission's body.
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
--- a/crates/wire/src/peer/job_read.rs
+++ b/crates/wire/src/peer/job_read.rs
@@ -24,7 +24,8 @@
     /// Results from the position on. Empty only if there are none on record.
     Listed(Vec<Arc<ResultEntry>>),
     /// The asked daemon is not sure: the store tells.
-    Unsure,
+    #[serde(rename = "Unsure")]
+    Unavailable,
 }
 
 /// Asks for the body of an item.
@@ -44,5 +45,6 @@
     /// The job has no such item.
     Unknown,
     /// The asked daemon does not have the job's items.
-    Unsure,
+    #[serde(rename = "Unsure")]
+    Unavailable,
 }
--- a/crates/wire/src/peer/usage_push.rs
+++ b/crates/wire/src/peer/usage_push.rs
@@ -9,5 +9,6 @@
     /// Window.
     pub window: u64,
     /// Counts of the sender.
-    pub part: UsageBatchEntry,
+    #[serde(rename = "part")]
+    pub batch: UsageBatchEntry,
 }
--- a/crates/wire/src/provider/order.rs
+++ b/crates/wire/src/provider/order.rs
@@ -17,7 +17,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderRequest {
     /// Id, unique for ever.
-    pub order: Arc<str>,
+    #[serde(rename = "order")]
+    pub order_id: Arc<str>,
     /// What to do.
     pub action: OrderAction,
     /// Failure domain.
@@ -48,7 +49,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderResponse {
     /// Id.
-    pub order: Arc<str>,
+    #[serde(rename = "order")]
+    pub order_id: Arc<str>,
     /// Outcome.
     pub state: OrderState,
     /// VM that was started.
--- a/crates/wire/src/provider/usage_report.rs
+++ b/crates/wire/src/provider/usage_report.rs
@@ -31,7 +31,7 @@
 impl UsageReport {
     /// The report of a sealed window.
     #[must_use]
-    pub fn of(site: &Arc<str>, sealed: &UsageWindow) -> Self {
+    pub fn from_window(site: &Arc<str>, sealed: &UsageWindow) -> Self {
         let lines = sealed
             .lines
             .iter()
--- a/crates/wire/src/stored/daemon_entry.rs
+++ b/crates/wire/src/stored/daemon_entry.rs
@@ -28,7 +28,8 @@
     /// Its lease.
     pub lease: u64,
     /// Address for other daemons, `ip:port`.
-    pub control: SharedName,
+    #[serde(rename = "control")]
+    pub control_address: SharedName,
     /// Failure domain of its VM.
     pub failure_domain: SharedName,
     /// Region of its VM.
--- a/crates/wire/src/stored/job_entry.rs
+++ b/crates/wire/src/stored/job_entry.rs
@@ -13,7 +13,8 @@
     /// Path of the submission.
     pub path: SharedName,
     /// Number of items.
-    pub items: usize,
+    #[serde(rename = "items")]
+    pub item_count: usize,
     /// Model that it is for, if it names one.
     #[serde(default)]
     pub model: Option<SharedName>,
@@ -22,7 +23,8 @@
     pub oldest_version: u64,
     /// Tokens that its texts are expected to have together.
     #[serde(default)]
-    pub tokens: u64,
+    #[serde(rename = "tokens")]
+    pub expected_tokens: u64,
     /// First submission in milliseconds since the Unix epoch.
     pub submitted_unix_ms: u64,
 }
--- a/crates/wire/src/stored/result_entry.rs
+++ b/crates/wire/src/stored/result_entry.rs
@@ -7,9 +7,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResultEntry {
     /// Item.
-    pub id: SharedName,
+    #[serde(rename = "id")]
+    pub item_id: SharedName,
     /// Index of the item in its batch job.
-    pub index: usize,
+    #[serde(rename = "index")]
+    pub item_index: usize,
     /// Whether its text is whole.
     pub completed: bool,
     /// Text.
@@ -24,7 +26,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResultsEntry {
     /// Position of the first one.
-    pub first: usize,
+    #[serde(rename = "first")]
+    pub first_position: usize,
     /// Results.
     pub results: Vec<ResultEntry>,
 }
@@ -32,21 +35,21 @@
 impl ResultsEntry {
     /// The stored form of `chunk`; `id` names an item by its index.
     #[must_use]
-    pub fn of(chunk: &ResultChunk, id: impl Fn(usize) -> SharedName) -> Self {
+    pub fn from_chunk(chunk: &ResultChunk, id: impl Fn(usize) -> SharedName) -> Self {
         let entry = |result: &ItemResult| ResultEntry {
-            id: id(result.index),
-            index: result.index,
+            item_id: id(result.index),
+            item_index: result.index,
             completed: result.state == ItemState::Completed,
             text: result.text.clone(),
             versions: result.versions.clone(),
             score: result.score.clone(),
         };
-        Self { first: chunk.first_position, results: chunk.results.iter().map(entry).collect() }
+        Self { first_position: chunk.first_position, results: chunk.results.iter().map(entry).collect() }
     }
 
     /// Position after the last result.
     #[must_use]
-    pub fn next(&self) -> usize {
-        self.first + self.results.len()
+    pub fn next_position(&self) -> usize {
+        self.first_position + self.results.len()
     }
 }
--- a/crates/wire/src/stored/usage_entry.rs
+++ b/crates/wire/src/stored/usage_entry.rs
@@ -28,5 +28,6 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageBatchesEntry {
     /// Parts.
-    pub parts: Vec<UsageBatchEntry>,
+    #[serde(rename = "parts")]
+    pub batches: Vec<UsageBatchEntry>,
 }
