--- a/crates/cli/src/cmd/apply.rs
+++ b/crates/cli/src/cmd/apply.rs
@@ -36,7 +36,7 @@
     let args = Args::from(args);
     let records = args.files.read()?.records();
     let records = records.into_iter().map(|(name, record)| RecordBody { name, revision: 0, record }).collect();
-    let request = ApplyRequest { change: args.change, records };
+    let request = ApplyRequest { change_id: args.change, records };
     let answer: ChangeResponse = util::block_on(async { args.connection.into_client().post("apply", &request).await })?;
     print_change(&answer, args.json)
 }
@@ -46,7 +46,7 @@
     if json {
         util::print_json(answer)?;
     } else {
-        println!("on record: revision {}, {} records changed", answer.revision, answer.changed);
+        println!("on record: revision {}, {} records changed", answer.revision, answer.changed_count);
         println!("confirmed by: {}", answer.confirmed.join(", "));
     }
     if answer.accepted {
--- a/crates/cli/src/demo/scenes.rs
+++ b/crates/cli/src/demo/scenes.rs
@@ -80,24 +80,24 @@
     println!("An operator applies a base file with the site's overlay, and creates a key.");
     let file = ConfigFile::parse(("demo-base.toml", BASE_CONFIG), Some(("demo-overlay.toml", OVERLAY_CONFIG)))?;
     let records = file.records().into_iter().map(|(name, record)| RecordBody { name, revision: 0, record }).collect();
-    let request = ApplyRequest { change: util::new_change_id(), records };
+    let request = ApplyRequest { change_id: util::new_change_id(), records };
     let answer: ChangeResponse = site.admin(0).post("apply", &request).await?;
     checks.expect(
-        answer.changed >= 3,
-        format!("{} records are in force at revision {}", answer.changed, answer.revision),
+        answer.changed_count >= 3,
+        format!("{} records are in force at revision {}", answer.changed_count, answer.revision),
     );
     let secret = KeySecret::generate(&mut rand::rng());
     let request = KeyRequest {
-        change: util::new_change_id(),
+        change_id: util::new_change_id(),
         organisation: "velorio".into(),
-        key: secret.id.clone(),
-        hash: Some(secret.hash()),
+        key_id: secret.id.clone(),
+        key_hash: Some(secret.hash()),
     };
     let answer: ChangeResponse = site.admin(1).post("keys/create", &request).await?;
     let ready = wait_for(|| async {
         for daemon in 0..site.daemons.len() {
             let status: StatusResponse = site.admin(daemon).get("status").await.ok()?;
-            (status.fresh && status.revision >= answer.revision && status.upstreams.len() >= 3).then_some(())?;
+            (status.keys_trusted && status.revision >= answer.revision && status.upstreams.len() >= 3).then_some(())?;
         }
         Some(())
     });
@@ -183,15 +183,15 @@
             trainer: "menus".into(),
             step: 1,
             cursor: cursor.clone(),
-            published: 2,
-            max: 16,
+            published_version: 2,
+            samples_max: 16,
             wait_ms: 2_000,
         };
         let (_, _, bytes) = post(site, attempt % 3, "/v1/steps/fetch", key, &fetch, &[]).await?;
         let Ok(answer) = serde_json::from_slice::<FetchResponse>(&bytes) else { continue };
         for sample in &answer.samples {
-            duplicates += usize::from(cursor.contains(sample.sample));
-            cursor.insert(sample.sample);
+            duplicates += usize::from(cursor.contains(sample.position));
+            cursor.insert(sample.position);
             versions.extend(sample.segments.iter().map(|segment| segment.version));
         }
         if answer.complete {
@@ -221,7 +221,7 @@
         log.into_iter().find(|entry| entry.vm.as_deref() == Some("engine-2"))
     });
     let started_order = started_order.await;
-    let text = started_order.as_ref().map_or_else(String::new, |entry| format!("order {}", entry.request.order));
+    let text = started_order.as_ref().map_or_else(String::new, |entry| format!("order {}", entry.request.order_id));
     checks.expect(started_order.is_some(), format!("the upstream was started by {text}"));
     Ok(())
 }
@@ -245,8 +245,12 @@
 /// Withdraws the key and checks that every daemon refuses it.
 async fn withdraw_key(site: &DemoSite, key: &KeySecret, checks: &mut DemoChecks) -> CliResult<()> {
     println!("The operator withdraws the key.");
-    let request =
-        KeyRequest { change: util::new_change_id(), organisation: "velorio".into(), key: key.id.clone(), hash: None };
+    let request = KeyRequest {
+        change_id: util::new_change_id(),
+        organisation: "velorio".into(),
+        key_id: key.id.clone(),
+        key_hash: None,
+    };
     let _: ChangeResponse = site.admin(2).post("keys/withdraw", &request).await?;
     let body = serde_json::json!({ "model": "drafts", "messages": [] });
     for daemon in 0..site.daemons.len() {
--- a/crates/daemon/src/claim/claim_actor.rs
+++ b/crates/daemon/src/claim/claim_actor.rs
@@ -1,10 +1,6 @@
 //! Grants the claims of the shards that this daemon owns, after storing them in group commits.
 
-use super::{
-    CLAIM_SHARDS,
-    claim_store::{ClaimStore, StoredClaim},
-    shard_of, shard_owner,
-};
+use super::{CLAIM_SHARDS, claim_store::{ClaimStore, StoredClaim}, shard_of, shard_owner};
 use crate::shared_state::SharedState;
 use actix::{
     Actor, ActorFutureExt, AsyncContext, Context, Handler, Message, MessageResult, ResponseFuture, WrapFuture,
@@ -81,9 +77,9 @@
         let key = ClaimKey(request.key.clone());
         let now = self.shared.now();
         let deadline = now.plus_ms(request.within_ms);
-        let response = match state.table.claim(&key, request.grant, request.fingerprint, deadline, now) {
+        let response = match state.table.claim(&key, request.grant_id, request.fingerprint, deadline, now) {
             Ok(ClaimAnswer::Queued) => {
-                self.waiters.entry((key, request.grant)).or_default().push(sender);
+                self.waiters.entry((key, request.grant_id)).or_default().push(sender);
                 self.schedule_flush(context);
                 return;
             }
@@ -242,7 +238,7 @@
     type Result = MessageResult<SettleMessage>;
 
     fn handle(&mut self, message: SettleMessage, _context: &mut Context<Self>) -> Self::Result {
-        let SettleRequest { key, grant, state } = message.0;
+        let SettleRequest { key, grant_id: grant, state } = message.0;
         let table = &mut self.shards[shard_of(&key) as usize].table;
         let key = ClaimKey(key);
         match state {
--- a/crates/daemon/src/claim/claim_client.rs
+++ b/crates/daemon/src/claim/claim_client.rs
@@ -62,8 +62,8 @@
         within_ms: u64,
         id: &RequestId,
     ) -> Result<std::result::Result<ClaimGrant, StoredResponse>> {
-        let request = ClaimRequest { key: key.clone(), grant: self.shared.random_u64(), fingerprint, within_ms };
-        let grant = ClaimGrant { key, number: request.grant };
+        let request = ClaimRequest { key: key.clone(), grant_id: self.shared.random_u64(), fingerprint, within_ms };
+        let grant = ClaimGrant { key, number: request.grant_id };
         let refuse = |reason| Err(ApiError::not_run(reason, id));
         for _ in 0..CLAIM_ATTEMPTS {
             match self.request_claim(&request).await {
@@ -83,7 +83,7 @@
     /// Reports to the shard's owner how the request of `grant` ended. If that fails, the claim stays stored and later
     /// requests with its key are refused, because their outcome is unknown.
     pub async fn settle(&self, grant: &ClaimGrant, state: SettleState) {
-        let request = SettleRequest { key: grant.key.clone(), grant: grant.number, state };
+        let request = SettleRequest { key: grant.key.clone(), grant_id: grant.number, state };
         for _ in 0..SETTLE_ATTEMPTS {
             if self.settle_once(&request).await {
                 return;
--- a/crates/daemon/src/claim/claim_store.rs
+++ b/crates/daemon/src/claim/claim_store.rs
@@ -94,7 +94,7 @@
             // Another process wrote the record first, or the response was lost. Read the record to find out.
             Ok(_) | Err(_) => match self.owner_record(shard).await? {
                 OwnerRecord::OwnProcess(epoch) => Ok(epoch),
-                OwnerRecord::OtherProcess(_) => Err(PlatformError::LeaseGone),
+                OwnerRecord::OtherProcess(_) => Err(PlatformError::LeaseNotFound),
             },
         }
     }
@@ -124,7 +124,7 @@
         {
             return Ok(lease);
         }
-        let lease = self.kv.grant(RETENTION_MS + LEASE_SPAN_MS).await?;
+        let lease = self.kv.grant_lease(RETENTION_MS + LEASE_SPAN_MS).await?;
         self.lease = Some((lease, now.plus_ms(LEASE_SPAN_MS)));
         Ok(lease)
     }
--- a/crates/daemon/src/http/admin_api.rs
+++ b/crates/daemon/src/http/admin_api.rs
@@ -1,11 +1,7 @@
 //! Administration API for operators.
 
 use super::WorkerState;
-use crate::{
-    config_writer::{ConfigWriter, WriteError},
-    step::ListStepsMessage,
-    task::push_records,
-};
+use crate::{config_writer::{ConfigWriter, WriteError}, step::ListStepsMessage, task::push_records};
 use actix_web::{HttpResponse, web};
 use pimentoslip_client::KeyValueClient;
 use pimentoslip_kernel::{ConfigRecord, MemberState, RecordEntry, RecordName, SharedName};
@@ -43,7 +39,7 @@
     let (confirmed, unconfirmed) = push_until_confirmed(worker, entries).await;
     let accepted = unconfirmed.is_empty();
     LogLine::new("change").field("revision", revision).field("accepted", accepted).info();
-    let answer = ChangeResponse { accepted, revision, changed, confirmed, unconfirmed };
+    let answer = ChangeResponse { accepted, revision, changed_count: changed, confirmed, unconfirmed };
     if accepted { HttpResponse::Ok().json(answer) } else { HttpResponse::Accepted().json(answer) }
 }
 
@@ -80,7 +76,7 @@
     let mut entries = Vec::new();
     for (name, record) in wanted {
         let edit = |stored: Option<&ConfigRecord>| Ok((stored != Some(&record)).then(|| record.clone()));
-        entries.extend(writer.update(&name, &request.change, edit).await?);
+        entries.extend(writer.update(&name, &request.change_id, edit).await?);
     }
     Ok(entries)
 }
@@ -146,7 +142,7 @@
     let answer = StatusResponse {
         daemon: shared.settings.name.clone(),
         revision: config.newest_revision(),
-        fresh,
+        keys_trusted: fresh,
         draining: shared.draining.load(Ordering::SeqCst),
         daemons: daemon_statuses(&worker),
         duties: duty_statuses(&worker),
--- a/crates/daemon/src/http/key_api.rs
+++ b/crates/daemon/src/http/key_api.rs
@@ -1,9 +1,6 @@
 //! Administration of API keys.
 
-use super::{
-    WorkerState,
-    admin_api::{distribute_change, error_response},
-};
+use super::{WorkerState, admin_api::{distribute_change, error_response}};
 use crate::config_writer::{ConfigWriter, WriteError};
 use actix_web::{HttpResponse, web};
 use pimentoslip_kernel::{ConfigRecord, KeyEntry, KeySet, RecordName, SharedName};
@@ -14,7 +11,7 @@
 
 /// Handles `POST /keys/create`: stores a new key. The operator's tool generates the key and sends only its hash.
 pub async fn create(worker: web::Data<WorkerState>, request: web::Json<KeyRequest>) -> HttpResponse {
-    let Some(hash) = request.hash.clone().filter(|hash| hash.len() == HASH_CHARS) else {
+    let Some(hash) = request.key_hash.clone().filter(|hash| hash.len() == HASH_CHARS) else {
         return error_response(&WriteError::Rejected(
             "the hash is missing or malformed; send the SHA-256 of the key".to_owned(),
         ));
@@ -29,7 +26,7 @@
         Err(error) => return error_response(&error),
     }
     change_keys(&worker, &request, |keys| {
-        keys.keys.insert(request.key.clone(), KeyEntry { hash: hash.clone(), withdrawn: false });
+        keys.keys.insert(request.key_id.clone(), KeyEntry { hash: hash.clone(), withdrawn: false });
         Ok(())
     })
     .await
@@ -37,12 +34,12 @@
 
 /// Handles `POST /keys/withdraw`: makes a key invalid for good.
 pub async fn withdraw(worker: web::Data<WorkerState>, request: web::Json<KeyRequest>) -> HttpResponse {
-    change_keys(&worker, &request, |keys| match keys.keys.get_mut(&request.key) {
+    change_keys(&worker, &request, |keys| match keys.keys.get_mut(&request.key_id) {
         Some(entry) => {
             entry.withdrawn = true;
             Ok(())
         }
-        None => Err(WriteError::Rejected(format!("unknown key {}; list the keys to see their IDs", request.key))),
+        None => Err(WriteError::Rejected(format!("unknown key {}; list the keys to see their IDs", request.key_id))),
     })
     .await
 }
@@ -55,7 +52,7 @@
 ) -> HttpResponse {
     let name = RecordName::Keys(request.organisation.clone());
     let writer = ConfigWriter::new(&worker.kv, &worker.shared);
-    let written = writer.update(&name, &request.change, |stored| {
+    let written = writer.update(&name, &request.change_id, |stored| {
         let mut keys = match stored {
             Some(ConfigRecord::Keys(keys)) => keys.clone(),
             _ => KeySet::default(),
@@ -82,5 +79,5 @@
 }
 
 fn key_body(organisation: &SharedName, key: &SharedName, entry: &KeyEntry) -> KeyBody {
-    KeyBody { organisation: organisation.clone(), key: key.clone(), withdrawn: entry.withdrawn }
+    KeyBody { organisation: organisation.clone(), key_id: key.clone(), withdrawn: entry.withdrawn }
 }
--- a/crates/daemon/src/http/trainer_api.rs
+++ b/crates/daemon/src/http/trainer_api.rs
@@ -50,7 +50,7 @@
     let outcome = async {
         let mut fetch_request: FetchRequest = parse_body(&worker, payload, &id).await?;
         check_name(&fetch_request.trainer, &id)?;
-        fetch_request.max = fetch_request.max.clamp(1, FETCH_SAMPLES_MAX);
+        fetch_request.samples_max = fetch_request.samples_max.clamp(1, FETCH_SAMPLES_MAX);
         let organisation = authenticate_any(&worker, &request, &id)?;
         let answer = worker.steps.fetch(organisation, fetch_request, &id).await?;
         Ok(json_response(&answer, &id))
--- a/crates/daemon/src/shared_state.rs
+++ b/crates/daemon/src/shared_state.rs
@@ -1,9 +1,6 @@
 //! State shared by the listeners and the background tasks of a daemon.
 
-use crate::{
-    DaemonSettings, admission_controller::AdmissionController, metric_set::MetricSet, request_id::RequestId,
-    upstream::InflightTable,
-};
+use crate::{DaemonSettings, admission_controller::AdmissionController, metric_set::MetricSet, request_id::RequestId, upstream::InflightTable};
 use pimentoslip_client::LeaseClock;
 use pimentoslip_kernel::{
     ConfigView, FreshnessTable, MemberEntry, MemberState, MemberTable, RecordEntry, RetryBudget, RouteTable,
@@ -134,7 +131,7 @@
             name: self.settings.name.clone(),
             incarnation: self.incarnation,
             failure_domain: self.settings.failure_domain.clone(),
-            control: self.control_address.get().cloned().unwrap_or_else(|| "".into()),
+            control_address: self.control_address.get().cloned().unwrap_or_else(|| "".into()),
             state,
         }
     }
--- a/crates/daemon/src/step/step_actor.rs
+++ b/crates/daemon/src/step/step_actor.rs
@@ -1,10 +1,6 @@
 //! Runs the samples of the steps that this daemon owns, and delivers them to the trainers.
 
-use super::{
-    sample_attempt::{SampleAttempt, SampleError},
-    step_key,
-    step_state::{StepState, WaitingFetch},
-};
+use super::{sample_attempt::{SampleAttempt, SampleError}, step_key, step_state::{StepState, WaitingFetch}};
 use crate::shared_state::SharedState;
 use actix::{Actor, AsyncContext, Context, Handler, Message, MessageResult, ResponseFuture};
 use actix_rt::task::JoinHandle;
@@ -103,7 +99,11 @@
         }
         let samples = spec.sample_count();
         if let Some(state) = self.steps.get(&key) {
-            return if *state.spec == spec { Ok(OpenResponse { samples }) } else { Err(RefusalReason::StepConflict) };
+            return if *state.spec == spec {
+                Ok(OpenResponse { sample_count: samples })
+            } else {
+                Err(RefusalReason::StepConflict)
+            };
         }
         let (staleness_bound, published_version) = {
             let config = self.shared.config();
@@ -113,7 +113,7 @@
         let state = StepState::new(organisation, spec, staleness_bound, published_version, expires_at);
         LogLine::new("step_opened").field("step", &key).field("samples", samples).info();
         self.steps.insert(key, state);
-        Ok(OpenResponse { samples })
+        Ok(OpenResponse { sample_count: samples })
     }
 
     /// Sends the response to a fetch to `sender`: at once, or when there are samples or the wait times out.
--- a/crates/daemon/src/step/step_state.rs
+++ b/crates/daemon/src/step/step_state.rs
@@ -65,7 +65,7 @@
             if fetch.sender.is_closed() {
                 continue;
             }
-            let samples = self.ledger.fetch(&fetch.request.cursor, fetch.request.published, fetch.request.max);
+            let samples = self.ledger.fetch(&fetch.request.cursor, fetch.request.published_version, fetch.request.samples_max);
             let complete = self.ledger.is_complete();
             if samples.is_empty() && !complete && now < fetch.deadline {
                 self.waiting_fetches.push(fetch);
@@ -74,7 +74,7 @@
             shared.metrics.samples.inc_by(samples.len() as u64);
             let samples = samples.into_iter().map(SampleBody::from).collect();
             // The trainer may have stopped waiting. It will then send the request again with the same cursor.
-            let _ = fetch.sender.send(Ok(FetchResponse { samples, complete, total: self.spec.sample_count() }));
+            let _ = fetch.sender.send(Ok(FetchResponse { samples, complete, sample_count: self.spec.sample_count() }));
         }
         let wasted = self.ledger.wasted_tokens();
         shared.metrics.wasted_tokens.inc_by(wasted - self.counted_wasted_tokens);
--- a/crates/daemon/src/task/domain_duty.rs
+++ b/crates/daemon/src/task/domain_duty.rs
@@ -1,9 +1,6 @@
 //! Ordering duty of one failure domain: starts and stops its upstreams and updates the weights of its engines.
 
-use super::{
-    duty_lease::DutyLease,
-    order_sender::{OrderAuthority, OrderSender},
-};
+use super::{duty_lease::DutyLease, order_sender::{OrderAuthority, OrderSender}};
 use crate::shared_state::SharedState;
 use futures_util::future::join_all;
 use pimentoslip_client::{EtcdClient, ProviderClient, Result};
@@ -187,7 +184,7 @@
             shared.routes().draining_reported(vm);
         }
         let request = OrderRequest {
-            order: "".into(),
+            order_id: "".into(),
             action: order_action,
             failure_domain: domain.clone(),
             service: service.clone(),
--- a/crates/daemon/src/task/duty_lease.rs
+++ b/crates/daemon/src/task/duty_lease.rs
@@ -120,7 +120,7 @@
         holders.push(self.own_holder());
         let nonce = format!("{}/{}", self.shared.process_name(), self.shared.random_u64());
         let requested_at = self.shared.now();
-        let lease = self.kv.grant(self.holder.ttl_ms()).await?;
+        let lease = self.kv.grant_lease(self.holder.ttl_ms()).await?;
         let txn = TxnRequest::default()
             .expect(&self.holder_key(), 0)
             .expect(&self.previous_holders_key(), revision)
@@ -133,7 +133,7 @@
             Err(_) => self.read_own_fencing(&nonce).await?,
         };
         let Some(fencing) = fencing else {
-            return self.kv.revoke(lease).await;
+            return self.kv.revoke_lease(lease).await;
         };
         self.lease_id = lease;
         self.previous_holders = previous_holders;
@@ -165,9 +165,9 @@
             return Ok(());
         }
         let requested_at = self.shared.now();
-        match self.kv.keep_alive(self.lease_id).await {
+        match self.kv.renew_lease(self.lease_id).await {
             Ok(()) => self.holder.lease_renewed(fencing, requested_at),
-            Err(PlatformError::LeaseGone) => self.holder.step_down(),
+            Err(PlatformError::LeaseNotFound) => self.holder.step_down(),
             Err(error) => return Err(error),
         }
         Ok(())
@@ -237,7 +237,7 @@
             return;
         }
         // If this fails, the lease expires on its own.
-        let _ = self.kv.revoke(self.lease_id).await;
+        let _ = self.kv.revoke_lease(self.lease_id).await;
         LogLine::new("duty_stepped_down").field("duty", &self.duty).info();
     }
 
--- a/crates/daemon/src/task/exchange_task.rs
+++ b/crates/daemon/src/task/exchange_task.rs
@@ -143,8 +143,8 @@
 fn exchange_request(shared: &SharedState, records: Vec<RecordEntry>) -> ExchangeRequest {
     let now = shared.now();
     ExchangeRequest {
-        from: shared.own_member(),
-        complete: shared.config().complete_revision(),
+        sender: shared.own_member(),
+        complete_revision: shared.config().complete_revision(),
         records,
         suspects: shared.suspects().active_marks(now),
         members_digest: members_digest(shared),
@@ -186,13 +186,13 @@
 }
 
 fn apply_answer(shared: &SharedState, answer: ExchangeResponse, requested_at: TimePoint) {
-    let name = answer.from.name.clone();
-    let applied = shared.apply_records(answer.records, answer.complete);
+    let name = answer.sender.name.clone();
+    let applied = shared.apply_records(answer.records, answer.complete_revision);
     log_applied(&name, &applied);
     shared.freshness().peer_answered(&name, requested_at, answer.age_ms);
     let now = shared.now();
     let mut members = shared.members();
-    members.peer_seen(MemberEntry::from(answer.from), requested_at);
+    members.peer_seen(MemberEntry::from(answer.sender), requested_at);
     for body in answer.members {
         members.member_reported(&MemberEntry::from(body), now);
     }
@@ -205,21 +205,21 @@
 #[must_use]
 pub fn answer_exchange(shared: &SharedState, request: ExchangeRequest) -> ExchangeResponse {
     let now = shared.now();
-    let name = request.from.name.clone();
+    let name = request.sender.name.clone();
     let applied = shared.apply_records(request.records, 0);
     log_applied(&name, &applied);
     {
         let mut suspects = shared.suspects();
         request.suspects.into_iter().for_each(|mark| suspects.merge(mark));
     }
-    shared.members().peer_seen(MemberEntry::from(request.from), now);
+    shared.members().peer_seen(MemberEntry::from(request.sender), now);
     let members = if members_digest(shared) == request.members_digest { Vec::new() } else { member_bodies(shared) };
     let age_ms = shared.freshness().age_ms(now);
     let config = shared.config();
     ExchangeResponse {
-        from: shared.own_member(),
-        complete: config.complete_revision(),
-        records: config.entries_since(request.complete),
+        sender: shared.own_member(),
+        complete_revision: config.complete_revision(),
+        records: config.entries_since(request.complete_revision),
         age_ms,
         suspects: shared.suspects().active_marks(now),
         members,
--- a/crates/daemon/src/task/order_sender.rs
+++ b/crates/daemon/src/task/order_sender.rs
@@ -106,14 +106,14 @@
 
     /// Requests the outcome of an order from the provider. An order that never arrived is sent again under the same ID.
     async fn settle_order(&mut self, request: OrderRequest, revision: u64, authority: &OrderAuthority) -> Result<()> {
-        let reported = self.provider.order_state(&request.order).await?;
+        let reported = self.provider.order_status(&request.order_id).await?;
         let request = OrderRequest { fencing: authority.fencing, ..request };
         let answer = match reported {
             Some(answer) => answer,
-            None => self.provider.order(&request, authority.deadline).await?,
+            None => self.provider.send_order(&request, authority.deadline).await?,
         };
         LogLine::new("order_settled")
-            .field("order", &request.order)
+            .field("order", &request.order_id)
             .field("state", format!("{:?}", answer.state))
             .info();
         self.store_answer(request, answer, revision, authority).await
@@ -123,15 +123,15 @@
     pub async fn send_order(&mut self, request: OrderRequest, authority: &OrderAuthority) -> Result<OrderState> {
         self.order_count += 1;
         let order = format!("{}-{}-{}", self.failure_domain, authority.fencing, self.order_count).into();
-        let request = OrderRequest { order, fencing: authority.fencing, ..request };
-        let key = self.order_key(&request.order);
+        let request = OrderRequest { order_id: order, fencing: authority.fencing, ..request };
+        let key = self.order_key(&request.order_id);
         let value = encode_order(&StoredOrder { request: request.clone(), answer: None })?;
         let txn =
             TxnRequest::default().expect(&authority.holder_key, authority.fencing).expect(&key, 0).put(&key, value, 0);
         let commit_result = self.kv.commit(&txn).await;
         let revision = match commit_result {
             Ok(answer) if answer.succeeded => answer.header.revision,
-            Ok(_) => return Err(PlatformError::LeaseGone),
+            Ok(_) => return Err(PlatformError::LeaseNotFound),
             Err(error) => {
                 // The order may have been stored; it must be settled before another order is sent.
                 self.settled_fencing = None;
@@ -139,8 +139,8 @@
             }
         };
         self.shared.metrics.orders.inc();
-        LogLine::new("order").field("order", &request.order).field("action", format!("{:?}", request.action)).info();
-        match self.provider.order(&request, authority.deadline).await {
+        LogLine::new("order").field("order", &request.order_id).field("action", format!("{:?}", request.action)).info();
+        match self.provider.send_order(&request, authority.deadline).await {
             Ok(answer) => {
                 let state = answer.state;
                 self.store_answer(request, answer, revision, authority).await?;
@@ -162,9 +162,9 @@
         authority: &OrderAuthority,
     ) -> Result<()> {
         self.track_started_upstream(&request, &answer);
-        let key = self.order_key(&request.order);
+        let key = self.order_key(&request.order_id);
         let value = encode_order(&StoredOrder { request, answer: Some(answer) })?;
-        let lease = self.kv.grant(SETTLED_RETENTION_MS).await?;
+        let lease = self.kv.grant_lease(SETTLED_RETENTION_MS).await?;
         let txn = TxnRequest::default()
             .expect(&authority.holder_key, authority.fencing)
             .expect(&key, revision)
--- a/crates/daemon/src/task/usage_task.rs
+++ b/crates/daemon/src/task/usage_task.rs
@@ -127,15 +127,16 @@
         holder_key: &str,
     ) -> Result<SealedWindow> {
         let window = UsageWindow::seal(index, previous, &self.totals);
-        let report = serde_json::to_string(&UsageReport::of(site, &window)).map_err(|error| encoding_error(&error))?;
+        let report =
+            serde_json::to_string(&UsageReport::from_window(site, &window)).map_err(|error| encoding_error(&error))?;
         let sealed = SealedWindow { window, report };
         let value = serde_json::to_vec(&sealed).map_err(|error| encoding_error(&error))?;
         let key = window_key(&self.shared.settings.site, index);
-        let lease = self.kv.grant(WINDOW_RETENTION_MS).await?;
+        let lease = self.kv.grant_lease(WINDOW_RETENTION_MS).await?;
         let txn = TxnRequest::default().expect(holder_key, fencing).expect(&key, 0).put(&key, value, lease);
         // If the answer is lost, the next run reads the sealed window from the store.
         if !self.kv.commit(&txn).await?.succeeded {
-            return Err(PlatformError::LeaseGone);
+            return Err(PlatformError::LeaseNotFound);
         }
         LogLine::new("usage_sealed").field("window", index).field("lines", sealed.window.lines.len()).info();
         Ok(sealed)
@@ -159,9 +160,9 @@
                 continue;
             }
             self.shared.metrics.usage_reports.inc();
-            self.provider.report(site, index, fencing, sealed.report.clone().into(), deadline).await?;
+            self.provider.report_usage(site, index, fencing, sealed.report.clone().into(), deadline).await?;
             LogLine::new("usage_reported").field("window", index).info();
-            let lease = self.kv.grant(WINDOW_RETENTION_MS).await?;
+            let lease = self.kv.grant_lease(WINDOW_RETENTION_MS).await?;
             let txn = TxnRequest::default().expect(holder_key, fencing).put(&key, Vec::new(), lease);
             self.kv.commit(&txn).await?;
         }
--- a/crates/edge/src/store/change_hub.rs
+++ b/crates/edge/src/store/change_hub.rs
@@ -50,8 +50,8 @@
                 changes: batch.changes.iter().map(change_message).collect(),
                 revision: batch.revision,
             },
-            Err(StoreError::HistoryGone) => ChangesResponse::HistoryGone,
-            Err(_) => ChangesResponse::StoreAway,
+            Err(StoreError::HistoryCompacted) => ChangesResponse::HistoryCompacted,
+            Err(_) => ChangesResponse::StoreUnreachable,
         }
     }
 
--- a/crates/edge/src/store/prefix_handler.rs
+++ b/crates/edge/src/store/prefix_handler.rs
@@ -61,7 +61,7 @@
                         actix_rt::time::sleep(Duration::from_millis(H::BATCH_DELAY_MS)).await;
                     }
                 }
-                Err(error @ (StoreError::HistoryGone | StoreError::Malformed { .. })) => {
+                Err(error @ (StoreError::HistoryCompacted | StoreError::Malformed { .. })) => {
                     LogLine::new("store_reread").field("prefix", H::PREFIX).field("reason", &error).warn();
                     break;
                 }
--- a/crates/edge/src/store/store_access.rs
+++ b/crates/edge/src/store/store_access.rs
@@ -38,7 +38,7 @@
     /// The same access, whose calls are counted under `purpose`.
     #[must_use]
     pub fn with_purpose(&self, purpose: &'static str) -> Self {
-        Self { direct_client: self.direct_client.purposed(purpose), relay_clients: Rc::default(), ..self.clone() }
+        Self { direct_client: self.direct_client.with_purpose(purpose), relay_clients: Rc::default(), ..self.clone() }
     }
 
     /// The path and client of the next call; `None` while calls back off because the store is unreachable, or if the
@@ -68,7 +68,8 @@
         let control = self.state.ownership().daemon(peer)?.control.clone();
         let address = control.parse::<SocketAddr>().ok()?;
         let mut relay_clients = self.relay_clients.borrow_mut();
-        let client = relay_clients.entry(control).or_insert_with(|| self.direct_client.through(address, RELAY_PATH));
+        let client =
+            relay_clients.entry(control).or_insert_with(|| self.direct_client.relayed_through(address, RELAY_PATH));
         Some(client.clone())
     }
 
@@ -77,7 +78,7 @@
         let now = self.state.now();
         let mut choice = self.state.store_path();
         match result {
-            Err(error @ (StoreError::NotDone { .. } | StoreError::Unknown { .. })) => {
+            Err(error @ (StoreError::NotApplied { .. } | StoreError::OutcomeUnknown { .. })) => {
                 if choice.call_failed(path, started_at, now) {
                     LogLine::new("store_path_lost").field("path", path).field("reason", error).warn();
                 }
@@ -104,8 +105,8 @@
         let result = call(&client, &path).await;
         self.record_result(&path, started_at, &result);
         let should_retry = match &result {
-            Err(StoreError::NotDone { .. }) => true,
-            Err(StoreError::Unknown { .. }) => repeatable,
+            Err(StoreError::NotApplied { .. }) => true,
+            Err(StoreError::OutcomeUnknown { .. }) => repeatable,
             _ => false,
         };
         if !should_retry {
@@ -125,7 +126,7 @@
 
     /// Reads one page of the entries below `prefix`; see [`StoreClient::page`].
     pub async fn page(&self, prefix: &str, after: Option<&str>) -> Result<RangePage> {
-        self.call(true, async |client, _| client.page(prefix, after).await).await
+        self.call(true, async |client, _| client.range_page(prefix, after).await).await
     }
 
     /// Reads all entries below `prefix`; see [`StoreClient::range`].
@@ -150,21 +151,21 @@
 
     /// Requests a lease with a time to live of `ttl_ms`; see [`StoreClient::grant`].
     pub async fn grant_lease(&self, ttl_ms: u64) -> Result<u64> {
-        self.call(false, async |client, _| client.grant(ttl_ms).await).await
+        self.call(false, async |client, _| client.grant_lease(ttl_ms).await).await
     }
 
     /// Renews a lease; see [`StoreClient::keep`].
     pub async fn renew_lease(&self, lease: u64) -> Result<()> {
-        self.call(true, async |client, _| client.keep(lease).await).await
+        self.call(true, async |client, _| client.renew_lease(lease).await).await
     }
 
     /// Revokes a lease, which removes the entries bound to it; see [`StoreClient::end`].
     pub async fn revoke_lease(&self, lease: u64) -> Result<()> {
-        self.call(true, async |client, _| client.end(lease).await).await
+        self.call(true, async |client, _| client.revoke_lease(lease).await).await
     }
 }
 
 /// The error of a call that was not made because the store was unreachable a moment ago.
 fn backing_off() -> StoreError {
-    StoreError::NotDone { problem: "backing off, as the store was unreachable a moment ago".to_owned() }
+    StoreError::NotApplied { problem: "backing off, as the store was unreachable a moment ago".to_owned() }
 }
--- a/crates/edge/src/store/upstream_keys.rs
+++ b/crates/edge/src/store/upstream_keys.rs
@@ -81,10 +81,10 @@
     const BATCH_DELAY_MS: u64 = 0;
 
     fn apply_snapshot(&mut self, page: RangePage, now: TimePoint) {
-        for item in &page.items {
+        for item in &page.entries {
             self.entry_written(item);
         }
-        let is_listed = |id: &str| page.items.iter().any(|item| upstream_id(&item.key) == Some(id));
+        let is_listed = |id: &str| page.entries.iter().any(|item| upstream_id(&item.key) == Some(id));
         let delisted: Vec<SharedName> =
             self.state.upstreams().records().map(|record| record.id.clone()).filter(|id| !is_listed(id)).collect();
         for id in delisted {
