--- a/crates/daemon/src/config_writer.rs
+++ b/crates/daemon/src/config_writer.rs
@@ -10,7 +10,8 @@
 /// Result of reading or changing a stored record.
 pub type Result<T> = std::result::Result<T, WriteError>;
 
-const ATTEMPTS_MAX: u32 = 8;
+/// Maximum number of attempts of one compare-and-swap.
+const WRITE_ATTEMPTS_MAX: u32 = 8;
 
 /// Reason why a change of the configuration failed.
 #[derive(Clone, Debug, thiserror::Error)]
@@ -66,7 +67,7 @@
         edit: impl Fn(Option<&ConfigRecord>) -> Result<Option<ConfigRecord>>,
     ) -> Result<Option<RecordEntry>> {
         let key = format!("{}{}", config_prefix(&self.shared.settings.site), name.path());
-        for _ in 0..ATTEMPTS_MAX {
+        for _ in 0..WRITE_ATTEMPTS_MAX {
             let (revision, stored) = self.read_record(&key).await?;
             if let Some(stored) = stored.as_ref().filter(|stored| stored.change == *change) {
                 return Ok(Some(RecordEntry { name: name.clone(), revision, record: stored.record.clone() }));
--- a/crates/daemon/src/http/caller_auth.rs
+++ b/crates/daemon/src/http/caller_auth.rs
@@ -17,7 +17,7 @@
 /// Organisation for which requests without a key are counted.
 const ANONYMOUS_ORGANISATION: &str = "open";
 
-/// Authenticated caller.
+/// Caller of a request, authenticated unless the path needs no key.
 #[derive(Clone, Debug)]
 pub struct CallerIdentity {
     /// Organisation that the key of the request belongs to.
--- a/crates/daemon/src/http/trainer_api.rs
+++ b/crates/daemon/src/http/trainer_api.rs
@@ -15,7 +15,8 @@
 };
 use serde::{Serialize, de::DeserializeOwned};
 
-const NAME_CHARS_MAX: usize = 64;
+/// Maximum length of a trainer's name.
+const TRAINER_NAME_CHARS_MAX: usize = 64;
 /// Maximum number of samples in the answer to one fetch.
 const FETCH_SAMPLES_MAX: usize = 4_096;
 
@@ -29,7 +30,7 @@
     let (started_at, _inflight) = (worker.shared.now(), worker.shared.inflight_guard());
     let outcome = async {
         let open_request: OpenRequest = parse_body(&worker, payload, &id).await?;
-        check_name(&open_request.trainer, &id)?;
+        check_trainer_name(&open_request.trainer, &id)?;
         check_engine(&worker, &open_request.service, &id)?;
         let caller = authenticate(&worker.shared, &request, &open_request.service, &id)?;
         let answer = worker.steps.open(caller.organisation, open_request, &id).await?;
@@ -49,7 +50,7 @@
     let (started_at, _inflight) = (worker.shared.now(), worker.shared.inflight_guard());
     let outcome = async {
         let mut fetch_request: FetchRequest = parse_body(&worker, payload, &id).await?;
-        check_name(&fetch_request.trainer, &id)?;
+        check_trainer_name(&fetch_request.trainer, &id)?;
         fetch_request.max = fetch_request.max.clamp(1, FETCH_SAMPLES_MAX);
         let organisation = authenticate_any(&worker, &request, &id)?;
         let answer = worker.steps.fetch(organisation, fetch_request, &id).await?;
@@ -126,9 +127,10 @@
 }
 
 /// Refuses a trainer name that is empty, too long or has other characters than letters, digits and `-`.
-fn check_name(name: &str, id: &RequestId) -> Result<()> {
-    let is_valid =
-        !name.is_empty() && name.len() <= NAME_CHARS_MAX && name.chars().all(|c| c.is_ascii_alphanumeric() || c == '-');
+fn check_trainer_name(name: &str, id: &RequestId) -> Result<()> {
+    let is_valid = !name.is_empty()
+        && name.len() <= TRAINER_NAME_CHARS_MAX
+        && name.chars().all(|c| c.is_ascii_alphanumeric() || c == '-');
     if is_valid { Ok(()) } else { Err(ApiError::not_run(RefusalReason::BodyMalformed, id)) }
 }
 
--- a/crates/daemon/src/running_daemon.rs
+++ b/crates/daemon/src/running_daemon.rs
@@ -23,14 +23,15 @@
 /// Result of starting a daemon.
 pub type Result<T> = anyhow::Result<T>;
 
-const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
-const KEEP_ALIVE: Duration = Duration::from_secs(30);
+const REQUEST_HEADER_TIMEOUT: Duration = Duration::from_secs(10);
+const CONNECTION_KEEP_ALIVE: Duration = Duration::from_secs(30);
 /// Interval at which a shutdown checks whether it may proceed.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Maximum time for which a shutdown waits until another daemon has taken over the reporting duty and collected the
 /// usage counters.
 const USAGE_COLLECTION_TIMEOUT_MS: u64 = 15_000;
-const SERVER_STOP_SECONDS: u64 = 5;
+/// Time for which a stopping server waits until its connections are closed.
+const SERVER_STOP_TIMEOUT_SECONDS: u64 = 5;
 
 /// Started daemon.
 pub struct RunningDaemon {
@@ -78,9 +79,9 @@
     })
     .workers(settings.workers)
     .max_connections(settings.connections_max)
-    .client_request_timeout(HEADER_TIMEOUT)
-    .keep_alive(KEEP_ALIVE)
-    .shutdown_timeout(SERVER_STOP_SECONDS)
+    .client_request_timeout(REQUEST_HEADER_TIMEOUT)
+    .keep_alive(CONNECTION_KEEP_ALIVE)
+    .shutdown_timeout(SERVER_STOP_TIMEOUT_SECONDS)
     .disable_signals()
     .listen(public_listener)?
     .run();
@@ -91,9 +92,9 @@
         App::new().app_data(worker.clone()).configure(move |app| configure_control(app, &worker))
     })
     .workers(1)
-    .client_request_timeout(HEADER_TIMEOUT)
-    .keep_alive(KEEP_ALIVE)
-    .shutdown_timeout(SERVER_STOP_SECONDS)
+    .client_request_timeout(REQUEST_HEADER_TIMEOUT)
+    .keep_alive(CONNECTION_KEEP_ALIVE)
+    .shutdown_timeout(SERVER_STOP_TIMEOUT_SECONDS)
     .disable_signals()
     .listen(control_listener)?
     .run();
--- a/crates/daemon/src/task/usage_task.rs
+++ b/crates/daemon/src/task/usage_task.rs
@@ -77,8 +77,8 @@
 
     /// Updates the counters of this daemon and of every daemon that answers.
     async fn collect_totals(&mut self) {
-        let own = self.shared.usage_totals().into_iter().map(TotalsLine::from).map(UsageLine::from).collect();
-        self.totals.insert(self.shared.process_name(), own);
+        let own_lines = self.shared.usage_totals().into_iter().map(TotalsLine::from).map(UsageLine::from).collect();
+        self.totals.insert(self.shared.process_name(), own_lines);
         let control_addresses: Vec<SharedName> =
             self.shared.members().possibly_running_entries().map(|member| member.control.clone()).collect();
         let calls = control_addresses
