--- a/crates/cli/benches/site/capacity.rs
+++ b/crates/cli/benches/site/capacity.rs
@@ -1,7 +1,10 @@
-//! Slopes for the capacity page.
+//! Experiments for capacity planning: how costs grow with the number of daemons, upstreams, keys and streams.
 
 use crate::{
-    probe::{cpu_seconds, fit, histogram, metric, quantile_ms, record, resident_bytes, spread},
+    probe::{
+        cpu_seconds, latency_histogram, linear_fit, metric_sum, min_median_max, quantile_ms, record_latency,
+        resident_bytes,
+    },
     support::{Site, SiteShape},
 };
 use futures_util::StreamExt;
@@ -12,40 +15,42 @@
 };
 use std::time::{Duration, Instant};
 
-const DOMAINS: [&str; 3] = ["a", "b", "c"];
-const SETTLE: Duration = Duration::from_secs(4);
-const WINDOW: Duration = Duration::from_secs(8);
+const FAILURE_DOMAINS: [&str; 3] = ["a", "b", "c"];
+/// Wait for background work to settle before a reading.
+const SETTLE_TIME: Duration = Duration::from_secs(4);
+/// Time between two readings of which the rate is computed.
+const RATE_WINDOW: Duration = Duration::from_secs(8);
 
-/// A site whose ordering and usage have nothing to do.
-fn quiet(daemons: usize) -> SiteShape {
-    let daemons = (0..daemons).map(|at| DOMAINS[at % DOMAINS.len()]).collect();
+/// Settings of a site that orders no upstreams and seals no usage windows during the measurement.
+fn idle_site(daemons: usize) -> SiteShape {
+    let daemons = (0..daemons).map(|index| FAILURE_DOMAINS[index % FAILURE_DOMAINS.len()]).collect();
     let shape = SiteShape { daemons, engines: vec![], ..SiteShape::default() };
     let base = shape.base.replace("usage_window_seconds = 2", "usage_window_seconds = 300");
     SiteShape { base, ..shape }
 }
 
-/// Control costs of idle daemons against their number.
-pub async fn slopes() {
+/// Measures the costs of idle daemons by their number.
+pub async fn measure_idle_costs() {
     println!(
         "slopes,daemons,cpu_percent_median,cpu_percent_max,exchange_bytes_s_median,kv_calls_s_total,resident_mb_median"
     );
     let (mut cpu_points, mut byte_points, mut call_points) = (Vec::new(), Vec::new(), Vec::new());
     for count in [3, 6, 12, 24] {
-        let site = Site::start(quiet(count)).await;
-        actix_rt::time::sleep(SETTLE).await;
-        let before = readings(&site).await;
-        let began = Instant::now();
-        actix_rt::time::sleep(WINDOW).await;
-        let after = readings(&site).await;
-        let seconds = began.elapsed().as_secs_f64();
-        let rate = |pick: fn(&[f64; 4]) -> f64| -> Vec<f64> {
-            before.iter().zip(&after).map(|(before, after)| (pick(after) - pick(before)) / seconds).collect()
+        let site = Site::start(idle_site(count)).await;
+        actix_rt::time::sleep(SETTLE_TIME).await;
+        let before = read_all(&site).await;
+        let started_at = Instant::now();
+        actix_rt::time::sleep(RATE_WINDOW).await;
+        let after = read_all(&site).await;
+        let seconds = started_at.elapsed().as_secs_f64();
+        let rate = |field: fn(&[f64; 4]) -> f64| -> Vec<f64> {
+            before.iter().zip(&after).map(|(before, after)| (field(after) - field(before)) / seconds).collect()
         };
         let cpu: Vec<f64> = rate(|reading| reading[0]).iter().map(|share| share * 100.0).collect();
         let (bytes, calls) = (rate(|reading| reading[1]), rate(|reading| reading[2]));
         let resident: Vec<f64> = after.iter().map(|reading| reading[3] / 1e6).collect();
-        let (cpu, bytes, calls) = (spread(&cpu), spread(&bytes).1, calls.iter().sum::<f64>());
-        println!("slopes,{count},{:.2},{:.2},{bytes:.0},{calls:.1},{:.1}", cpu.1, cpu.2, spread(&resident).1);
+        let (cpu, bytes, calls) = (min_median_max(&cpu), min_median_max(&bytes).1, calls.iter().sum::<f64>());
+        println!("slopes,{count},{:.2},{:.2},{bytes:.0},{calls:.1},{:.1}", cpu.1, cpu.2, min_median_max(&resident).1);
         cpu_points.push((count as f64, cpu.1));
         byte_points.push((count as f64, bytes));
         call_points.push((count as f64, calls));
@@ -53,57 +58,57 @@
     for (name, points) in
         [("cpu_percent", cpu_points), ("exchange_bytes_s", byte_points), ("kv_calls_s_total", call_points)]
     {
-        let (intercept, slope) = fit(&points);
+        let (intercept, slope) = linear_fit(&points);
         println!("fit,{name},intercept {intercept:.3},slope {slope:.4} a daemon");
     }
 }
 
-/// Processor seconds, exchange bytes, service calls and resident bytes of each daemon.
-async fn readings(site: &Site) -> Vec<[f64; 4]> {
+/// Processor seconds, bytes exchanged with peers, key-value calls and resident bytes of each daemon.
+async fn read_all(site: &Site) -> Vec<[f64; 4]> {
     let mut readings = Vec::new();
     for daemon in &site.daemons {
-        let bytes = metric(&site.http, &daemon.control, "exchange_bytes").await;
-        let calls = metric(&site.http, &daemon.control, "kv_calls").await;
+        let bytes = metric_sum(&site.http, &daemon.control, "exchange_bytes").await;
+        let calls = metric_sum(&site.http, &daemon.control, "kv_calls").await;
         readings.push([cpu_seconds(&daemon.process), bytes, calls, resident_bytes(&daemon.process) as f64]);
     }
     readings
 }
 
-/// Memory against listed upstreams, and against keys.
-pub async fn memory() {
+/// Measures memory by the number of listed upstreams and by the number of keys.
+pub async fn measure_memory() {
     println!("memory,what,count,resident_mb");
-    let site = Site::start(quiet(3)).await;
+    let site = Site::start(idle_site(3)).await;
     let mut points = Vec::new();
     for count in [0_usize, 500, 1_000, 2_000] {
-        for at in 0..count {
-            let address = format!("10.{}.{}.{}:80", at / 65_536, at / 256 % 256, at % 256);
-            site.list_vm(&format!("up-{at}"), VmRole::Upstream, "a", &address, Some("desk"), VmState::Live).await;
+        for index in 0..count {
+            let address = format!("10.{}.{}.{}:80", index / 65_536, index / 256 % 256, index % 256);
+            site.list_vm(&format!("up-{index}"), VmRole::Upstream, "a", &address, Some("desk"), VmState::Live).await;
         }
-        actix_rt::time::sleep(SETTLE).await;
-        report(&site, "upstreams", count, &mut points).await;
+        actix_rt::time::sleep(SETTLE_TIME).await;
+        report_memory(&site, "upstreams", count, &mut points).await;
     }
     print_fit("upstreams", &points);
-    let site = Site::start(quiet(3)).await;
+    let site = Site::start(idle_site(3)).await;
     let mut points = Vec::new();
-    let mut made = 0;
+    let mut created_keys = 0;
     for count in [0_usize, 200, 400, 800] {
-        while made < count {
+        while created_keys < count {
             let request = KeyRequest {
-                change: format!("bench-{made}").into(),
+                change: format!("bench-{created_keys}").into(),
                 organisation: "velorio".into(),
-                key: format!("benchkey{made:04}").into(),
-                hash: Some(format!("{made:064}")),
+                key: format!("benchkey{created_keys:04}").into(),
+                hash: Some(format!("{created_keys:064}")),
             };
             site.admin_post(0, "keys/create", &request).await;
-            made += 1;
+            created_keys += 1;
         }
-        report(&site, "keys", count, &mut points).await;
+        report_memory(&site, "keys", count, &mut points).await;
     }
     print_fit("keys", &points);
 }
 
-/// Memory and processor time against open streams.
-pub async fn streams() {
+/// Measures memory and processor time by the number of open streams.
+pub async fn measure_streams() {
     println!("streams,open,resident_mb,cpu_percent");
     let flags = ["--token-us=50000", "--chunk-tokens=1", "--shortest=100000", "--slots=1000"];
     let base =
@@ -118,16 +123,16 @@
     };
     let site = Site::start(shape).await;
     let key = site.create_key(0, 1).await;
-    let mut open = Vec::new();
+    let mut open_streams = Vec::new();
     let mut points = Vec::new();
     for count in [0_usize, 200, 400, 800] {
-        while open.len() < count {
-            open.push(open_stream(&site, &key, open.len()).await);
+        while open_streams.len() < count {
+            open_streams.push(open_stream(&site, &key, open_streams.len()).await);
         }
-        actix_rt::time::sleep(SETTLE).await;
-        let (cpu, began) = (cpu_seconds(&site.daemons[0].process), Instant::now());
-        actix_rt::time::sleep(SETTLE).await;
-        let cpu = (cpu_seconds(&site.daemons[0].process) - cpu) / began.elapsed().as_secs_f64() * 100.0;
+        actix_rt::time::sleep(SETTLE_TIME).await;
+        let (cpu_before, started_at) = (cpu_seconds(&site.daemons[0].process), Instant::now());
+        actix_rt::time::sleep(SETTLE_TIME).await;
+        let cpu = (cpu_seconds(&site.daemons[0].process) - cpu_before) / started_at.elapsed().as_secs_f64() * 100.0;
         let resident = resident_bytes(&site.daemons[0].process) as f64;
         println!("streams,{count},{:.2},{cpu:.1}", resident / 1e6);
         points.push((count as f64, resident));
@@ -135,7 +140,7 @@
     print_fit("open streams", &points);
 }
 
-/// Opens a stream and keeps reading it.
+/// Opens a stream and reads it in a background task.
 async fn open_stream(site: &Site, key: &KeySecret, number: usize) -> actix_rt::task::JoinHandle<()> {
     let url = format!("http://{}/v1/chat/completions", site.daemons[0].public);
     let body = serde_json::json!({
@@ -147,24 +152,26 @@
     actix_rt::spawn(async move { while let Some(Ok(_)) = answer.next().await {} })
 }
 
-async fn report(site: &Site, what: &str, count: usize, points: &mut Vec<(f64, f64)>) {
+/// Prints the median resident memory of the daemons and adds it to `points`.
+async fn report_memory(site: &Site, resource: &str, count: usize, points: &mut Vec<(f64, f64)>) {
     let resident: Vec<f64> = site.daemons.iter().map(|daemon| resident_bytes(&daemon.process) as f64).collect();
-    let median = spread(&resident).1;
+    let median = min_median_max(&resident).1;
     points.push((count as f64, median));
-    println!("memory,{what},{count},{:.2}", median / 1e6);
+    println!("memory,{resource},{count},{:.2}", median / 1e6);
 }
 
-fn print_fit(what: &str, points: &[(f64, f64)]) {
-    let (intercept, slope) = fit(points);
-    println!("fit,memory by {what},intercept {:.2} MB,slope {slope:.0} bytes each", intercept / 1e6);
+/// Prints the least-squares line of memory by the amount of a resource.
+fn print_fit(resource: &str, points: &[(f64, f64)]) {
+    let (intercept, slope) = linear_fit(points);
+    println!("fit,memory by {resource},intercept {:.2} MB,slope {slope:.0} bytes each", intercept / 1e6);
 }
 
-/// Time until a change is confirmed by every daemon.
-pub async fn changes() {
+/// Measures the time until a change is confirmed by every daemon.
+pub async fn measure_changes() {
     println!("changes,daemons,count,p50_ms,p99_ms,max_ms,pending");
     for count in [3, 12, 24] {
-        let site = Site::start(quiet(count)).await;
-        let mut times = histogram();
+        let site = Site::start(idle_site(count)).await;
+        let mut times = latency_histogram();
         let mut pending = 0;
         for change in 0..200 {
             let request = KeyRequest {
@@ -173,9 +180,9 @@
                 key: format!("benchkey{:04}", change % 20).into(),
                 hash: Some(format!("{change:064}")),
             };
-            let began = Instant::now();
+            let started_at = Instant::now();
             let answer = site.admin_post(change % count, "keys/create", &request).await;
-            record(&mut times, began.elapsed());
+            record_latency(&mut times, started_at.elapsed());
             pending += usize::from(!answer.json::<ChangeAnswer>().accepted);
         }
         let (p50, p99) = (quantile_ms(&times, 0.5), quantile_ms(&times, 0.99));
--- a/crates/cli/benches/site/main.rs
+++ b/crates/cli/benches/site/main.rs
@@ -1,7 +1,17 @@
-//! Measurements of real daemons as separate processes against stand-ins, printed as CSV.
+//! Benchmarks of daemons that run as separate processes against stand-ins. Results are printed as CSV.
 //!
-//! `cargo bench --bench site -- EXPERIMENT ...` runs the named ones of: slopes, memory, streams, way, chunks, claims,
-//! changes, flood, routing, steps. Without a name all are run.
+//! `cargo bench --bench site -- EXPERIMENT ...` runs the named experiments, or all of them without a name:
+//!
+//! - `slopes`: costs of idle daemons by their number
+//! - `memory`: memory by the number of listed upstreams and of keys
+//! - `streams`: memory and processor time by the number of open streams
+//! - `changes`: time until a configuration change is confirmed
+//! - `claims`: group commits of claims by commit interval
+//! - `way`: latency that a daemon adds to a request
+//! - `chunks`: throughput of streamed chunks
+//! - `flood`: fairness between organisations under overload
+//! - `routing`: latency by route policy
+//! - `steps`: idle time, staleness and wasted tokens of training runs
 
 #[allow(dead_code, unused_imports)]
 #[path = "../../tests/processes/support/mod.rs"]
@@ -14,36 +24,36 @@
 
 #[actix_rt::main]
 async fn main() {
-    let asked: Vec<String> = std::env::args().skip(1).filter(|name| !name.starts_with('-')).collect();
-    let wanted = |name: &str| asked.is_empty() || asked.iter().any(|asked| asked == name);
-    if wanted("slopes") {
-        capacity::slopes().await;
+    let requested: Vec<String> = std::env::args().skip(1).filter(|name| !name.starts_with('-')).collect();
+    let is_selected = |name: &str| requested.is_empty() || requested.iter().any(|requested| requested == name);
+    if is_selected("slopes") {
+        capacity::measure_idle_costs().await;
     }
-    if wanted("memory") {
-        capacity::memory().await;
+    if is_selected("memory") {
+        capacity::measure_memory().await;
     }
-    if wanted("streams") {
-        capacity::streams().await;
+    if is_selected("streams") {
+        capacity::measure_streams().await;
     }
-    if wanted("changes") {
-        capacity::changes().await;
+    if is_selected("changes") {
+        capacity::measure_changes().await;
     }
-    if wanted("claims") {
-        service::claims().await;
+    if is_selected("claims") {
+        service::measure_claims().await;
     }
-    if wanted("way") {
-        service::way().await;
+    if is_selected("way") {
+        service::measure_proxy_latency().await;
     }
-    if wanted("chunks") {
-        service::chunks().await;
+    if is_selected("chunks") {
+        service::measure_chunks().await;
     }
-    if wanted("flood") {
-        service::flood().await;
+    if is_selected("flood") {
+        service::measure_flood().await;
     }
-    if wanted("routing") {
-        service::routing().await;
+    if is_selected("routing") {
+        service::measure_routing().await;
     }
-    if wanted("steps") {
-        training::steps().await;
+    if is_selected("steps") {
+        training::measure_steps().await;
     }
 }
--- a/crates/cli/benches/site/service.rs
+++ b/crates/cli/benches/site/service.rs
@@ -1,7 +1,7 @@
-//! What callers see: latency, throughput, fairness.
+//! Experiments on what callers observe: latency, throughput and fairness.
 
 use crate::{
-    probe::{cpu_seconds, histogram, metric, quantile_ms, record, spread},
+    probe::{cpu_seconds, latency_histogram, metric_sum, min_median_max, quantile_ms, record_latency},
     support::{HttpClient, Site, SiteShape},
 };
 use futures_util::{StreamExt, future::join_all};
@@ -13,30 +13,32 @@
 use std::time::{Duration, Instant};
 
 const ROUNDS: usize = 5;
-const ORDERS: &str = "/services/desk/orders";
+/// Path of the plain service that handles orders.
+const ORDERS_PATH: &str = "/services/desk/orders";
 
+/// Settings of a site without engines.
 fn plain_site() -> SiteShape {
     SiteShape { engines: vec![], ..SiteShape::default() }
 }
 
-/// Group commits: writes and latency against the least time between two commits.
-pub async fn claims() {
+/// Measures the commits and the latency of claims by the minimum time between two group commits.
+pub async fn measure_claims() {
     println!("claims,interval_ms,callers,orders,orders_s,commits,claims_per_commit,p50_ms,p99_ms");
     for interval_ms in [1, 5, 20, 50] {
         for callers in [1, 16, 64] {
             let flag = format!("--claim-interval-ms={interval_ms}");
             let site = Site::start(SiteShape { daemon_flags: vec![flag], ..plain_site() }).await;
             let key = site.create_key(0, 1).await;
-            let began = Instant::now();
+            let started_at = Instant::now();
             let times = join_all((0..callers).map(|caller| order_loop(&site, &key, caller, 60)));
-            let mut all = histogram();
+            let mut all = latency_histogram();
             times.await.iter().for_each(|times| all.add(times).expect("a histogram"));
-            let seconds = began.elapsed().as_secs_f64();
+            let seconds = started_at.elapsed().as_secs_f64();
             let mut commits = 0.0;
             let mut claims = 0.0;
             for daemon in &site.daemons {
-                commits += metric(&site.http, &daemon.control, "claim_commits_total").await;
-                claims += metric(&site.http, &daemon.control, "claims_total").await;
+                commits += metric_sum(&site.http, &daemon.control, "claim_commits_total").await;
+                claims += metric_sum(&site.http, &daemon.control, "claims_total").await;
             }
             println!(
                 "claims,{interval_ms},{callers},{},{:.0},{commits},{:.1},{:.2},{:.2}",
@@ -50,65 +52,67 @@
     }
 }
 
+/// Sends `count` orders one after the other and returns their latencies.
 async fn order_loop(site: &Site, key: &KeySecret, caller: usize, count: usize) -> Histogram<u64> {
-    let mut times = histogram();
+    let mut times = latency_histogram();
     for number in 0..count {
         let name = format!("order-{caller}-{number}");
-        let began = Instant::now();
-        let answer = site.call(caller % 3, "POST", ORDERS, key, &[("idempotency-key", &name)], &number).await;
+        let started_at = Instant::now();
+        let answer = site.call(caller % 3, "POST", ORDERS_PATH, key, &[("idempotency-key", &name)], &number).await;
         assert_eq!(answer.status, 200, "{answer:?}");
-        record(&mut times, began.elapsed());
+        record_latency(&mut times, started_at.elapsed());
     }
     times
 }
 
-/// Added latency of the way through a daemon, against direct calls, interleaved.
-pub async fn way() {
+/// Measures the latency that a daemon adds, by interleaved direct and proxied calls.
+pub async fn measure_proxy_latency() {
     println!("way,round,direct_p50_ms,through_p50_ms,added_p50_ms,direct_p99_ms,through_p99_ms,cpu_us_a_request");
     let base =
         SiteShape::default().base.replace("open_paths = [\"/menu\"]", "open_paths = [\"/menu\"]\nrepeatable = true");
     let site = Site::start(SiteShape { base, daemons: vec!["a"], ..plain_site() }).await;
     let key = site.create_key(0, 1).await;
     let bearer = format!("Bearer {}", key.expose());
-    let through = format!("http://{}{ORDERS}", site.daemons[0].public);
-    let direct = format!("http://{}/orders", site.desk);
-    let mut added = Vec::new();
+    let proxied_url = format!("http://{}{ORDERS_PATH}", site.daemons[0].public);
+    let direct_url = format!("http://{}/orders", site.desk);
+    let mut added_p50s = Vec::new();
     for round in 0..ROUNDS {
-        let (mut direct_times, mut through_times) = (histogram(), histogram());
-        let cpu = cpu_seconds(&site.daemons[0].process);
+        let (mut direct_times, mut proxied_times) = (latency_histogram(), latency_histogram());
+        let cpu_before = cpu_seconds(&site.daemons[0].process);
         const CALLS: usize = 2_000;
         for _ in 0..CALLS {
-            let began = Instant::now();
-            site.http.send("POST", &direct, &[("x-request-id", "d")], &1).await;
-            record(&mut direct_times, began.elapsed());
-            let began = Instant::now();
-            let answer = site.http.send("POST", &through, &[("authorization", &bearer)], &1).await;
-            record(&mut through_times, began.elapsed());
+            let started_at = Instant::now();
+            site.http.send("POST", &direct_url, &[("x-request-id", "d")], &1).await;
+            record_latency(&mut direct_times, started_at.elapsed());
+            let started_at = Instant::now();
+            let answer = site.http.send("POST", &proxied_url, &[("authorization", &bearer)], &1).await;
+            record_latency(&mut proxied_times, started_at.elapsed());
             assert_eq!(answer.status, 200, "{answer:?}");
         }
-        let cpu = (cpu_seconds(&site.daemons[0].process) - cpu) * 1e6 / CALLS as f64;
-        let (direct_p50, through_p50) = (quantile_ms(&direct_times, 0.5), quantile_ms(&through_times, 0.5));
-        added.push(through_p50 - direct_p50);
+        let cpu = (cpu_seconds(&site.daemons[0].process) - cpu_before) * 1e6 / CALLS as f64;
+        let (direct_p50, proxied_p50) = (quantile_ms(&direct_times, 0.5), quantile_ms(&proxied_times, 0.5));
+        added_p50s.push(proxied_p50 - direct_p50);
         println!(
-            "way,{round},{direct_p50:.3},{through_p50:.3},{:.3},{:.3},{:.3},{cpu:.0}",
-            through_p50 - direct_p50,
+            "way,{round},{direct_p50:.3},{proxied_p50:.3},{:.3},{:.3},{:.3},{cpu:.0}",
+            proxied_p50 - direct_p50,
             quantile_ms(&direct_times, 0.99),
-            quantile_ms(&through_times, 0.99)
+            quantile_ms(&proxied_times, 0.99)
         );
     }
-    let (least, median, most) = spread(&added);
+    let (least, median, most) = min_median_max(&added_p50s);
     println!("way,added p50 ms,min {least:.3},median {median:.3},max {most:.3}");
 }
 
-/// Streamed chunks a second that one daemon passes, and its processor time for each: as fast as engines can
-/// (many chunks arrive together), and paced (each arrives alone).
-pub async fn chunks() {
+/// Measures how many streamed chunks per second one daemon forwards, and its processor time for each. Engines send
+/// either as fast as they can, so that many chunks arrive together, or paced, so that each chunk arrives alone.
+pub async fn measure_chunks() {
     println!("chunks,mode,round,streams,chunks,seconds,chunks_s,cpu_cores,chunks_a_cpu_second");
-    chunk_mode("together", "0", 20_000, 16).await;
-    chunk_mode("alone", "2000", 1_000, 160).await;
+    measure_chunk_mode("together", "0", 20_000, 16).await;
+    measure_chunk_mode("alone", "2000", 1_000, 160).await;
 }
 
-async fn chunk_mode(mode: &str, token_us: &str, tokens: usize, streams: usize) {
+/// Measures the throughput of chunks with one pace of the engines.
+async fn measure_chunk_mode(mode: &str, token_us: &str, tokens: usize, streams: usize) {
     let flags = [
         format!("--token-us={token_us}"),
         "--chunk-tokens=1".to_owned(),
@@ -126,11 +130,11 @@
     let site = Site::start(shape).await;
     let key = site.create_key(0, 1).await;
     for round in 0..ROUNDS {
-        let cpu = cpu_seconds(&site.daemons[0].process);
-        let began = Instant::now();
+        let cpu_before = cpu_seconds(&site.daemons[0].process);
+        let started_at = Instant::now();
         let counts = join_all((0..streams).map(|stream| read_stream(&site, &key, stream, tokens))).await;
-        let seconds = began.elapsed().as_secs_f64();
-        let cpu = cpu_seconds(&site.daemons[0].process) - cpu;
+        let seconds = started_at.elapsed().as_secs_f64();
+        let cpu = cpu_seconds(&site.daemons[0].process) - cpu_before;
         let chunks: usize = counts.iter().sum();
         println!(
             "chunks,{mode},{round},{streams},{chunks},{seconds:.2},{:.0},{:.2},{:.0}",
@@ -141,6 +145,7 @@
     }
 }
 
+/// Requests a stream, reads it to its end and returns the number of its events.
 async fn read_stream(site: &Site, key: &KeySecret, stream: usize, tokens: usize) -> usize {
     let url = format!("http://{}/v1/chat/completions", site.daemons[0].public);
     let body = serde_json::json!({
@@ -156,13 +161,21 @@
     count
 }
 
-/// Events in a piece of a stream.
+/// Number of events that start in a piece of a stream.
 fn count_events(chunk: &[u8]) -> usize {
     chunk.windows(6).filter(|window| window == b"data: ").count()
 }
 
-async fn completion(site: &Site, at: usize, http: &HttpClient, key: &KeySecret, prompt: &str, seed: u64) -> bool {
-    let url = format!("http://{}/v1/chat/completions", site.daemons[at].public);
+/// Requests a completion from the daemon with index `daemon`. Returns whether it succeeded.
+async fn request_completion(
+    site: &Site,
+    daemon: usize,
+    http: &HttpClient,
+    key: &KeySecret,
+    prompt: &str,
+    seed: u64,
+) -> bool {
+    let url = format!("http://{}/v1/chat/completions", site.daemons[daemon].public);
     let body = serde_json::json!({
         "model": "drafts", "max_tokens": 64, "seed": seed, "messages": [{ "role": "user", "content": prompt }],
     });
@@ -170,8 +183,9 @@
     http.send("POST", &url, &[("authorization", &bearer)], &body).await.status == 200
 }
 
-/// One organisation floods while another sends one request at a time.
-pub async fn flood() {
+/// Measures the latencies of two organisations by admission policy, while one floods the site and the other sends one
+/// request at a time.
+pub async fn measure_flood() {
     println!("flood,policy,round,organisation,requests,p50_ms,p99_ms");
     let base = SiteShape::default()
         .base
@@ -193,14 +207,14 @@
             ..SiteShape::default()
         };
         let site = Site::start(shape).await;
-        let flood = site.create_key(0, 1).await;
-        let small = other_key(&site, "rose").await;
-        sites.push((policy, site, flood, small));
+        let flood_key = site.create_key(0, 1).await;
+        let small_key = create_key_for(&site, "rose").await;
+        sites.push((policy, site, flood_key, small_key));
     }
     let mut ratios: Vec<(&str, f64)> = Vec::new();
     for round in 0..ROUNDS {
-        for (policy, site, flood, small) in &sites {
-            let (flood_times, small_times) = flood_round(site, flood, small, round).await;
+        for (policy, site, flood_key, small_key) in &sites {
+            let (flood_times, small_times) = flood_round(site, flood_key, small_key, round).await;
             for (name, times) in [("flood", &flood_times), ("small", &small_times)] {
                 println!(
                     "flood,{policy},{round},{name},{},{:.1},{:.1}",
@@ -213,13 +227,15 @@
         }
     }
     for policy in ["fair", "fifo"] {
-        let of: Vec<f64> = ratios.iter().filter(|(name, _)| *name == policy).map(|(_, ratio)| *ratio).collect();
-        let (least, median, most) = spread(&of);
+        let policy_ratios: Vec<f64> =
+            ratios.iter().filter(|(name, _)| *name == policy).map(|(_, ratio)| *ratio).collect();
+        let (least, median, most) = min_median_max(&policy_ratios);
         println!("flood,{policy},small p99 over flood p99,min {least:.2},median {median:.2},max {most:.2}");
     }
 }
 
-async fn other_key(site: &Site, organisation: &str) -> KeySecret {
+/// Creates a key of `organisation`.
+async fn create_key_for(site: &Site, organisation: &str) -> KeySecret {
     let secret = KeySecret::generate(&mut ChaCha8Rng::seed_from_u64(99));
     let request = KeyRequest {
         change: "other".into(),
@@ -231,57 +247,60 @@
     secret
 }
 
+/// Lets both organisations send requests for some seconds. Returns the latencies of the flooding organisation and of
+/// the other one.
 async fn flood_round(
     site: &Site,
-    flood: &KeySecret,
-    small: &KeySecret,
+    flood_key: &KeySecret,
+    small_key: &KeySecret,
     round: usize,
 ) -> (Histogram<u64>, Histogram<u64>) {
     const FLOOD_CALLERS: usize = 90;
-    const SPAN: Duration = Duration::from_secs(4);
-    let end = Instant::now() + SPAN;
-    let callers = join_all((0..FLOOD_CALLERS).map(|caller| caller_loop(site, flood, caller, round, end)));
-    let one = caller_loop(site, small, 1_000, round, end);
-    let (flood_times, small_times) = futures_util::future::join(callers, one).await;
-    let mut all = histogram();
+    const ROUND_TIME: Duration = Duration::from_secs(4);
+    let end = Instant::now() + ROUND_TIME;
+    let flood_callers = join_all((0..FLOOD_CALLERS).map(|caller| caller_loop(site, flood_key, caller, round, end)));
+    let small_caller = caller_loop(site, small_key, 1_000, round, end);
+    let (flood_times, small_times) = futures_util::future::join(flood_callers, small_caller).await;
+    let mut all = latency_histogram();
     flood_times.iter().for_each(|times| all.add(times).expect("a histogram"));
     (all, small_times)
 }
 
+/// Sends requests one after the other until `end` and returns the latencies of the successful ones.
 async fn caller_loop(site: &Site, key: &KeySecret, caller: usize, round: usize, end: Instant) -> Histogram<u64> {
     let http = HttpClient::new();
-    let mut times = histogram();
+    let mut times = latency_histogram();
     let mut number = 0;
     while Instant::now() < end {
         number += 1;
         let seed = (round * 1_000_000 + caller * 1_000 + number) as u64;
-        let began = Instant::now();
-        if completion(site, caller % 3, &http, key, &format!("prompt {seed}"), seed).await {
-            record(&mut times, began.elapsed());
+        let started_at = Instant::now();
+        if request_completion(site, caller % 3, &http, key, &format!("prompt {seed}"), seed).await {
+            record_latency(&mut times, started_at.elapsed());
         }
     }
     times
 }
 
-/// Route policies under load with repeated prompt prefixes, on equal seeds, interleaved: six equal engines,
-/// and six of which one is six times slower.
-pub async fn routing() {
+/// Measures latencies by route policy, under load with repeated prompt prefixes. Policies run interleaved on equal
+/// seeds, with six equal engines and with six engines of which one is six times slower.
+pub async fn measure_routing() {
     println!("routing,engines,policy,round,requests,p50_ms,p99_ms");
     for slow in [false, true] {
         let engines = if slow { "one slow" } else { "equal" };
         let mut sites = Vec::new();
         for policy in ["round-robin", "two-choices", "prefix-two-choices"] {
-            let (site, key) = routing_site(policy, slow).await;
-            sites.push((policy, site, key, histogram()));
+            let (site, key) = start_routing_site(policy, slow).await;
+            sites.push((policy, site, key, latency_histogram()));
         }
         for round in 0..ROUNDS {
             for (policy, site, key, all) in &mut sites {
                 let times = join_all((0..30).map(|caller| prefix_loop(site, key, caller, round))).await;
-                let mut one = histogram();
-                times.iter().for_each(|times| one.add(times).expect("a histogram"));
-                let (p50, p99) = (quantile_ms(&one, 0.5), quantile_ms(&one, 0.99));
-                println!("routing,{engines},{policy},{round},{},{p50:.2},{p99:.2}", one.len());
-                all.add(&one).expect("a histogram");
+                let mut round_times = latency_histogram();
+                times.iter().for_each(|times| round_times.add(times).expect("a histogram"));
+                let (p50, p99) = (quantile_ms(&round_times, 0.5), quantile_ms(&round_times, 0.99));
+                println!("routing,{engines},{policy},{round},{},{p50:.2},{p99:.2}", round_times.len());
+                all.add(&round_times).expect("a histogram");
             }
         }
         for (policy, _, _, all) in &sites {
@@ -291,7 +310,8 @@
     }
 }
 
-async fn routing_site(policy: &str, slow: bool) -> (Site, KeySecret) {
+/// Starts a site with six engines and a route policy. Returns it with a key.
+async fn start_routing_site(policy: &str, slow: bool) -> (Site, KeySecret) {
     let engines = if slow { vec!["a", "b", "c", "a", "b"] } else { vec!["a", "b", "c", "a", "b", "c"] };
     let shape = SiteShape {
         engines,
@@ -309,17 +329,18 @@
     (site, key)
 }
 
+/// Sends requests whose prompts share prefixes, one after the other, and returns the latencies of the successful ones.
 async fn prefix_loop(site: &Site, key: &KeySecret, caller: usize, round: usize) -> Histogram<u64> {
     const CALLS: usize = 60;
     let http = HttpClient::new();
-    let mut times = histogram();
+    let mut times = latency_histogram();
     for number in 0..CALLS {
-        // One of 600 long prefixes, of which an engine caches 64.
+        // Selects one of 600 long prefixes; an engine caches 64 of them.
         let prefix = (caller * 7_919 + number * 104_729 + round * 13) % 600;
         let prompt = format!("{prefix:-<300} and then {number}");
-        let began = Instant::now();
-        if completion(site, caller % 3, &http, key, &prompt, (caller * 1_000 + number) as u64).await {
-            record(&mut times, began.elapsed());
+        let started_at = Instant::now();
+        if request_completion(site, caller % 3, &http, key, &prompt, (caller * 1_000 + number) as u64).await {
+            record_latency(&mut times, started_at.elapsed());
         }
     }
     times
--- a/crates/cli/benches/site/training.rs
+++ b/crates/cli/benches/site/training.rs
@@ -1,46 +1,51 @@
-//! What trainers see: idle time, staleness, wasted tokens.
+//! Experiment on what trainers observe: idle time, staleness of samples, and wasted tokens.
 
 use crate::{
-    probe::{metric, spread},
+    probe::{metric_sum, min_median_max},
     support::{Site, SiteShape},
 };
 use pimentoslip_kernel::{FetchCursor, KeySecret};
 use pimentoslip_wire::caller::{FetchAnswer, FetchRequest, OpenRequest, PublishRequest};
 use std::time::{Duration, Instant};
 
-const STEPS: u64 = 8;
-const GROUPS: usize = 8;
+const STEPS_PER_RUN: u64 = 8;
+const GROUPS_PER_STEP: usize = 8;
 const GROUP_SIZE: usize = 16;
-const TRAIN: Duration = Duration::from_millis(900);
+/// Time that the trainer takes to train on one step.
+const TRAINING_TIME: Duration = Duration::from_millis(900);
 const ROUNDS: usize = 3;
 
-/// What one training run showed.
+/// Result of one training run.
 struct RunReport {
+    /// Share of the time in which the trainer waited for samples.
     idle_share: f64,
+    /// Versions between the oldest weights of a sample and the published weights, for each sample.
     staleness: Vec<u64>,
 }
 
-/// Idle share, staleness and waste with and without running ahead and hedging; one engine of four is slow.
-pub async fn steps() {
+/// Measures idle time, staleness and wasted tokens with and without running ahead and hedging; one engine of four is
+/// slow.
+pub async fn measure_steps() {
     println!("steps,run_ahead,hedging,round,idle_percent,stale_p50,stale_max,wasted_tokens");
     for run_ahead in [false, true] {
         for hedging in [false, true] {
-            let mut idle = Vec::new();
+            let mut idle_percents = Vec::new();
             for round in 0..ROUNDS {
-                let (report, wasted) = run(run_ahead, hedging, round).await;
+                let (report, wasted) = run_training(run_ahead, hedging, round).await;
                 let mut staleness = report.staleness.clone();
                 staleness.sort_unstable();
                 let (p50, max) = (staleness[staleness.len() / 2], staleness[staleness.len() - 1]);
                 println!("steps,{run_ahead},{hedging},{round},{:.1},{p50},{max},{wasted}", report.idle_share * 100.0);
-                idle.push(report.idle_share * 100.0);
+                idle_percents.push(report.idle_share * 100.0);
             }
-            let (least, median, most) = spread(&idle);
+            let (least, median, most) = min_median_max(&idle_percents);
             println!("steps,{run_ahead},{hedging},idle percent,min {least:.1},median {median:.1},max {most:.1}");
         }
     }
 }
 
-async fn run(run_ahead: bool, hedging: bool, round: usize) -> (RunReport, f64) {
+/// Trains on a new site. Returns the result and the number of tokens that the daemons discarded.
+async fn run_training(run_ahead: bool, hedging: bool, round: usize) -> (RunReport, f64) {
     let shape = SiteShape {
         engines: vec!["a", "b", "c"],
         engine_flags: vec!["--slots=16".to_owned(), "--token-us=2000".to_owned(), "--shortest=24".to_owned()],
@@ -55,57 +60,59 @@
     let report = train(&site, &key, run_ahead, round as u64 * 100).await;
     let mut wasted = 0.0;
     for daemon in &site.daemons {
-        wasted += metric(&site.http, &daemon.control, "wasted_tokens_total").await;
+        wasted += metric_sum(&site.http, &daemon.control, "wasted_tokens_total").await;
     }
     (report, wasted)
 }
 
-/// A trainer that trains on whole steps. Running ahead, it opens the next step before it trains.
-async fn train(site: &Site, key: &KeySecret, run_ahead: bool, first: u64) -> RunReport {
-    let began = Instant::now();
-    let mut idle = Duration::ZERO;
+/// Simulates a trainer that trains on complete steps. If it runs ahead, it opens the next step before it trains.
+async fn train(site: &Site, key: &KeySecret, run_ahead: bool, first_step: u64) -> RunReport {
+    let started_at = Instant::now();
+    let mut idle_time = Duration::ZERO;
     let mut staleness = Vec::new();
     let mut version = 1;
-    open(site, key, first).await;
-    for step in first..first + STEPS {
-        let waiting = Instant::now();
-        if !run_ahead && step > first {
-            open(site, key, step).await;
+    open_step(site, key, first_step).await;
+    for step in first_step..first_step + STEPS_PER_RUN {
+        let wait_start = Instant::now();
+        if !run_ahead && step > first_step {
+            open_step(site, key, step).await;
         }
         fetch_all(site, key, step, version, &mut staleness).await;
-        if step > first {
-            // The first step has nothing before it that could hide its sampling.
-            idle += waiting.elapsed();
+        if step > first_step {
+            // The first step is not counted, since no training precedes it that its sampling could overlap.
+            idle_time += wait_start.elapsed();
         }
-        if run_ahead && step + 1 < first + STEPS {
-            open(site, key, step + 1).await;
+        if run_ahead && step + 1 < first_step + STEPS_PER_RUN {
+            open_step(site, key, step + 1).await;
         }
-        actix_rt::time::sleep(TRAIN).await;
+        actix_rt::time::sleep(TRAINING_TIME).await;
         version += 1;
         let publish = PublishRequest { service: "drafts".into(), version };
         assert_eq!(site.call(0, "POST", "/v1/weights", key, &[], &publish).await.status, 200);
     }
-    RunReport { idle_share: idle.as_secs_f64() / began.elapsed().as_secs_f64(), staleness }
+    RunReport { idle_share: idle_time.as_secs_f64() / started_at.elapsed().as_secs_f64(), staleness }
 }
 
-async fn open(site: &Site, key: &KeySecret, step: u64) {
-    let open = OpenRequest {
+/// Opens a step.
+async fn open_step(site: &Site, key: &KeySecret, step: u64) {
+    let request = OpenRequest {
         trainer: "menus".into(),
         step,
         service: "drafts".into(),
-        prompts: (0..GROUPS).map(|group| format!("menu {step} {group}").into()).collect(),
+        prompts: (0..GROUPS_PER_STEP).map(|group| format!("menu {step} {group}").into()).collect(),
         group_size: GROUP_SIZE,
         max_tokens: 400,
     };
-    assert_eq!(site.call(0, "POST", "/v1/steps", key, &[], &open).await.status, 200);
+    assert_eq!(site.call(0, "POST", "/v1/steps", key, &[], &request).await.status, 200);
 }
 
+/// Fetches all samples of a step and adds the staleness of each to `staleness`.
 async fn fetch_all(site: &Site, key: &KeySecret, step: u64, published: u64, staleness: &mut Vec<u64>) {
     let mut cursor = FetchCursor::default();
     loop {
-        let fetch =
+        let request =
             FetchRequest { trainer: "menus".into(), step, cursor: cursor.clone(), published, max: 256, wait_ms: 5_000 };
-        let answer = site.call(0, "POST", "/v1/steps/fetch", key, &[], &fetch).await;
+        let answer = site.call(0, "POST", "/v1/steps/fetch", key, &[], &request).await;
         assert_eq!(answer.status, 200, "{answer:?}");
         let answer: FetchAnswer = answer.json();
         for sample in &answer.samples {
--- a/crates/cli/src/cli_error.rs
+++ b/crates/cli/src/cli_error.rs
@@ -49,7 +49,8 @@
     },
     /// A change is stored, but daemons that may be running have not confirmed it; holds their names.
     #[error(
-        "pending: the change is stored but not confirmed by {0}; it takes effect there once they are reachable, or repeat the command after they are removed from the VM list"
+        "pending: the change is stored but not confirmed by {0}; it takes effect there once they are reachable, \
+         or repeat the command after they are removed from the VM list"
     )]
     Pending(String),
     /// Any other failure, described by the text.
--- a/crates/cli/src/cmd/apply.rs
+++ b/crates/cli/src/cmd/apply.rs
@@ -16,10 +16,11 @@
     ConnectionArgs::with_flags(with_file_args(command))
 }
 
+/// Parsed arguments of the command.
 struct Args {
     files: FileArgs,
     connection: ConnectionArgs,
-    /// Id of the change.
+    /// Id that makes a repeated request the same change; random unless given.
     change: SharedName,
     json: bool,
 }
--- a/crates/cli/src/cmd/standin.rs
+++ b/crates/cli/src/cmd/standin.rs
@@ -7,6 +7,7 @@
     start_vms,
 };
 
+/// Accepted values of the `kind` argument.
 const STANDIN_KINDS: [&str; 6] = ["kv", "engine", "plain", "orders", "usage", "vms"];
 
 /// Adds the arguments of the command.
@@ -41,11 +42,15 @@
         .arg(number("version", defaults.initial_version.to_string(), "Initial weight version (engine)"))
 }
 
+/// Parsed arguments of the command.
 struct Args {
     kind: String,
     listen: String,
+    /// Whether requests with outdated fencing numbers are rejected.
     checks_fencing: bool,
+    /// Address of the VM list stand-in, used by the `orders` stand-in.
     vm_list_address: Option<String>,
+    /// Used by the `engine` stand-in.
     engine_settings: EngineSettings,
 }
 
--- a/crates/standin/src/engine_fault.rs
+++ b/crates/standin/src/engine_fault.rs
@@ -1,24 +1,24 @@
-//! Faults of the engine stand-in.
+//! Faults that the engine stand-in can simulate.
 
 use serde::{Deserialize, Serialize};
 
-/// What goes wrong.
+/// Faults to simulate, set by `PUT /standin/fault`. The default simulates none.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineFault {
-    /// Chunks carry no weight version.
+    /// Omits the weight version from streamed chunks.
     pub omit_version: bool,
-    /// Orders to load weights fail.
+    /// Fails orders to load weights with status 500.
     pub fail_swap: bool,
-    /// The version rises by one after so many chunks of each answer.
+    /// Increments the weight version after this number of chunks of each answer.
     pub swap_after_chunks: Option<u64>,
-    /// So many of the next answers carry another request's id.
+    /// Number of upcoming answers that are sent with the id of another request.
     #[serde(rename = "cross")]
     pub wrong_request_ids: u32,
-    /// So many of the next streams end before their terminal marker.
+    /// Number of upcoming streams that end before their terminal marker.
     pub cut_streams: u32,
-    /// The load report says that the engine leaves, and new work is refused.
+    /// Reports that the engine is leaving, and refuses new requests.
     pub leaving: bool,
-    /// The process exits when a prompt contains this text.
+    /// Exits the process when a prompt contains this text.
     pub crash_on: Option<String>,
 }
--- a/crates/standin/src/kv_fault.rs
+++ b/crates/standin/src/kv_fault.rs
@@ -1,15 +1,15 @@
-//! Faults of the key-value stand-in.
+//! Faults that the key-value stand-in can simulate.
 
 use serde::{Deserialize, Serialize};
 
-/// What goes wrong.
+/// Faults to simulate, set by `PUT /standin/fault`. The default simulates none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct KvFault {
-    /// Every call fails without effect.
+    /// Fails every call without effect, with status 503.
     pub down: bool,
-    /// Delay of each answer in milliseconds.
+    /// Delay before each call is processed, in milliseconds.
     pub slow_ms: u64,
-    /// So many of the next writes take effect while their answers are lost.
+    /// Number of upcoming writes and lease renewals that take effect but are answered with status 504.
     pub lose_answers: u32,
 }
--- a/crates/standin/src/kv_service.rs
+++ b/crates/standin/src/kv_service.rs
@@ -1,6 +1,6 @@
-//! The key-value stand-in: the JSON form of the etcd v3 protocol, in memory.
+//! Stand-in for the key-value service: an in-memory store that serves the JSON form of the etcd v3 protocol.
 
-use crate::{KvFault, KvStore, Result, RunningStandin, running::start};
+use crate::{KvFault, KvStore, Result, RunningStandin, running::start_server};
 use actix_web::{App, HttpResponse, web};
 use bytes::Bytes;
 use pimentoslip_wire::kv::{
@@ -15,28 +15,33 @@
 };
 use tokio::sync::watch;
 
-const WRITE_BYTES_MAX: usize = 2 << 20;
+const MAX_REQUEST_BYTES: usize = 2 << 20;
 
+/// State shared by the request handlers.
 struct KvState {
     store: Mutex<KvStore>,
     fault: Mutex<KvFault>,
+    /// Number of calls by operation.
     calls: Mutex<BTreeMap<&'static str, u64>>,
-    changed: watch::Sender<u64>,
+    /// Publishes the newest revision to watchers.
+    revision: watch::Sender<u64>,
 }
 
 impl KvState {
-    fn store<R>(&self, act: impl FnOnce(&mut KvStore) -> R) -> R {
+    /// Runs `operation` on the store after expiring leases, and notifies watchers if the revision changed.
+    fn with_store<R>(&self, operation: impl FnOnce(&mut KvStore) -> R) -> R {
         let mut store = self.store.lock().unwrap_or_else(PoisonError::into_inner);
         store.expire_leases(Instant::now());
-        let answer = act(&mut store);
+        let result = operation(&mut store);
         let revision = store.revision();
-        self.changed.send_if_modified(|known| std::mem::replace(known, revision) != revision);
-        answer
+        self.revision.send_if_modified(|published| std::mem::replace(published, revision) != revision);
+        result
     }
 
-    /// Counts the call and applies the faults that come before it. False when the service is down.
-    async fn enter(&self, call: &'static str) -> bool {
-        *self.calls.lock().unwrap_or_else(PoisonError::into_inner).entry(call).or_default() += 1;
+    /// Counts a call of `operation` and applies the simulated delay. Returns false if the service is simulated to be
+    /// down.
+    async fn start_call(&self, operation: &'static str) -> bool {
+        *self.calls.lock().unwrap_or_else(PoisonError::into_inner).entry(operation).or_default() += 1;
         let fault = *self.fault.lock().unwrap_or_else(PoisonError::into_inner);
         if fault.slow_ms > 0 {
             tokio::time::sleep(Duration::from_millis(fault.slow_ms)).await;
@@ -44,27 +49,27 @@
         !fault.down
     }
 
-    /// Whether the answer of the write just made is to be lost.
-    fn loses_answer(&self) -> bool {
+    /// Whether the response to the current write is to be lost; decrements the number of responses to lose.
+    fn take_lost_answer(&self) -> bool {
         let mut fault = self.fault.lock().unwrap_or_else(PoisonError::into_inner);
-        let loses = fault.lose_answers > 0;
+        let is_lost = fault.lose_answers > 0;
         fault.lose_answers = fault.lose_answers.saturating_sub(1);
-        loses
+        is_lost
     }
 }
 
-/// Starts the stand-in on `listen`.
+/// Starts the stand-in at the address `listen` (`ip:port`).
 pub fn start_kv(listen: &str) -> Result<RunningStandin> {
     let state = web::Data::from(Arc::new(KvState {
         store: Mutex::default(),
         fault: Mutex::default(),
         calls: Mutex::default(),
-        changed: watch::Sender::new(0),
+        revision: watch::Sender::new(0),
     }));
-    start!(listen, move || {
+    start_server!(listen, move || {
         App::new()
             .app_data(state.clone())
-            .app_data(web::JsonConfig::default().limit(WRITE_BYTES_MAX))
+            .app_data(web::JsonConfig::default().limit(MAX_REQUEST_BYTES))
             .route("/v3/kv/range", web::post().to(range))
             .route("/v3/kv/txn", web::post().to(txn))
             .route("/v3/lease/grant", web::post().to(grant))
@@ -72,100 +77,103 @@
             .route("/v3/lease/revoke", web::post().to(revoke))
             .route("/v3/watch", web::post().to(watch_changes))
             .route("/standin/fault", web::put().to(set_fault))
-            .route("/standin/calls", web::get().to(calls))
+            .route("/standin/calls", web::get().to(list_calls))
     })
 }
 
-fn down() -> HttpResponse {
+/// Response of a service that is simulated to be down.
+fn unavailable() -> HttpResponse {
     HttpResponse::ServiceUnavailable().finish()
 }
 
-async fn range(state: web::Data<KvState>, question: web::Json<RangeRequest>) -> HttpResponse {
-    if !state.enter("range").await {
-        return down();
+async fn range(state: web::Data<KvState>, request: web::Json<RangeRequest>) -> HttpResponse {
+    if !state.start_call("range").await {
+        return unavailable();
     }
-    let answer = state.store(|store| RangeResponse {
+    let answer = state.with_store(|store| RangeResponse {
         header: ResponseHeader { revision: store.revision() },
-        kvs: store.range(&question),
+        kvs: store.range(&request),
     });
     HttpResponse::Ok().json(answer)
 }
 
-async fn txn(state: web::Data<KvState>, question: web::Json<TxnRequest>) -> HttpResponse {
-    if !state.enter("txn").await {
-        return down();
+async fn txn(state: web::Data<KvState>, request: web::Json<TxnRequest>) -> HttpResponse {
+    if !state.start_call("txn").await {
+        return unavailable();
     }
-    let answer = state.store(|store| {
-        let succeeded = store.commit(&question);
+    let answer = state.with_store(|store| {
+        let succeeded = store.commit(&request);
         TxnResponse { header: ResponseHeader { revision: store.revision() }, succeeded }
     });
-    if state.loses_answer() {
+    if state.take_lost_answer() {
         return HttpResponse::GatewayTimeout().finish();
     }
     HttpResponse::Ok().json(answer)
 }
 
-async fn grant(state: web::Data<KvState>, question: web::Json<LeaseGrantRequest>) -> HttpResponse {
-    if !state.enter("grant").await {
-        return down();
+async fn grant(state: web::Data<KvState>, request: web::Json<LeaseGrantRequest>) -> HttpResponse {
+    if !state.start_call("grant").await {
+        return unavailable();
     }
-    let ttl = Duration::from_secs(question.ttl_seconds);
-    let answer = state.store(|store| LeaseGrantResponse {
+    let ttl = Duration::from_secs(request.ttl_seconds);
+    let answer = state.with_store(|store| LeaseGrantResponse {
         id: store.grant(ttl, Instant::now()),
         header: ResponseHeader { revision: store.revision() },
-        ttl_seconds: question.ttl_seconds,
+        ttl_seconds: request.ttl_seconds,
     });
     HttpResponse::Ok().json(answer)
 }
 
-async fn keep_alive(state: web::Data<KvState>, question: web::Json<LeaseId>) -> HttpResponse {
-    if !state.enter("keepalive").await {
-        return down();
+async fn keep_alive(state: web::Data<KvState>, request: web::Json<LeaseId>) -> HttpResponse {
+    if !state.start_call("keepalive").await {
+        return unavailable();
     }
-    let ttl = state.store(|store| store.keep_alive(question.id, Instant::now()));
-    if state.loses_answer() {
+    let ttl = state.with_store(|store| store.keep_alive(request.id, Instant::now()));
+    if state.take_lost_answer() {
         return HttpResponse::GatewayTimeout().finish();
     }
     let result = KeepAliveAnswer { ttl_seconds: ttl.map_or(0, |ttl| ttl.as_secs()) };
     HttpResponse::Ok().json(KeepAliveResponse { result })
 }
 
-async fn revoke(state: web::Data<KvState>, question: web::Json<LeaseId>) -> HttpResponse {
-    if !state.enter("revoke").await {
-        return down();
+async fn revoke(state: web::Data<KvState>, request: web::Json<LeaseId>) -> HttpResponse {
+    if !state.start_call("revoke").await {
+        return unavailable();
     }
-    let header = state.store(|store| {
-        store.revoke(question.id);
+    let header = state.with_store(|store| {
+        store.revoke(request.id);
         ResponseHeader { revision: store.revision() }
     });
     HttpResponse::Ok().json(serde_json::json!({ "header": header }))
 }
 
-async fn watch_changes(state: web::Data<KvState>, question: web::Json<WatchRequest>) -> HttpResponse {
-    if !state.enter("watch").await {
-        return down();
+/// Streams the entries of a range that change, one JSON document a line.
+async fn watch_changes(state: web::Data<KvState>, request: web::Json<WatchRequest>) -> HttpResponse {
+    if !state.start_call("watch").await {
+        return unavailable();
     }
-    let create = question.into_inner().create_request;
-    let changed = state.changed.subscribe();
-    let lines = futures_util::stream::unfold((state, changed, create), |(state, mut changed, mut create)| async move {
-        loop {
-            let question = RangeRequest {
-                key: create.key.clone(),
-                range_end: create.range_end.clone(),
-                min_mod_revision: create.start_revision,
-            };
-            let (revision, kvs) = state.store(|store| (store.revision(), store.range(&question)));
-            if !kvs.is_empty() {
-                create.start_revision = revision + 1;
-                let events = kvs.into_iter().map(|kv| WatchEvent { kv }).collect();
-                let result = WatchResult { header: ResponseHeader { revision }, events };
-                let mut line = serde_json::to_vec(&WatchResponse { result }).ok()?;
-                line.push(b'\n');
-                return Some((Ok::<_, io::Error>(Bytes::from(line)), (state, changed, create)));
+    let create = request.into_inner().create_request;
+    let revisions = state.revision.subscribe();
+    let lines =
+        futures_util::stream::unfold((state, revisions, create), |(state, mut revisions, mut create)| async move {
+            loop {
+                let request = RangeRequest {
+                    key: create.key.clone(),
+                    range_end: create.range_end.clone(),
+                    min_mod_revision: create.start_revision,
+                };
+                let (revision, kvs) = state.with_store(|store| (store.revision(), store.range(&request)));
+                if !kvs.is_empty() {
+                    create.start_revision = revision + 1;
+                    let events = kvs.into_iter().map(|kv| WatchEvent { kv }).collect();
+                    let result = WatchResult { header: ResponseHeader { revision }, events };
+                    let mut line = serde_json::to_vec(&WatchResponse { result }).ok()?;
+                    line.push(b'\n');
+                    return Some((Ok::<_, io::Error>(Bytes::from(line)), (state, revisions, create)));
+                }
+                revisions.changed().await.ok()?;
             }
-            changed.changed().await.ok()?;
-        }
-    });
+        });
     HttpResponse::Ok().content_type("application/json").streaming(lines)
 }
 
@@ -174,6 +182,6 @@
     HttpResponse::NoContent().finish()
 }
 
-async fn calls(state: web::Data<KvState>) -> HttpResponse {
+async fn list_calls(state: web::Data<KvState>) -> HttpResponse {
     HttpResponse::Ok().json(&*state.calls.lock().unwrap_or_else(PoisonError::into_inner))
 }
--- a/crates/standin/src/kv_store.rs
+++ b/crates/standin/src/kv_store.rs
@@ -1,4 +1,4 @@
-//! The key-value stand-in's data.
+//! Contents of the key-value stand-in: entries with revisions, and leases.
 
 use pimentoslip_wire::kv::{KeyValue, PutRequest, RangeRequest, TxnRequest};
 use std::{
@@ -6,48 +6,50 @@
     time::{Duration, Instant},
 };
 
-/// One lease.
+/// A granted lease.
 #[derive(Clone, Copy, Debug)]
 struct StoredLease {
     ttl: Duration,
     deadline: Instant,
 }
 
-/// Keys, leases, and a revision that every write raises.
+/// Entries by key and leases by id. Every write increments the revision of the store.
 #[derive(Debug, Default)]
 pub struct KvStore {
     revision: u64,
     entries: BTreeMap<Vec<u8>, KeyValue>,
     leases: HashMap<u64, StoredLease>,
-    next_lease: u64,
+    /// Id of the lease granted last.
+    last_lease: u64,
 }
 
 impl KvStore {
-    /// Revision of the last write.
+    /// Revision of the newest write.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Entries in the asked range.
+    /// Entries in the requested range that were modified at or after its minimum revision.
     #[must_use]
-    pub fn range(&self, question: &RangeRequest) -> Vec<KeyValue> {
+    pub fn range(&self, request: &RangeRequest) -> Vec<KeyValue> {
         self.entries
-            .range(question.key.clone()..)
-            .take_while(|(key, _)| in_range(key, question))
-            .filter(|(_, entry)| entry.mod_revision >= question.min_mod_revision)
+            .range(request.key.clone()..)
+            .take_while(|(key, _)| in_range(key, request))
+            .filter(|(_, entry)| entry.mod_revision >= request.min_mod_revision)
             .map(|(_, entry)| entry.clone())
             .collect()
     }
 
-    /// Writes when all comparisons hold; true when it did.
+    /// Applies the writes of a transaction if all its comparisons succeed and all its leases exist. Returns whether it
+    /// did.
     pub fn commit(&mut self, txn: &TxnRequest) -> bool {
-        let holds = txn.compare.iter().all(|compare| {
+        let compared = txn.compare.iter().all(|compare| {
             self.entries.get(&compare.key).map_or(0, |entry| entry.mod_revision) == compare.mod_revision
         });
-        let leased =
+        let leases_exist =
             txn.success.iter().all(|op| op.request_put.lease == 0 || self.leases.contains_key(&op.request_put.lease));
-        if !holds || !leased {
+        if !compared || !leases_exist {
             return false;
         }
         if !txn.success.is_empty() {
@@ -59,21 +61,21 @@
         true
     }
 
-    /// Grants a lease of `ttl`.
+    /// Grants a lease with the lifetime `ttl` and returns its id.
     pub fn grant(&mut self, ttl: Duration, now: Instant) -> u64 {
-        self.next_lease += 1;
-        self.leases.insert(self.next_lease, StoredLease { ttl, deadline: now + ttl });
-        self.next_lease
+        self.last_lease += 1;
+        self.leases.insert(self.last_lease, StoredLease { ttl, deadline: now + ttl });
+        self.last_lease
     }
 
-    /// Renews a lease; its lifetime, or None when it is gone.
+    /// Renews a lease. Returns its lifetime, or `None` if it does not exist.
     pub fn keep_alive(&mut self, lease: u64, now: Instant) -> Option<Duration> {
         let stored = self.leases.get_mut(&lease)?;
         stored.deadline = now + stored.ttl;
         Some(stored.ttl)
     }
 
-    /// Ends a lease and its keys.
+    /// Ends a lease and deletes its entries.
     pub fn revoke(&mut self, lease: u64) {
         if self.leases.remove(&lease).is_some() {
             self.revision += 1;
@@ -81,10 +83,11 @@
         }
     }
 
-    /// Ends every lease past its deadline.
+    /// Revokes every lease whose deadline has passed.
     pub fn expire_leases(&mut self, now: Instant) {
-        let over: Vec<u64> = self.leases.iter().filter(|(_, lease)| lease.deadline <= now).map(|(id, _)| *id).collect();
-        for lease in over {
+        let expired: Vec<u64> =
+            self.leases.iter().filter(|(_, lease)| lease.deadline <= now).map(|(id, _)| *id).collect();
+        for lease in expired {
             self.revoke(lease);
         }
     }
@@ -102,9 +105,10 @@
     }
 }
 
-fn in_range(key: &[u8], question: &RangeRequest) -> bool {
-    if question.range_end.is_empty() {
-        return key == question.key;
+/// Whether `key` is in the requested range: an empty range end means the single key, a zero byte means no upper bound.
+fn in_range(key: &[u8], request: &RangeRequest) -> bool {
+    if request.range_end.is_empty() {
+        return key == request.key;
     }
-    question.range_end == [0] || key < question.range_end.as_slice()
+    request.range_end == [0] || key < request.range_end.as_slice()
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,6 +1,7 @@
-//! Small stand-ins for everything outside the service, for tests, the demo and measurements.
+//! In-process stand-ins for the platform's services and for upstreams, used by tests, the demo and benchmarks.
 //!
-//! Each one serves HTTP on an address of its own and takes faults by `PUT /standin/fault`.
+//! Each stand-in serves HTTP at its own address. The key-value, engine and plain service stand-ins accept faults to
+//! simulate by `PUT /standin/fault`; [`TcpRelay`] simulates faults of the network.
 
 mod engine_fault;
 mod engine_service;
--- a/crates/standin/src/orders_service.rs
+++ b/crates/standin/src/orders_service.rs
@@ -1,7 +1,7 @@
-//! The ordering interface's stand-in. Started upstreams are taken from a list of spare ones and put on
-//! the VM list.
+//! Stand-in for the service that starts and stops upstreams by order. It starts upstreams from a list of spares and
+//! adds them to the VM list stand-in.
 
-use crate::{Result, RunningStandin, running::start};
+use crate::{Result, RunningStandin, running::start_server};
 use actix_web::{App, HttpResponse, web};
 use pimentoslip_wire::provider::{OrderAction, OrderAnswer, OrderRequest, OrderState, VmEntry, VmRole, VmState};
 use serde::{Deserialize, Serialize};
@@ -10,64 +10,66 @@
 /// An upstream that an order may start.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SpareUpstream {
-    /// VM name.
+    /// Name of the VM.
     pub name: Arc<str>,
-    /// Service.
+    /// Service that the upstream serves.
     pub service: Arc<str>,
-    /// Failure domain.
+    /// Failure domain of the VM.
     pub failure_domain: Arc<str>,
-    /// `ip:port`.
+    /// Address of the upstream, `ip:port`.
     pub address: Arc<str>,
-    /// Kind.
+    /// Whether the platform may reclaim the VM.
     pub reclaimable: bool,
 }
 
-/// How the stand-in behaves.
+/// Settings of the orders stand-in.
 #[derive(Clone, Debug, Default)]
 pub struct OrderSettings {
-    /// Whether old fencing numbers are refused.
+    /// Whether an order is rejected if its failure domain has received a higher fencing number.
     pub checks_fencing: bool,
-    /// Address of the VM list stand-in.
+    /// Address of the VM list stand-in, `ip:port`. Without it, started upstreams are not listed.
     pub vm_list_address: Option<String>,
-    /// What can be started.
+    /// Upstreams that can be started.
     pub spares: Vec<SpareUpstream>,
 }
 
-/// One order as it arrived.
+/// A received order and its outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedOrder {
-    /// The order.
+    /// Order as received.
     pub request: OrderRequest,
-    /// Outcome; a repeated order gets the outcome of the first.
+    /// Outcome; a repeated order gets the outcome of the first one.
     pub state: OrderState,
-    /// VM that was started.
+    /// Name of the VM that the order started.
     pub vm: Option<Arc<str>>,
 }
 
-struct OrderBook {
+/// State shared by the request handlers.
+struct OrderServiceState {
     settings: OrderSettings,
     spares: Mutex<Vec<SpareUpstream>>,
     log: Mutex<Vec<RecordedOrder>>,
 }
 
-/// Starts the stand-in on `listen`.
+/// Starts the stand-in at the address `listen` (`ip:port`).
 pub fn start_orders(listen: &str, settings: OrderSettings) -> Result<RunningStandin> {
     let spares = Mutex::new(settings.spares.clone());
-    let state = web::Data::from(Arc::new(OrderBook { settings, spares, log: Mutex::default() }));
-    start!(listen, move || {
+    let state = web::Data::from(Arc::new(OrderServiceState { settings, spares, log: Mutex::default() }));
+    start_server!(listen, move || {
         App::new()
             .app_data(state.clone())
-            .route("/v1/orders/{id}", web::put().to(take))
-            .route("/v1/orders/{id}", web::get().to(get))
-            .route("/standin/orders", web::get().to(all))
+            .route("/v1/orders/{id}", web::put().to(place_order))
+            .route("/v1/orders/{id}", web::get().to(get_order))
+            .route("/standin/orders", web::get().to(list_orders))
             .route("/standin/spares", web::put().to(add_spare))
     })
 }
 
-async fn take(state: web::Data<OrderBook>, request: web::Json<OrderRequest>) -> HttpResponse {
+/// Carries out an order and answers with its outcome.
+async fn place_order(state: web::Data<OrderServiceState>, request: web::Json<OrderRequest>) -> HttpResponse {
     let request = request.into_inner();
-    let (outcome, started) = decide(&state, &request);
-    if let Some(spare) = started {
+    let (outcome, started_spare) = record_order(&state, &request);
+    if let Some(spare) = started_spare {
         list_vm(&state, &request, &spare).await;
     }
     if request.action == OrderAction::Stop && outcome == OrderState::Done {
@@ -87,43 +89,46 @@
     HttpResponse::Ok().json(answer)
 }
 
-fn decide(state: &OrderBook, request: &OrderRequest) -> (OrderState, Option<SpareUpstream>) {
+/// Decides the outcome of an order and records it. Also returns the spare upstream that it starts, if any.
+fn record_order(state: &OrderServiceState, request: &OrderRequest) -> (OrderState, Option<SpareUpstream>) {
     let mut log = state.log.lock().unwrap_or_else(PoisonError::into_inner);
-    let known = log.iter().find(|entry| entry.request.order == request.order).map(|entry| entry.state);
-    let newest = log
+    let previous_outcome = log.iter().find(|entry| entry.request.order == request.order).map(|entry| entry.state);
+    let max_fencing = log
         .iter()
         .filter(|entry| entry.request.failure_domain == request.failure_domain)
         .map(|entry| entry.request.fencing)
         .max()
         .unwrap_or(0);
-    let fenced = state.settings.checks_fencing && request.fencing < newest;
-    let mut started = None;
-    let outcome = match known {
-        _ if fenced => OrderState::Fenced,
-        Some(known) => known,
+    let is_fenced = state.settings.checks_fencing && request.fencing < max_fencing;
+    let mut started_spare = None;
+    let outcome = match previous_outcome {
+        _ if is_fenced => OrderState::Fenced,
+        Some(previous) => previous,
         None if request.action == OrderAction::Stop => OrderState::Done,
         None => {
-            started = take_spare(state, request);
-            if started.is_some() { OrderState::Done } else { OrderState::Unavailable }
+            started_spare = take_spare(state, request);
+            if started_spare.is_some() { OrderState::Done } else { OrderState::Unavailable }
         }
     };
-    let vm = started.as_ref().map(|spare| spare.name.clone());
+    let vm = started_spare.as_ref().map(|spare| spare.name.clone());
     log.push(RecordedOrder { request: request.clone(), state: outcome, vm });
-    (outcome, started)
+    (outcome, started_spare)
 }
 
-fn take_spare(state: &OrderBook, request: &OrderRequest) -> Option<SpareUpstream> {
+/// Removes and returns the first spare upstream that matches the order.
+fn take_spare(state: &OrderServiceState, request: &OrderRequest) -> Option<SpareUpstream> {
     let mut spares = state.spares.lock().unwrap_or_else(PoisonError::into_inner);
-    let at = spares.iter().position(|spare| {
+    let index = spares.iter().position(|spare| {
         spare.service == request.service
             && spare.failure_domain == request.failure_domain
             && spare.reclaimable == request.reclaimable
     })?;
-    Some(spares.remove(at))
+    Some(spares.remove(index))
 }
 
-async fn list_vm(state: &OrderBook, request: &OrderRequest, spare: &SpareUpstream) {
-    let Some(vms) = &state.settings.vm_list_address else { return };
+/// Adds a started upstream to the VM list.
+async fn list_vm(state: &OrderServiceState, request: &OrderRequest, spare: &SpareUpstream) {
+    let Some(vm_list) = &state.settings.vm_list_address else { return };
     let entry = VmEntry {
         name: spare.name.clone(),
         role: VmRole::Upstream,
@@ -133,16 +138,17 @@
         reclaimable: request.reclaimable,
         state: VmState::Live,
     };
-    // The list is a hint; a failed update shows as a lagging entry.
-    let _ = awc::Client::default().put(format!("http://{vms}/v1/vms/{}", spare.name)).send_json(&entry).await;
+    // Errors are ignored: the VM list is only a hint, and a failed update appears as an outdated entry.
+    let _ = awc::Client::default().put(format!("http://{vm_list}/v1/vms/{}", spare.name)).send_json(&entry).await;
 }
 
-async fn unlist_vm(state: &OrderBook, request: &OrderRequest) {
-    let (Some(vms), Some(vm)) = (&state.settings.vm_list_address, &request.vm) else { return };
-    let _ = awc::Client::default().delete(format!("http://{vms}/v1/vms/{vm}")).send().await;
+/// Removes a stopped upstream from the VM list.
+async fn unlist_vm(state: &OrderServiceState, request: &OrderRequest) {
+    let (Some(vm_list), Some(vm)) = (&state.settings.vm_list_address, &request.vm) else { return };
+    let _ = awc::Client::default().delete(format!("http://{vm_list}/v1/vms/{vm}")).send().await;
 }
 
-async fn get(state: web::Data<OrderBook>, id: web::Path<String>) -> HttpResponse {
+async fn get_order(state: web::Data<OrderServiceState>, id: web::Path<String>) -> HttpResponse {
     let log = state.log.lock().unwrap_or_else(PoisonError::into_inner);
     match log.iter().find(|entry| *entry.request.order == **id) {
         Some(entry) => HttpResponse::Ok().json(OrderAnswer {
@@ -154,11 +160,11 @@
     }
 }
 
-async fn all(state: web::Data<OrderBook>) -> HttpResponse {
+async fn list_orders(state: web::Data<OrderServiceState>) -> HttpResponse {
     HttpResponse::Ok().json(&*state.log.lock().unwrap_or_else(PoisonError::into_inner))
 }
 
-async fn add_spare(state: web::Data<OrderBook>, spare: web::Json<SpareUpstream>) -> HttpResponse {
+async fn add_spare(state: web::Data<OrderServiceState>, spare: web::Json<SpareUpstream>) -> HttpResponse {
     state.spares.lock().unwrap_or_else(PoisonError::into_inner).push(spare.into_inner());
     HttpResponse::NoContent().finish()
 }
--- a/crates/standin/src/plain_fault.rs
+++ b/crates/standin/src/plain_fault.rs
@@ -1,17 +1,17 @@
-//! Faults of the plain service's stand-in.
+//! Faults that the plain service stand-in can simulate.
 
 use serde::{Deserialize, Serialize};
 
-/// What goes wrong.
+/// Faults to simulate, set by `PUT /standin/fault`. The default simulates none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlainFault {
-    /// Delay between running a request and answering it, in milliseconds.
+    /// Delay between running a request and sending its answer, in milliseconds.
     pub answer_after_ms: u64,
-    /// So many of the next requests are refused before they run.
+    /// Number of upcoming requests that are refused without being run.
     #[serde(rename = "refuse")]
     pub refuse_requests: u32,
-    /// So many of the next answers carry another request's id.
+    /// Number of upcoming answers that are sent with the id of another request.
     #[serde(rename = "cross")]
     pub wrong_request_ids: u32,
 }
--- a/crates/standin/src/plain_service.rs
+++ b/crates/standin/src/plain_service.rs
@@ -1,6 +1,6 @@
-//! A plain service's stand-in: counts every run of every request.
+//! Stand-in for a plain service. It records every request that it runs and answers with the number of runs so far.
 
-use crate::{PlainFault, RecordedRequest, Result, RunningStandin, running::start};
+use crate::{PlainFault, RecordedRequest, Result, RunningStandin, running::start_server};
 use actix_web::{App, HttpRequest, HttpResponse, web};
 use bytes::Bytes;
 use pimentoslip_wire::{NOT_RUN, REQUEST_ID_HEADER, RUN_STATE_HEADER};
@@ -9,54 +9,56 @@
     time::Duration,
 };
 
+/// State shared by the request handlers.
 #[derive(Default)]
 struct PlainState {
     fault: Mutex<PlainFault>,
-    seen: Mutex<Vec<RecordedRequest>>,
+    runs: Mutex<Vec<RecordedRequest>>,
 }
 
-/// Starts the stand-in on `listen`.
+/// Starts the stand-in at the address `listen` (`ip:port`).
 pub fn start_plain(listen: &str) -> Result<RunningStandin> {
     let state = web::Data::from(Arc::new(PlainState::default()));
-    start!(listen, move || {
+    start_server!(listen, move || {
         App::new()
             .app_data(state.clone())
-            .route("/standin/seen", web::get().to(seen))
+            .route("/standin/seen", web::get().to(list_runs))
             .route("/standin/fault", web::put().to(set_fault))
-            .default_service(web::to(run))
+            .default_service(web::to(run_request))
     })
 }
 
-async fn run(state: web::Data<PlainState>, request: HttpRequest, body: Bytes) -> HttpResponse {
-    let seen = RecordedRequest::from_request(&request, &body);
+/// Runs and records a request, unless a simulated fault refuses it.
+async fn run_request(state: web::Data<PlainState>, request: HttpRequest, body: Bytes) -> HttpResponse {
+    let recorded = RecordedRequest::from_request(&request, &body);
     let fault = {
         let mut fault = state.fault.lock().unwrap_or_else(PoisonError::into_inner);
-        let now = *fault;
+        let current = *fault;
         fault.refuse_requests = fault.refuse_requests.saturating_sub(1);
         fault.wrong_request_ids = fault.wrong_request_ids.saturating_sub(1);
-        now
+        current
     };
-    let id = seen.header(REQUEST_ID_HEADER).to_owned();
+    let id = recorded.header(REQUEST_ID_HEADER).to_owned();
     if fault.refuse_requests > 0 {
         return HttpResponse::ServiceUnavailable()
             .insert_header((REQUEST_ID_HEADER, id))
             .insert_header((RUN_STATE_HEADER, NOT_RUN))
             .finish();
     }
-    let run = {
-        let mut all = state.seen.lock().unwrap_or_else(PoisonError::into_inner);
-        all.push(seen);
-        all.len()
+    let run_count = {
+        let mut runs = state.runs.lock().unwrap_or_else(PoisonError::into_inner);
+        runs.push(recorded);
+        runs.len()
     };
     if fault.answer_after_ms > 0 {
         tokio::time::sleep(Duration::from_millis(fault.answer_after_ms)).await;
     }
-    let answered = if fault.wrong_request_ids > 0 { "another-request".to_owned() } else { id };
-    HttpResponse::Ok().insert_header((REQUEST_ID_HEADER, answered)).json(serde_json::json!({ "run": run }))
+    let answer_id = if fault.wrong_request_ids > 0 { "another-request".to_owned() } else { id };
+    HttpResponse::Ok().insert_header((REQUEST_ID_HEADER, answer_id)).json(serde_json::json!({ "run": run_count }))
 }
 
-async fn seen(state: web::Data<PlainState>) -> HttpResponse {
-    HttpResponse::Ok().json(&*state.seen.lock().unwrap_or_else(PoisonError::into_inner))
+async fn list_runs(state: web::Data<PlainState>) -> HttpResponse {
+    HttpResponse::Ok().json(&*state.runs.lock().unwrap_or_else(PoisonError::into_inner))
 }
 
 async fn set_fault(state: web::Data<PlainState>, fault: web::Json<PlainFault>) -> HttpResponse {
--- a/crates/standin/src/platform/mod.rs
+++ b/crates/standin/src/platform/mod.rs
@@ -1,4 +1,5 @@
-//! Stand-ins that speak the users' platform's protocol: store, upstreams, and the interface for usage reports.
+//! Stand-ins that speak the protocol of the users' platform: its store, its upstreams, and its service for usage
+//! reports and scaling orders.
 
 mod platform_provider;
 mod platform_store;
--- a/crates/standin/src/platform/platform_store.rs
+++ b/crates/standin/src/platform/platform_store.rs
@@ -1,7 +1,7 @@
-//! The platform's store over HTTP.
+//! Stand-in for the platform's key-value store, served over HTTP.
 
 use super::StoreContents;
-use crate::{Result, RunningStandin, running::start};
+use crate::{Result, RunningStandin, running::start_server};
 use actix_web::{App, HttpResponse, web};
 use serde_json::{Value, json};
 use std::{
@@ -11,70 +11,72 @@
     time::{Duration, Instant},
 };
 
-const WRITE_BYTES_MAX: usize = 16 << 20;
-const WATCH_POLL: Duration = Duration::from_millis(10);
+const MAX_COMMIT_BYTES: usize = 16 << 20;
+/// Interval at which a watch checks for changes.
+const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What the store does wrong.
+/// Faults that the store simulates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoreFault {
-    /// Every call is rejected.
+    /// Rejects every call with status 503.
     pub down: bool,
-    /// So many commits are done without an answer.
+    /// Number of upcoming commits that take effect but are answered with status 504.
     pub lose_commits: u32,
 }
 
+/// State shared by the request handlers.
 #[derive(Default)]
-struct Shared {
+struct StoreState {
     contents: Mutex<StoreContents>,
     fault: Mutex<StoreFault>,
 }
 
-/// A running store.
+/// A running stand-in for the platform's store.
 #[derive(Clone)]
 pub struct PlatformStore {
-    /// Bound address.
+    /// Address that the store listens on.
     pub address: SocketAddr,
-    shared: Arc<Shared>,
+    state: Arc<StoreState>,
 }
 
 impl PlatformStore {
-    /// Starts a store on a port picked by the kernel, on the current runtime.
+    /// Starts a store on the current runtime, at a free loopback port.
     pub fn start() -> Result<Self> {
-        let shared = Arc::new(Shared::default());
-        let data = web::Data::from(shared.clone());
-        let running: Result<RunningStandin> = start!("127.0.0.1:0", move || {
-            App::new().app_data(data.clone()).app_data(web::JsonConfig::default().limit(WRITE_BYTES_MAX)).service(
+        let state = Arc::new(StoreState::default());
+        let data = web::Data::from(state.clone());
+        let running: Result<RunningStandin> = start_server!("127.0.0.1:0", move || {
+            App::new().app_data(data.clone()).app_data(web::JsonConfig::default().limit(MAX_COMMIT_BYTES)).service(
                 web::scope("/pimentoslip")
                     .route("/kv-key", web::get().to(get))
                     .route("/kv-range", web::get().to(range))
                     .route("/kv-watch", web::get().to(watch))
                     .route("/kv-txn", web::post().to(commit))
-                    .route("/kv-lease", web::post().to(grant))
-                    .route("/kv-keep/{lease}", web::post().to(keep))
-                    .route("/kv-lease-end/{lease}", web::delete().to(end)),
+                    .route("/kv-lease", web::post().to(grant_lease))
+                    .route("/kv-keep/{lease}", web::post().to(renew_lease))
+                    .route("/kv-lease-end/{lease}", web::delete().to(end_lease)),
             )
         });
         let (address, _) = running?.spawn();
-        Ok(Self { address, shared })
+        Ok(Self { address, state })
     }
 
-    /// The entries.
+    /// Locks and returns the contents of the store, with expired leases removed.
     pub fn contents(&self) -> MutexGuard<'_, StoreContents> {
-        self.shared.contents()
+        self.state.contents()
     }
 
-    /// Writes an entry as another writer does.
+    /// Writes an entry without a lease, as another client of the store would.
     pub fn put(&self, key: &str, value: &Value) {
         self.contents().put(key, value.to_string().into_bytes(), 0);
     }
 
-    /// Sets what the store does wrong from now on.
+    /// Sets the faults to simulate from now on.
     pub fn set_fault(&self, fault: StoreFault) {
-        *self.shared.fault.lock().unwrap_or_else(PoisonError::into_inner) = fault;
+        *self.state.fault.lock().unwrap_or_else(PoisonError::into_inner) = fault;
     }
 }
 
-impl Shared {
+impl StoreState {
     fn contents(&self) -> MutexGuard<'_, StoreContents> {
         let mut contents = self.contents.lock().unwrap_or_else(PoisonError::into_inner);
         contents.expire_leases(Instant::now());
@@ -85,75 +87,80 @@
         self.fault.lock().unwrap_or_else(PoisonError::into_inner).down
     }
 
-    fn loses_commit(&self) -> bool {
+    /// Whether the response to the current commit is to be lost; decrements the number of responses to lose.
+    fn take_lost_commit(&self) -> bool {
         let mut fault = self.fault.lock().unwrap_or_else(PoisonError::into_inner);
-        let loses = fault.lose_commits > 0;
+        let is_lost = fault.lose_commits > 0;
         fault.lose_commits = fault.lose_commits.saturating_sub(1);
-        loses
+        is_lost
     }
 }
 
+/// Parameters of the query string by name.
 type Query = web::Query<HashMap<String, String>>;
 
-fn down() -> HttpResponse {
+/// Response of a store that is simulated to be down.
+fn unavailable() -> HttpResponse {
     HttpResponse::ServiceUnavailable().finish()
 }
 
+/// Value of a query parameter, or an empty text if it is missing.
 fn parameter<'a>(query: &'a Query, name: &str) -> &'a str {
     query.get(name).map_or("", String::as_str)
 }
 
-async fn get(shared: web::Data<Shared>, query: Query) -> HttpResponse {
-    if shared.is_down() {
-        return down();
+async fn get(state: web::Data<StoreState>, query: Query) -> HttpResponse {
+    if state.is_down() {
+        return unavailable();
     }
-    let contents = shared.contents();
+    let contents = state.contents();
     match contents.get(parameter(&query, "key")) {
         Some(item) => HttpResponse::Ok().json(item),
         None => HttpResponse::NotFound().finish(),
     }
 }
 
-async fn range(shared: web::Data<Shared>, query: Query) -> HttpResponse {
-    if shared.is_down() {
-        return down();
+async fn range(state: web::Data<StoreState>, query: Query) -> HttpResponse {
+    if state.is_down() {
+        return unavailable();
     }
-    let contents = shared.contents();
+    let contents = state.contents();
     let items = contents.range(parameter(&query, "pathPrefix"), parameter(&query, "after"));
     HttpResponse::Ok().json(json!({ "items": items, "morePages": false, "asOf": contents.revision() }))
 }
 
-async fn watch(shared: web::Data<Shared>, query: Query) -> HttpResponse {
+/// Returns the changes below a prefix after a revision. Waits for a change until the requested time has passed.
+async fn watch(state: web::Data<StoreState>, query: Query) -> HttpResponse {
     let after = parameter(&query, "after").parse().unwrap_or(0);
     let wait_ms = parameter(&query, "waitMs").parse().unwrap_or(0);
-    let until = Instant::now() + Duration::from_millis(wait_ms);
+    let deadline = Instant::now() + Duration::from_millis(wait_ms);
     loop {
-        if shared.is_down() {
-            return down();
+        if state.is_down() {
+            return unavailable();
         }
         let (events, revision) = {
-            let contents = shared.contents();
+            let contents = state.contents();
             (contents.changes_after(parameter(&query, "pathPrefix"), after), contents.revision())
         };
-        if !events.is_empty() || Instant::now() >= until {
+        if !events.is_empty() || Instant::now() >= deadline {
             return HttpResponse::Ok().json(json!({ "events": events, "asOf": revision }));
         }
-        actix_rt::time::sleep(WATCH_POLL).await;
+        actix_rt::time::sleep(WATCH_POLL_INTERVAL).await;
     }
 }
 
-async fn commit(shared: web::Data<Shared>, body: web::Json<Value>) -> HttpResponse {
-    if shared.is_down() {
-        return down();
+async fn commit(state: web::Data<StoreState>, body: web::Json<Value>) -> HttpResponse {
+    if state.is_down() {
+        return unavailable();
     }
     let result = {
-        let mut contents = shared.contents();
+        let mut contents = state.contents();
         if !contents.has_leases(&body) {
             return HttpResponse::NotFound().finish();
         }
         contents.commit(&body)
     };
-    if shared.loses_commit() {
+    if state.take_lost_commit() {
         return HttpResponse::GatewayTimeout().finish();
     }
     match result {
@@ -162,27 +169,27 @@
     }
 }
 
-async fn grant(shared: web::Data<Shared>, body: web::Json<Value>) -> HttpResponse {
-    if shared.is_down() {
-        return down();
+async fn grant_lease(state: web::Data<StoreState>, body: web::Json<Value>) -> HttpResponse {
+    if state.is_down() {
+        return unavailable();
     }
     let ttl_ms = body["ttlMs"].as_u64().unwrap_or(0);
-    let lease = shared.contents().grant_lease(Duration::from_millis(ttl_ms), Instant::now());
+    let lease = state.contents().grant_lease(Duration::from_millis(ttl_ms), Instant::now());
     HttpResponse::Ok().json(json!({ "lease": lease, "ttlMs": ttl_ms }))
 }
 
-async fn keep(shared: web::Data<Shared>, lease: web::Path<u64>) -> HttpResponse {
-    if shared.is_down() {
-        return down();
+async fn renew_lease(state: web::Data<StoreState>, lease: web::Path<u64>) -> HttpResponse {
+    if state.is_down() {
+        return unavailable();
     }
-    let held = shared.contents().renew_lease(*lease, Instant::now());
-    if held { HttpResponse::Ok().json(json!({})) } else { HttpResponse::NotFound().finish() }
+    let is_renewed = state.contents().renew_lease(*lease, Instant::now());
+    if is_renewed { HttpResponse::Ok().json(json!({})) } else { HttpResponse::NotFound().finish() }
 }
 
-async fn end(shared: web::Data<Shared>, lease: web::Path<u64>) -> HttpResponse {
-    if shared.is_down() {
-        return down();
+async fn end_lease(state: web::Data<StoreState>, lease: web::Path<u64>) -> HttpResponse {
+    if state.is_down() {
+        return unavailable();
     }
-    shared.contents().end_lease(*lease);
+    state.contents().end_lease(*lease);
     HttpResponse::Ok().json(json!({}))
 }
--- a/crates/standin/src/platform/platform_upstream.rs
+++ b/crates/standin/src/platform/platform_upstream.rs
@@ -1,7 +1,7 @@
-//! An upstream of the platform: a plain service or a model engine that registers itself in the store.
+//! Stand-in for an upstream of the platform: a plain service or a model engine that registers itself in the store.
 
 use super::PlatformStore;
-use crate::{Result, RunningStandin, running::start};
+use crate::{Result, RunningStandin, running::start_server};
 use actix_web::{App, HttpRequest, HttpResponse, http::StatusCode, web};
 use bytes::Bytes;
 use futures_util::{StreamExt, stream};
@@ -14,148 +14,153 @@
     time::Duration,
 };
 
-/// Number of a text's first event.
+/// Number of the first event of a streamed answer.
 const FIRST_EVENT: u64 = 1;
 
-/// Time between two bytes of an answer that never ends.
-const HANG_PERIOD: Duration = Duration::from_millis(20);
+/// Interval between the bytes of an answer that never ends.
+const HANG_BYTE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What an upstream does wrong with one request.
+/// Fault that an upstream simulates for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamFault {
-    /// Refuses it without running it.
+    /// Refuses the request without running it.
     Refuse,
-    /// Runs it and answers with this status.
+    /// Runs the request and answers with this HTTP status.
     Status(u16),
-    /// Runs it and cuts the connection before an answer.
+    /// Runs the request and closes the connection before any byte of the body.
     LoseAnswer,
-    /// Cuts the stream after so many events, in the middle of the next one.
+    /// Closes the connection after this number of events, in the middle of the next one.
     CutAfter(u64),
-    /// Cuts the stream after its last event, without its end.
+    /// Closes the connection after the last event, without ending the stream.
     CutAtEnd,
-    /// Answers under another request's id.
+    /// Answers with the id of another request.
     WrongId,
-    /// Promises more bytes than it sends.
+    /// Sends fewer bytes than the content length announces.
     Truncate,
-    /// Never ends its answer, which it goes on sending.
+    /// Sends an answer that never ends.
     Hang,
 }
 
-/// A request as it came.
+/// A request that an upstream ran.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordedCall {
-    /// Id.
+    /// Id of the request.
     pub id: String,
-    /// Path with query.
+    /// Path and query of the request.
     pub path: String,
-    /// Organisation that the sender named.
+    /// Organisation, as named by the sender.
     pub organisation: String,
-    /// Whether a caller's key came with it.
+    /// Whether the request had an `authorization` header, which would leak a caller's API key.
     pub has_key: bool,
-    /// Last event that the sender has.
+    /// Last event that the sender has received; `None` for a request from the start.
     pub last_event_id: Option<u64>,
-    /// Milliseconds that the sender waits.
+    /// Time that the sender waits for the answer, in milliseconds.
     pub deadline_ms: u64,
-    /// Body.
+    /// Body of the request.
     pub body: Vec<u8>,
 }
 
-/// What an upstream is.
+/// Settings of an upstream stand-in.
 #[derive(Clone, Debug)]
 pub struct UpstreamSettings {
-    /// Its id.
+    /// Id of the upstream.
     pub id: String,
-    /// Service.
+    /// Service that the upstream serves.
     pub service: String,
-    /// Failure domain.
+    /// Failure domain of the upstream.
     pub failure_domain: String,
-    /// Requests at a time, as it says.
+    /// Number of concurrent requests that the upstream registers for; not enforced.
     pub slots: u64,
-    /// Models, all at version 1; none for a plain service.
+    /// Models that the upstream serves, all at version 1 initially; empty for a plain service.
     pub models: Vec<String>,
-    /// Time of an event in milliseconds.
+    /// Time to generate one event of a stream, or the answer of a plain service, in milliseconds.
     pub event_ms: u64,
 }
 
-struct Shared {
-    shape: UpstreamSettings,
+/// Settings and state of an upstream, shared by its request handlers.
+struct UpstreamInner {
+    settings: UpstreamSettings,
     store: PlatformStore,
-    state: Mutex<State>,
+    state: Mutex<UpstreamState>,
 }
 
+/// State that changes while the upstream runs.
 #[derive(Default)]
-struct State {
+struct UpstreamState {
     address: String,
+    /// Weight version of each model.
     versions: BTreeMap<String, u64>,
-    orders: Vec<Value>,
+    weight_orders: Vec<Value>,
+    /// Faults of the next requests, one for each.
     faults: VecDeque<UpstreamFault>,
-    seen: Vec<RecordedCall>,
-    working: usize,
+    calls: Vec<RecordedCall>,
+    running_requests: usize,
 }
 
-/// A running upstream.
+/// A running upstream stand-in.
 #[derive(Clone)]
 pub struct PlatformUpstream {
-    /// Bound address.
+    /// Address that the upstream listens on.
     pub address: SocketAddr,
-    shared: Arc<Shared>,
+    inner: Arc<UpstreamInner>,
 }
 
 impl PlatformUpstream {
-    /// Starts an upstream on a port picked by the kernel, on the current runtime, and registers it.
-    pub fn start(shape: UpstreamSettings, store: &PlatformStore) -> Result<Self> {
-        let versions = shape.models.iter().map(|model| (model.clone(), 1)).collect();
-        let state = Mutex::new(State { versions, ..State::default() });
-        let shared = Arc::new(Shared { shape, store: store.clone(), state });
-        let data = web::Data::from(shared.clone());
-        let running: Result<RunningStandin> = start!("127.0.0.1:0", move || {
+    /// Starts an upstream on the current runtime, at a free loopback port, and registers it in `store`.
+    pub fn start(settings: UpstreamSettings, store: &PlatformStore) -> Result<Self> {
+        let versions = settings.models.iter().map(|model| (model.clone(), 1)).collect();
+        let state = Mutex::new(UpstreamState { versions, ..UpstreamState::default() });
+        let inner = Arc::new(UpstreamInner { settings, store: store.clone(), state });
+        let data = web::Data::from(inner.clone());
+        let running: Result<RunningStandin> = start_server!("127.0.0.1:0", move || {
             App::new()
                 .app_data(data.clone())
-                .route("/pimentoslip/order", web::post().to(order))
-                .route("/pimentoslip/report", web::get().to(report))
+                .route("/pimentoslip/order", web::post().to(load_weights))
+                .route("/pimentoslip/report", web::get().to(report_load))
                 .default_service(web::to(serve))
         });
         let (address, _) = running?.spawn();
-        shared.state().address = address.to_string();
-        shared.register("ready");
-        Ok(Self { address, shared })
+        inner.state().address = address.to_string();
+        inner.register("ready");
+        Ok(Self { address, inner })
     }
 
-    /// Faults of the next requests, one each.
+    /// Sets the faults to simulate for the next requests, one for each.
     pub fn set_faults(&self, faults: impl IntoIterator<Item = UpstreamFault>) {
-        self.shared.state().faults = faults.into_iter().collect();
+        self.inner.state().faults = faults.into_iter().collect();
     }
 
-    /// Requests so far.
+    /// Requests run so far, in order.
     #[must_use]
     pub fn recorded_calls(&self) -> Vec<RecordedCall> {
-        self.shared.state().seen.clone()
+        self.inner.state().calls.clone()
     }
 
-    /// Orders accepted so far.
+    /// Orders to load weights that were accepted so far, in order.
     #[must_use]
     pub fn weight_orders(&self) -> Vec<Value> {
-        self.shared.state().orders.clone()
+        self.inner.state().weight_orders.clone()
     }
 
-    /// Requests that it works on now.
+    /// Number of requests whose answer is being generated.
     #[must_use]
     pub fn running_requests(&self) -> usize {
-        self.shared.state().working
+        self.inner.state().running_requests
     }
 
-    /// Says that it leaves.
+    /// Registers the upstream as draining.
     pub fn start_draining(&self) {
-        self.shared.register("draining");
+        self.inner.register("draining");
     }
 }
 
-impl Shared {
-    fn state(&self) -> MutexGuard<'_, State> {
+impl UpstreamInner {
+    fn state(&self) -> MutexGuard<'_, UpstreamState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn register(&self, standing: &str) {
+    /// Writes the entry of the upstream to the store, with `status` as its state.
+    fn register(&self, status: &str) {
         let (address, versions) = {
             let state = self.state();
             (state.address.clone(), state.versions.clone())
@@ -165,39 +170,42 @@
             .map(|(name, version)| json!({ "name": name, "version": version, "adapters": [] }))
             .collect();
         let entry = json!({
-            "service": self.shape.service, "address": address, "zone": self.shape.failure_domain, "version": "v1",
-            "slots": self.shape.slots, "state": standing, "coldRemainingMs": 0, "models": models, "sequence": 1, "born": 1,
+            "service": self.settings.service, "address": address, "zone": self.settings.failure_domain, "version": "v1",
+            "slots": self.settings.slots, "state": status, "coldRemainingMs": 0, "models": models, "sequence": 1,
+            "born": 1,
         });
-        self.store.put(&format!("servers/{}", self.shape.id), &entry);
+        self.store.put(&format!("servers/{}", self.settings.id), &entry);
     }
 }
 
-/// Counts a request while its answer is being made.
-struct Working(Arc<Shared>);
+/// Counts a request as running until dropped.
+struct RunningGuard(Arc<UpstreamInner>);
 
-impl Drop for Working {
+impl Drop for RunningGuard {
     fn drop(&mut self) {
-        self.0.state().working -= 1;
+        self.0.state().running_requests -= 1;
     }
 }
 
+/// Value of a request header, or an empty text if it is missing.
 fn header(request: &HttpRequest, name: &str) -> String {
     request.headers().get(name).and_then(|value| value.to_str().ok()).unwrap_or_default().to_owned()
 }
 
-async fn serve(shared: web::Data<Shared>, request: HttpRequest, body: Bytes) -> HttpResponse {
-    let shared = shared.into_inner();
+/// Runs a request, or simulates the next fault.
+async fn serve(upstream: web::Data<UpstreamInner>, request: HttpRequest, body: Bytes) -> HttpResponse {
+    let upstream = upstream.into_inner();
     let id = header(&request, "request-id");
-    if header(&request, "expect-instance") != shared.shape.id {
+    if header(&request, "expect-instance") != upstream.settings.id {
         return HttpResponse::MisdirectedRequest().insert_header(("request-id", id)).finish();
     }
-    let fault = shared.state().faults.pop_front();
+    let fault = upstream.state().faults.pop_front();
     if fault == Some(UpstreamFault::Refuse) {
         let mut refusal = HttpResponse::ServiceUnavailable();
         return refusal.insert_header(("request-id", id)).insert_header(("not-executed", "1")).finish();
     }
     let last_event_id = header(&request, "last-event-id").parse().ok();
-    let seen = RecordedCall {
+    let call = RecordedCall {
         id: id.clone(),
         path: request.uri().to_string(),
         organisation: header(&request, "tenant"),
@@ -207,71 +215,74 @@
         body: body.to_vec(),
     };
     {
-        let mut state = shared.state();
-        state.seen.push(seen);
-        state.working += 1;
+        let mut state = upstream.state();
+        state.calls.push(call);
+        state.running_requests += 1;
     }
-    let working = Working(shared.clone());
+    let guard = RunningGuard(upstream.clone());
     let id = if fault == Some(UpstreamFault::WrongId) { "another".to_owned() } else { id };
     match fault {
         Some(UpstreamFault::Hang) => {
-            // A closed connection shows when something is written to it.
-            let drops = stream::unfold(working, |working| async move {
-                actix_rt::time::sleep(HANG_PERIOD).await;
-                Some((Ok::<_, io::Error>(Bytes::from_static(b".")), working))
+            // The server notices a closed connection only when it writes to it.
+            let bytes = stream::unfold(guard, |guard| async move {
+                actix_rt::time::sleep(HANG_BYTE_INTERVAL).await;
+                Some((Ok::<_, io::Error>(Bytes::from_static(b".")), guard))
             });
-            answer(StatusCode::OK, &id).streaming(drops.boxed_local())
+            answer_builder(StatusCode::OK, &id).streaming(bytes.boxed_local())
         }
-        Some(UpstreamFault::LoseAnswer) => cut(stream::empty().boxed_local()),
+        Some(UpstreamFault::LoseAnswer) => truncated_response(stream::empty().boxed_local()),
         Some(UpstreamFault::Status(status)) => {
             let status = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-            answer(status, &id).body("failed")
+            answer_builder(status, &id).body("failed")
         }
         Some(UpstreamFault::Truncate) => {
             let first = stream::iter([Ok(Bytes::from_static(b"half"))]).boxed_local();
-            let mut response = answer(StatusCode::OK, &id);
-            response.no_chunking(100).streaming(first.chain(broken()))
+            let mut response = answer_builder(StatusCode::OK, &id);
+            response.no_chunking(100).streaming(first.chain(connection_reset()))
         }
-        _ if shared.shape.models.is_empty() => {
-            actix_rt::time::sleep(Duration::from_millis(shared.shape.event_ms)).await;
-            answer(StatusCode::OK, &id).body(format!("answer to {id}"))
+        _ if upstream.settings.models.is_empty() => {
+            actix_rt::time::sleep(Duration::from_millis(upstream.settings.event_ms)).await;
+            answer_builder(StatusCode::OK, &id).body(format!("answer to {id}"))
         }
-        _ => generate(&shared, &request, &id, last_event_id, fault, working),
+        _ => generate(&upstream, &request, &id, last_event_id, fault, guard),
     }
 }
 
-fn answer(status: StatusCode, id: &str) -> actix_web::HttpResponseBuilder {
+/// Response with the headers that every answer has.
+fn answer_builder(status: StatusCode, id: &str) -> actix_web::HttpResponseBuilder {
     let mut response = HttpResponse::build(status);
     response.insert_header(("request-id", id)).insert_header(("server-signature", format!("signed {id}")));
     response
 }
 
-type Chunks = stream::LocalBoxStream<'static, io::Result<Bytes>>;
+/// Body of a streamed response.
+type ChunkStream = stream::LocalBoxStream<'static, io::Result<Bytes>>;
 
-/// The end of a connection in the middle of an answer.
-fn broken() -> Chunks {
+/// Body that closes the connection in the middle of the answer.
+fn connection_reset() -> ChunkStream {
     stream::iter([Err(io::ErrorKind::ConnectionReset.into())]).boxed_local()
 }
 
-fn cut(chunks: Chunks) -> HttpResponse {
-    HttpResponse::Ok().no_chunking(1).streaming(chunks.chain(broken()))
+/// Response that announces one byte, sends `chunks` and closes the connection.
+fn truncated_response(chunks: ChunkStream) -> HttpResponse {
+    HttpResponse::Ok().no_chunking(1).streaming(chunks.chain(connection_reset()))
 }
 
-/// Streams the events of an item; `length-hint` says how many there are.
+/// Streams the events of an item. The `length-hint` header of the request gives their number.
 fn generate(
-    shared: &Arc<Shared>,
+    upstream: &Arc<UpstreamInner>,
     request: &HttpRequest,
     id: &str,
     last_event_id: Option<u64>,
     fault: Option<UpstreamFault>,
-    working: Working,
+    guard: RunningGuard,
 ) -> HttpResponse {
-    let count: u64 = header(request, "length-hint").parse().unwrap_or(1);
+    let event_count: u64 = header(request, "length-hint").parse().unwrap_or(1);
     let model = header(request, "model");
-    let version = shared.state().versions.get(&model).copied().unwrap_or(0);
+    let version = upstream.state().versions.get(&model).copied().unwrap_or(0);
     let first = last_event_id.map_or(FIRST_EVENT, |last| last + 1);
-    let end = FIRST_EVENT + count;
-    let mut response = answer(StatusCode::OK, id);
+    let end = FIRST_EVENT + event_count;
+    let mut response = answer_builder(StatusCode::OK, id);
     response.insert_header(("content-type", "text/event-stream"));
     if first >= end {
         return response.streaming(stream::empty::<io::Result<Bytes>>());
@@ -281,36 +292,38 @@
         Some(UpstreamFault::CutAfter(events)) => (first + events).min(end),
         _ => end,
     };
-    let (shared, id) = (shared.clone(), id.to_owned());
-    let events = stream::unfold((first, version, working), move |(number, before, working)| {
-        let (shared, model, id) = (shared.clone(), model.clone(), id.clone());
+    let (upstream, id) = (upstream.clone(), id.to_owned());
+    let events = stream::unfold((first, version, guard), move |(number, last_version, guard)| {
+        let (upstream, model, id) = (upstream.clone(), model.clone(), id.clone());
         async move {
             if number >= stop {
                 return None;
             }
-            actix_rt::time::sleep(Duration::from_millis(shared.shape.event_ms)).await;
-            let version = shared.state().versions.get(&model).copied().unwrap_or(0);
-            let change = if version == before { String::new() } else { format!("weight-versions: {version}\n") };
-            let event = format!("{change}id: {number}\ndata: {id}:{number}\n\n");
-            Some((Ok(Bytes::from(event)), (number + 1, version, working)))
+            actix_rt::time::sleep(Duration::from_millis(upstream.settings.event_ms)).await;
+            let version = upstream.state().versions.get(&model).copied().unwrap_or(0);
+            let version_line =
+                if version == last_version { String::new() } else { format!("weight-versions: {version}\n") };
+            let event = format!("{version_line}id: {number}\ndata: {id}:{number}\n\n");
+            Some((Ok(Bytes::from(event)), (number + 1, version, guard)))
         }
     })
     .boxed_local();
     match fault {
         Some(UpstreamFault::CutAfter(_)) => {
-            let torn = stream::iter([Ok(Bytes::from(format!("id: {stop}\ndata: to")))]).boxed_local();
-            response.streaming(events.chain(torn).chain(broken()))
+            let partial_event = stream::iter([Ok(Bytes::from(format!("id: {stop}\ndata: to")))]).boxed_local();
+            response.streaming(events.chain(partial_event).chain(connection_reset()))
         }
-        Some(UpstreamFault::CutAtEnd) => response.streaming(events.chain(broken())),
+        Some(UpstreamFault::CutAtEnd) => response.streaming(events.chain(connection_reset())),
         _ => response.streaming(events),
     }
 }
 
-async fn order(shared: web::Data<Shared>, body: web::Json<Value>) -> HttpResponse {
+/// Accepts an order to load weights, unless the sender expects another number of accepted orders.
+async fn load_weights(upstream: web::Data<UpstreamInner>, body: web::Json<Value>) -> HttpResponse {
     {
-        let mut state = shared.state();
+        let mut state = upstream.state();
         let expected = body["expected"].as_u64();
-        if expected.is_some_and(|expected| expected != state.orders.len() as u64) {
+        if expected.is_some_and(|expected| expected != state.weight_orders.len() as u64) {
             return HttpResponse::Conflict().finish();
         }
         let (model, version) = (body["model"].as_str().unwrap_or_default(), body["version"].as_u64().unwrap_or(0));
@@ -318,14 +331,15 @@
             return HttpResponse::Ok().finish();
         }
         state.versions.insert(model.to_owned(), version);
-        state.orders.push(body.0.clone());
+        state.weight_orders.push(body.0.clone());
     }
-    shared.register("ready");
+    upstream.register("ready");
     HttpResponse::Accepted().finish()
 }
 
-async fn report(shared: web::Data<Shared>) -> HttpResponse {
-    let accepted = shared.state().orders.len();
+/// Returns the load report of the upstream.
+async fn report_load(upstream: web::Data<UpstreamInner>) -> HttpResponse {
+    let accepted = upstream.state().weight_orders.len();
     HttpResponse::Ok().json(json!({
         "stage": "both", "models": [], "busy": false, "sequence": accepted, "numWaiting": 0, "numRunning": 0,
         "kvUsed": 0, "kvTotal": 1, "handles": 0,
--- a/crates/standin/src/platform/store_contents.rs
+++ b/crates/standin/src/platform/store_contents.rs
@@ -1,4 +1,4 @@
-//! The entries of the store, their history and their leases, in memory.
+//! In-memory contents of the platform's store: entries, their history, and leases.
 
 use base64::{Engine, engine::general_purpose::STANDARD};
 use serde_json::{Value, json};
@@ -7,27 +7,34 @@
     time::{Duration, Instant},
 };
 
+/// A stored value with its revisions.
 #[derive(Clone)]
-struct Entry {
+struct StoredEntry {
     value: Vec<u8>,
+    /// Revision of the last write.
     revision: u64,
-    created: u64,
+    /// Revision of the first write since the key was last removed.
+    created_revision: u64,
+    /// Lease that the entry belongs to, zero for none.
     lease: u64,
 }
 
-/// Entries by key.
+/// Entries by key, with the history of their changes and the leases that they belong to.
 #[derive(Default)]
 pub struct StoreContents {
     revision: u64,
-    entries: BTreeMap<String, Entry>,
+    entries: BTreeMap<String, StoredEntry>,
+    /// Changes in order, each with its revision and its JSON form.
     history: Vec<(u64, Value)>,
+    /// Lifetime and end of each lease, by id.
     leases: BTreeMap<u64, (Duration, Instant)>,
 }
 
-fn shown(key: &str, entry: &Entry) -> Value {
+/// JSON form of an entry in responses.
+fn entry_json(key: &str, entry: &StoredEntry) -> Value {
     json!({
         "key": key, "value": STANDARD.encode(&entry.value), "revision": entry.revision,
-        "createdRev": entry.created, "lease": entry.lease,
+        "createdRev": entry.created_revision, "lease": entry.lease,
     })
 }
 
@@ -38,69 +45,74 @@
         self.revision
     }
 
-    /// Writes an entry.
+    /// Writes an entry at a new revision. A `lease` of zero means none.
     pub fn put(&mut self, key: &str, value: Vec<u8>, lease: u64) {
         self.revision += 1;
         self.write(key, value, lease);
     }
 
-    /// Removes an entry.
+    /// Removes an entry at a new revision.
     pub fn remove(&mut self, key: &str) {
         self.revision += 1;
-        self.erase(key);
+        self.delete(key);
     }
 
+    /// Writes an entry at the current revision.
     fn write(&mut self, key: &str, value: Vec<u8>, lease: u64) {
-        let created = self.entries.get(key).map_or(self.revision, |entry| entry.created);
-        let entry = Entry { value, revision: self.revision, created, lease };
-        self.history.push((self.revision, shown(key, &entry)));
+        let created_revision = self.entries.get(key).map_or(self.revision, |entry| entry.created_revision);
+        let entry = StoredEntry { value, revision: self.revision, created_revision, lease };
+        self.history.push((self.revision, entry_json(key, &entry)));
         self.entries.insert(key.to_owned(), entry);
     }
 
-    fn erase(&mut self, key: &str) {
+    /// Removes an entry at the current revision, if it exists.
+    fn delete(&mut self, key: &str) {
         if self.entries.remove(key).is_some() {
             let event = json!({ "key": key, "revision": self.revision, "deleted": true });
             self.history.push((self.revision, event));
         }
     }
 
-    /// The value of `key`.
+    /// Value of `key`, or `None` if it does not exist.
     #[must_use]
     pub fn value(&self, key: &str) -> Option<Vec<u8>> {
         self.entries.get(key).map(|entry| entry.value.clone())
     }
 
-    /// One entry as it is shown.
+    /// JSON form of the entry of `key`, or `None` if it does not exist.
     #[must_use]
     pub fn get(&self, key: &str) -> Option<Value> {
-        self.entries.get(key).map(|entry| shown(key, entry))
+        self.entries.get(key).map(|entry| entry_json(key, entry))
     }
 
-    /// Entries below `prefix` after the key `after`.
+    /// JSON forms of the entries whose keys start with `prefix` and sort after `after`.
     #[must_use]
     pub fn range(&self, prefix: &str, after: &str) -> Vec<Value> {
-        let below = self.entries.iter().filter(|(key, _)| key.starts_with(prefix) && key.as_str() > after);
-        below.map(|(key, entry)| shown(key, entry)).collect()
+        let matching = self.entries.iter().filter(|(key, _)| key.starts_with(prefix) && key.as_str() > after);
+        matching.map(|(key, entry)| entry_json(key, entry)).collect()
     }
 
-    /// Changes below `prefix` after `revision`.
+    /// Changes of keys that start with `prefix`, made after `revision`.
     #[must_use]
     pub fn changes_after(&self, prefix: &str, revision: u64) -> Vec<Value> {
-        let later = self.history.iter().filter(|(at, _)| *at > revision);
-        let below = later.filter(|(_, event)| event["key"].as_str().is_some_and(|key| key.starts_with(prefix)));
-        below.map(|(_, event)| event.clone()).collect()
+        let later = self.history.iter().filter(|(changed_at, _)| *changed_at > revision);
+        let matching = later.filter(|(_, event)| event["key"].as_str().is_some_and(|key| key.starts_with(prefix)));
+        matching.map(|(_, event)| event.clone()).collect()
     }
 
-    /// All-or-nothing writes under conditions: the revision, or the entries of the conditions.
+    /// Applies the writes and removals of a commit if all expected revisions match.
+    ///
+    /// Returns the new revision. If an expectation fails, nothing is written, and the error holds the current entries
+    /// of the expected keys.
     pub fn commit(&mut self, commit: &Value) -> Result<u64, Vec<Value>> {
         let rows = |name: &str| commit[name].as_array().cloned().unwrap_or_default();
         let key = |row: &Value| row["key"].as_str().unwrap_or_default().to_owned();
         let expected = rows("expected");
-        let holds = expected.iter().all(|row| {
+        let matches = expected.iter().all(|row| {
             let revision = self.entries.get(&key(row)).map_or(0, |entry| entry.revision);
             row["revision"].as_u64() == Some(revision)
         });
-        if !holds {
+        if !matches {
             return Err(expected.iter().filter_map(|row| self.get(&key(row))).collect());
         }
         self.revision += 1;
@@ -109,29 +121,29 @@
             self.write(&key(&row), value, row["lease"].as_u64().unwrap_or(0));
         }
         for row in rows("remove") {
-            self.erase(row.as_str().unwrap_or_default());
+            self.delete(row.as_str().unwrap_or_default());
         }
         Ok(self.revision)
     }
 
-    /// Whether all leases that a commit names hold.
+    /// Whether all leases that a commit names exist.
     #[must_use]
     pub fn has_leases(&self, commit: &Value) -> bool {
         let puts = commit["puts"].as_array().cloned().unwrap_or_default();
         puts.iter().filter_map(|row| row["lease"].as_u64()).all(|lease| lease == 0 || self.leases.contains_key(&lease))
     }
 
-    /// Takes a lease.
+    /// Grants a lease with the lifetime `ttl` and returns its id.
     pub fn grant_lease(&mut self, ttl: Duration, now: Instant) -> u64 {
         self.revision += 1;
         self.leases.insert(self.revision, (ttl, now + ttl));
         self.revision
     }
 
-    /// Renews a lease. False if it has ended.
+    /// Renews a lease. Returns false if it has ended.
     pub fn renew_lease(&mut self, lease: u64, now: Instant) -> bool {
-        let Some((ttl, ends)) = self.leases.get_mut(&lease) else { return false };
-        *ends = now + *ttl;
+        let Some((ttl, end)) = self.leases.get_mut(&lease) else { return false };
+        *end = now + *ttl;
         true
     }
 
@@ -144,13 +156,13 @@
             self.revision += 1;
         }
         for key in keys {
-            self.erase(&key);
+            self.delete(&key);
         }
     }
 
-    /// Ends the leases whose time is over.
+    /// Ends the leases whose lifetime is over.
     pub fn expire_leases(&mut self, now: Instant) {
-        let over: Vec<u64> = self.leases.iter().filter(|(_, (_, ends))| *ends <= now).map(|(id, _)| *id).collect();
-        over.into_iter().for_each(|lease| self.end_lease(lease));
+        let expired: Vec<u64> = self.leases.iter().filter(|(_, (_, end))| *end <= now).map(|(id, _)| *id).collect();
+        expired.into_iter().for_each(|lease| self.end_lease(lease));
     }
 }
--- a/crates/standin/src/recorded_request.rs
+++ b/crates/standin/src/recorded_request.rs
@@ -1,23 +1,23 @@
-//! What an upstream stand-in was sent.
+//! Record of a request that an upstream stand-in received.
 
 use actix_web::HttpRequest;
 use serde::{Deserialize, Serialize};
 
-/// One request as it arrived.
+/// A received request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedRequest {
-    /// Method.
+    /// HTTP method.
     pub method: String,
-    /// Path and query.
+    /// Path and query of the request.
     pub uri: String,
-    /// All headers.
+    /// Names and values of all headers.
     pub headers: Vec<(String, String)>,
-    /// Body.
+    /// Body, with invalid UTF-8 replaced.
     pub body: String,
 }
 
 impl RecordedRequest {
-    /// Copies a request.
+    /// Copies a received request.
     #[must_use]
     pub fn from_request(request: &HttpRequest, body: &[u8]) -> Self {
         let headers = request
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Value of a header, empty when it is missing.
+    /// Value of the header `name` (lower case), or an empty text if it is missing.
     #[must_use]
     pub fn header(&self, name: &str) -> &str {
         self.headers.iter().find(|(key, _)| key == name).map_or("", |(_, value)| value)
--- a/crates/standin/src/running.rs
+++ b/crates/standin/src/running.rs
@@ -1,4 +1,4 @@
-//! A stand-in that was started.
+//! Starting the HTTP server of a stand-in, and the handle of a started stand-in.
 
 use actix_web::dev::{Server, ServerHandle};
 use std::{io, net::SocketAddr};
@@ -6,16 +6,16 @@
 /// Result of starting a stand-in.
 pub type Result<T> = io::Result<T>;
 
-/// A stand-in with its bound address. It serves while its server future is polled.
+/// A started stand-in. It serves requests only while its server future is polled.
 pub struct RunningStandin {
-    /// Bound address.
+    /// Address that the server listens on.
     pub address: SocketAddr,
-    /// Future that serves until stopped.
+    /// Future that serves requests until the server is stopped.
     pub server: Server,
 }
 
 impl RunningStandin {
-    /// Serves on the current runtime; the handle stops it.
+    /// Serves requests on the current runtime. Returns the listen address and a handle that stops the server.
     #[must_use]
     pub fn spawn(self) -> (SocketAddr, ServerHandle) {
         let handle = self.server.handle();
@@ -24,8 +24,10 @@
     }
 }
 
-/// Binds `listen`, given as `ip:port`, and starts an app on one worker.
-macro_rules! start {
+/// Binds `$listen`, given as `ip:port`, and serves the application that `$app` creates with one worker thread.
+///
+/// Evaluates to a [`Result`] of a [`RunningStandin`].
+macro_rules! start_server {
     ($listen:expr, $app:expr) => {{
         let listener = std::net::TcpListener::bind($listen)?;
         let address = listener.local_addr()?;
@@ -34,4 +36,4 @@
         Ok($crate::RunningStandin { address, server })
     }};
 }
-pub(crate) use start;
+pub(crate) use start_server;
--- a/crates/standin/src/tcp_relay.rs
+++ b/crates/standin/src/tcp_relay.rs
@@ -1,4 +1,4 @@
-//! A TCP relay that cuts, stalls or drops what passes through it.
+//! TCP relay that simulates network faults: closed, stalled and truncated connections.
 
 use actix_rt::net::{TcpListener, TcpStream};
 use std::{
@@ -13,111 +13,114 @@
 
 const BUFFER_BYTES: usize = 16 << 10;
 
-/// What happens to bytes.
+/// Treatment of the connections through a relay.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RelayRule {
-    /// All pass.
+    /// Forwards all bytes.
     #[default]
     Pass,
-    /// Connections are closed and new ones are closed at once.
+    /// Closes open connections, and new ones as soon as they are accepted.
     Cut,
-    /// Nothing passes, and connections stay open.
+    /// Forwards nothing and keeps connections open.
     Stall,
-    /// A connection is closed after so many bytes towards the target.
+    /// Closes a connection after this number of bytes was forwarded to the target.
     CutRequestAfter(usize),
-    /// A connection is closed after so many bytes from the target.
+    /// Closes a connection after this number of bytes was forwarded from the target.
     CutAnswerAfter(usize),
 }
 
-/// A running relay.
+/// A running TCP relay.
 pub struct TcpRelay {
-    /// Bound address.
+    /// Address that the relay listens on.
     pub address: SocketAddr,
+    /// Number of cuts so far, and the current rule.
     rule: watch::Sender<(u64, RelayRule)>,
-    passed: Arc<Mutex<(usize, usize)>>,
+    /// Bytes forwarded to the target and back.
+    forwarded_bytes: Arc<Mutex<(usize, usize)>>,
 }
 
 impl TcpRelay {
-    /// Starts a relay to `target` on a port picked by the kernel, on the current runtime.
+    /// Starts a relay to `target` on the current runtime, at a free loopback port.
     pub async fn start(target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let rule = watch::Sender::new((0, RelayRule::Pass));
-        let passed = Arc::new(Mutex::new((0, 0)));
-        let (rules, count) = (rule.clone(), passed.clone());
+        let forwarded_bytes = Arc::new(Mutex::new((0, 0)));
+        let (rules, byte_counts) = (rule.clone(), forwarded_bytes.clone());
         actix_rt::spawn(async move {
             while let Ok((caller, _)) = listener.accept().await {
                 if rules.borrow().1 == RelayRule::Cut {
                     continue;
                 }
-                actix_rt::spawn(relay(caller, target, rules.subscribe(), count.clone()));
+                actix_rt::spawn(relay(caller, target, rules.subscribe(), byte_counts.clone()));
             }
         });
-        Ok(Self { address, rule, passed })
+        Ok(Self { address, rule, forwarded_bytes })
     }
 
-    /// Changes the rule for open and new connections. A cut ends every connection open now, whatever rule
-    /// follows it.
+    /// Sets the rule for open and new connections. [`RelayRule::Cut`] closes every connection that is open now, even if
+    /// another rule is set before the relay acts on it.
     pub fn set_rule(&self, rule: RelayRule) {
-        self.rule.send_modify(|(cuts, now)| {
+        self.rule.send_modify(|(cuts, current)| {
             *cuts += u64::from(rule == RelayRule::Cut);
-            *now = rule;
+            *current = rule;
         });
     }
 
-    /// Bytes passed towards the target and back.
+    /// Bytes forwarded to the target and back from it, over all connections.
     #[must_use]
     pub fn forwarded_bytes(&self) -> (usize, usize) {
-        *self.passed.lock().unwrap_or_else(PoisonError::into_inner)
+        *self.forwarded_bytes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
+/// Forwards bytes between `caller` and `target` until either closes the connection or the rule does.
 async fn relay(
     mut caller: TcpStream,
     target: SocketAddr,
     mut rule: watch::Receiver<(u64, RelayRule)>,
-    passed: Arc<Mutex<(usize, usize)>>,
+    forwarded_bytes: Arc<Mutex<(usize, usize)>>,
 ) {
     let Ok(mut upstream) = TcpStream::connect(target).await else { return };
-    let (mut sent, mut answered) = (0, 0);
-    let mut request = vec![0; BUFFER_BYTES];
-    let mut answer = vec![0; BUFFER_BYTES];
+    let (mut request_bytes, mut answer_bytes) = (0, 0);
+    let mut request_buffer = vec![0; BUFFER_BYTES];
+    let mut answer_buffer = vec![0; BUFFER_BYTES];
     let cuts = rule.borrow().0;
     loop {
-        let now = rule.borrow().1;
-        let stalled = now == RelayRule::Stall;
+        let current_rule = rule.borrow().1;
+        let stalled = current_rule == RelayRule::Stall;
         tokio::select! {
             changed = rule.changed() => {
                 if changed.is_err() || rule.borrow().0 != cuts {
                     return;
                 }
             }
-            read = caller.read(&mut request), if !stalled => {
+            read = caller.read(&mut request_buffer), if !stalled => {
                 let Ok(count @ 1..) = read else { return };
-                let allowed = match now {
-                    RelayRule::CutRequestAfter(limit) => count.min(limit.saturating_sub(sent)),
+                let allowed = match current_rule {
+                    RelayRule::CutRequestAfter(limit) => count.min(limit.saturating_sub(request_bytes)),
                     _ => count,
                 };
-                if upstream.write_all(&request[..allowed]).await.is_err() {
+                if upstream.write_all(&request_buffer[..allowed]).await.is_err() {
                     return;
                 }
-                sent += allowed;
-                passed.lock().unwrap_or_else(PoisonError::into_inner).0 += allowed;
+                request_bytes += allowed;
+                forwarded_bytes.lock().unwrap_or_else(PoisonError::into_inner).0 += allowed;
                 if allowed < count {
                     return;
                 }
             }
-            read = upstream.read(&mut answer), if !stalled => {
+            read = upstream.read(&mut answer_buffer), if !stalled => {
                 let Ok(count @ 1..) = read else { return };
-                let allowed = match now {
-                    RelayRule::CutAnswerAfter(limit) => count.min(limit.saturating_sub(answered)),
+                let allowed = match current_rule {
+                    RelayRule::CutAnswerAfter(limit) => count.min(limit.saturating_sub(answer_bytes)),
                     _ => count,
                 };
-                if caller.write_all(&answer[..allowed]).await.is_err() {
+                if caller.write_all(&answer_buffer[..allowed]).await.is_err() {
                     return;
                 }
-                answered += allowed;
-                passed.lock().unwrap_or_else(PoisonError::into_inner).1 += allowed;
+                answer_bytes += allowed;
+                forwarded_bytes.lock().unwrap_or_else(PoisonError::into_inner).1 += allowed;
                 if allowed < count {
                     return;
                 }
--- a/crates/standin/src/usage_service.rs
+++ b/crates/standin/src/usage_service.rs
@@ -1,49 +1,53 @@
-//! The usage interface's stand-in. It keeps every report, so that tests can look for differing ones.
+//! Stand-in for the service that receives usage reports. It records every report, so that tests can compare repeated
+//! reports of one window.
 
-use crate::{Result, RunningStandin, running::start};
+use crate::{Result, RunningStandin, running::start_server};
 use actix_web::{App, HttpRequest, HttpResponse, web};
 use bytes::Bytes;
 use pimentoslip_wire::provider::UsageReport;
 use serde::{Deserialize, Serialize};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// One report as it arrived.
+/// A received usage report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedUsageReport {
-    /// Window named in the path.
+    /// Number of the usage window, from the request path.
     pub window: u64,
-    /// Fencing number of the reporter.
+    /// Fencing number of the sender, zero if the header is missing.
     pub fencing: u64,
-    /// Body, byte for byte.
+    /// Unparsed body, so that reports can be compared byte for byte.
     pub body: String,
-    /// Whether it was refused for an old fencing number.
+    /// Whether the report was rejected for an outdated fencing number.
     pub fenced: bool,
 }
 
 impl RecordedUsageReport {
-    /// The parsed report.
+    /// Parses the body of the report.
     pub fn parse(&self) -> serde_json::Result<UsageReport> {
         serde_json::from_str(&self.body)
     }
 }
 
+/// State shared by the request handlers.
 struct UsageState {
     checks_fencing: bool,
     log: Mutex<Vec<RecordedUsageReport>>,
 }
 
-/// Starts the stand-in on `listen`.
+/// Starts the stand-in at the address `listen` (`ip:port`). With `checks_fencing`, it rejects reports whose fencing
+/// number is lower than one that it has received.
 pub fn start_usage(listen: &str, checks_fencing: bool) -> Result<RunningStandin> {
     let state = web::Data::from(Arc::new(UsageState { checks_fencing, log: Mutex::default() }));
-    start!(listen, move || {
+    start_server!(listen, move || {
         App::new()
             .app_data(state.clone())
-            .route("/v1/usage/{site}/{window}", web::put().to(take))
-            .route("/standin/reports", web::get().to(reports))
+            .route("/v1/usage/{site}/{window}", web::put().to(record_report))
+            .route("/standin/reports", web::get().to(list_reports))
     })
 }
 
-async fn take(
+/// Records a report, and rejects it if its fencing number is outdated.
+async fn record_report(
     state: web::Data<UsageState>,
     path: web::Path<(String, u64)>,
     request: HttpRequest,
@@ -51,8 +55,8 @@
 ) -> HttpResponse {
     let fencing = request.headers().get("x-fencing").and_then(|value| value.to_str().ok()?.parse().ok()).unwrap_or(0);
     let mut log = state.log.lock().unwrap_or_else(PoisonError::into_inner);
-    let newest = log.iter().map(|entry| entry.fencing).max().unwrap_or(0);
-    let fenced = state.checks_fencing && fencing < newest;
+    let max_fencing = log.iter().map(|entry| entry.fencing).max().unwrap_or(0);
+    let fenced = state.checks_fencing && fencing < max_fencing;
     let body = String::from_utf8_lossy(&body).into_owned();
     log.push(RecordedUsageReport { window: path.1, fencing, body, fenced });
     if fenced {
@@ -61,6 +65,6 @@
     HttpResponse::NoContent().finish()
 }
 
-async fn reports(state: web::Data<UsageState>) -> HttpResponse {
+async fn list_reports(state: web::Data<UsageState>) -> HttpResponse {
     HttpResponse::Ok().json(&*state.log.lock().unwrap_or_else(PoisonError::into_inner))
 }
