--- a/crates/cli/benches/site/capacity.rs
+++ b/crates/cli/benches/site/capacity.rs
@@ -1,9 +1,18 @@
 //! Experiments for capacity planning: how costs grow with the number of daemons, upstreams, keys and streams.
 
-use crate::{probe::{cpu_seconds, latency_histogram, linear_fit, metric_sum, min_median_max, quantile_ms, record_latency, resident_bytes}, support::{DaemonSite, SiteOptions}};
+use crate::{
+    probe::{
+        cpu_seconds, latency_histogram, linear_fit, metric_sum, min_median_max, quantile_ms, record_latency,
+        resident_bytes,
+    },
+    support::{DaemonSite, SiteOptions},
+};
 use futures_util::StreamExt;
 use pimentoslip_kernel::KeySecret;
-use pimentoslip_wire::{admin::{ChangeResponse, KeyRequest}, provider::{VmRole, VmState}};
+use pimentoslip_wire::{
+    admin::{ChangeResponse, KeyRequest},
+    provider::{VmRole, VmState},
+};
 use std::time::{Duration, Instant};
 
 const FAILURE_DOMAINS: [&str; 3] = ["a", "b", "c"];
--- a/crates/cli/benches/site/service.rs
+++ b/crates/cli/benches/site/service.rs
@@ -1,6 +1,9 @@
 //! Experiments on what callers observe: latency, throughput and fairness.
 
-use crate::{probe::{cpu_seconds, latency_histogram, metric_sum, min_median_max, quantile_ms, record_latency}, support::{DaemonSite, HttpClient, SiteOptions}};
+use crate::{
+    probe::{cpu_seconds, latency_histogram, metric_sum, min_median_max, quantile_ms, record_latency},
+    support::{DaemonSite, HttpClient, SiteOptions},
+};
 use futures_util::{StreamExt, future::join_all};
 use hdrhistogram::Histogram;
 use pimentoslip_kernel::KeySecret;
--- a/crates/cli/benches/site/training.rs
+++ b/crates/cli/benches/site/training.rs
@@ -1,6 +1,9 @@
 //! Experiment on what trainers observe: idle time, staleness of samples, and wasted tokens.
 
-use crate::{probe::{metric_sum, min_median_max}, support::{DaemonSite, SiteOptions}};
+use crate::{
+    probe::{metric_sum, min_median_max},
+    support::{DaemonSite, SiteOptions},
+};
 use pimentoslip_kernel::{FetchCursor, KeySecret};
 use pimentoslip_wire::caller::{FetchRequest, FetchResponse, OpenRequest, PublishRequest};
 use std::time::{Duration, Instant};
--- a/crates/daemon/src/claim/claim_actor.rs
+++ b/crates/daemon/src/claim/claim_actor.rs
@@ -1,6 +1,10 @@
 //! Grants the claims of the shards that this daemon owns, after storing them in group commits.
 
-use super::{CLAIM_SHARDS, claim_store::{ClaimStore, StoredClaim}, shard_of, shard_owner};
+use super::{
+    CLAIM_SHARDS,
+    claim_store::{ClaimStore, StoredClaim},
+    shard_of, shard_owner,
+};
 use crate::shared_state::SharedState;
 use actix::{
     Actor, ActorFutureExt, AsyncContext, Context, Handler, Message, MessageResult, ResponseFuture, WrapFuture,
--- a/crates/daemon/src/http/admin_api.rs
+++ b/crates/daemon/src/http/admin_api.rs
@@ -1,7 +1,11 @@
 //! Administration API for operators.
 
 use super::WorkerState;
-use crate::{config_writer::{ConfigWriter, WriteError}, step::ListStepsMessage, task::push_records};
+use crate::{
+    config_writer::{ConfigWriter, WriteError},
+    step::ListStepsMessage,
+    task::push_records,
+};
 use actix_web::{HttpResponse, web};
 use pimentoslip_client::KeyValueClient;
 use pimentoslip_kernel::{ConfigRecord, MemberState, RecordEntry, RecordName, SharedName};
--- a/crates/daemon/src/http/key_api.rs
+++ b/crates/daemon/src/http/key_api.rs
@@ -1,6 +1,9 @@
 //! Administration of API keys.
 
-use super::{WorkerState, admin_api::{distribute_change, error_response}};
+use super::{
+    WorkerState,
+    admin_api::{distribute_change, error_response},
+};
 use crate::config_writer::{ConfigWriter, WriteError};
 use actix_web::{HttpResponse, web};
 use pimentoslip_kernel::{ConfigRecord, KeyEntry, KeySet, RecordName, SharedName};
--- a/crates/daemon/src/http/trainer_api.rs
+++ b/crates/daemon/src/http/trainer_api.rs
@@ -9,7 +9,10 @@
 };
 use actix_web::{HttpRequest, HttpResponse, web};
 use pimentoslip_kernel::{ConfigRecord, RecordName, RefusalReason, ServiceKind};
-use pimentoslip_wire::{REQUEST_ID_HEADER, caller::{FetchRequest, OpenRequest, PublishRequest, PublishResponse}};
+use pimentoslip_wire::{
+    REQUEST_ID_HEADER,
+    caller::{FetchRequest, OpenRequest, PublishRequest, PublishResponse},
+};
 use serde::{Serialize, de::DeserializeOwned};
 
 /// Maximum length of a trainer's name.
--- a/crates/daemon/src/shared_state.rs
+++ b/crates/daemon/src/shared_state.rs
@@ -1,6 +1,9 @@
 //! State shared by the listeners and the background tasks of a daemon.
 
-use crate::{DaemonSettings, admission_controller::AdmissionController, metric_set::MetricSet, request_id::RequestId, upstream::InflightTable};
+use crate::{
+    DaemonSettings, admission_controller::AdmissionController, metric_set::MetricSet, request_id::RequestId,
+    upstream::InflightTable,
+};
 use pimentoslip_client::LeaseClock;
 use pimentoslip_kernel::{
     ConfigView, FreshnessTable, MemberEntry, MemberState, MemberTable, RecordEntry, RetryBudget, RouteTable,
--- a/crates/daemon/src/step/step_actor.rs
+++ b/crates/daemon/src/step/step_actor.rs
@@ -1,6 +1,10 @@
 //! Runs the samples of the steps that this daemon owns, and delivers them to the trainers.
 
-use super::{sample_attempt::{SampleAttempt, SampleError}, step_key, step_state::{StepState, WaitingFetch}};
+use super::{
+    sample_attempt::{SampleAttempt, SampleError},
+    step_key,
+    step_state::{StepState, WaitingFetch},
+};
 use crate::shared_state::SharedState;
 use actix::{Actor, AsyncContext, Context, Handler, Message, MessageResult, ResponseFuture};
 use actix_rt::task::JoinHandle;
--- a/crates/daemon/src/step/step_state.rs
+++ b/crates/daemon/src/step/step_state.rs
@@ -65,7 +65,8 @@
             if fetch.sender.is_closed() {
                 continue;
             }
-            let samples = self.ledger.fetch(&fetch.request.cursor, fetch.request.published_version, fetch.request.samples_max);
+            let samples =
+                self.ledger.fetch(&fetch.request.cursor, fetch.request.published_version, fetch.request.samples_max);
             let complete = self.ledger.is_complete();
             if samples.is_empty() && !complete && now < fetch.deadline {
                 self.waiting_fetches.push(fetch);
--- a/crates/daemon/src/task/domain_duty.rs
+++ b/crates/daemon/src/task/domain_duty.rs
@@ -1,6 +1,9 @@
 //! Ordering duty of one failure domain: starts and stops its upstreams and updates the weights of its engines.
 
-use super::{duty_lease::DutyLease, order_sender::{OrderAuthority, OrderSender}};
+use super::{
+    duty_lease::DutyLease,
+    order_sender::{OrderAuthority, OrderSender},
+};
 use crate::shared_state::SharedState;
 use futures_util::future::join_all;
 use pimentoslip_client::{EtcdClient, ProviderClient, Result};
--- a/crates/daemon/src/task/usage_task.rs
+++ b/crates/daemon/src/task/usage_task.rs
@@ -6,7 +6,11 @@
 use pimentoslip_client::{EtcdClient, KeyValueClient, PlatformError, ProviderClient, Result};
 use pimentoslip_kernel::{SharedName, TimePoint, UsageLine, UsageWindow};
 use pimentoslip_telemetry::LogLine;
-use pimentoslip_wire::{kv::TxnRequest, peer::{TotalsLine, TotalsResponse}, provider::UsageReport};
+use pimentoslip_wire::{
+    kv::TxnRequest,
+    peer::{TotalsLine, TotalsResponse},
+    provider::UsageReport,
+};
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, sync::Arc};
 
--- a/crates/standin/src/kv_service.rs
+++ b/crates/standin/src/kv_service.rs
@@ -3,7 +3,10 @@
 use crate::{KvFault, KvStore, Result, RunningStandin, running::start_server};
 use actix_web::{App, HttpResponse, web};
 use bytes::Bytes;
-use pimentoslip_wire::kv::{KeepAliveResponse, KeepAliveResult, LeaseGrantRequest, LeaseGrantResponse, LeaseId, RangeRequest, RangeResponse, ResponseHeader, TxnRequest, TxnResponse, WatchEvent, WatchRequest, WatchResponse, WatchResult};
+use pimentoslip_wire::kv::{
+    KeepAliveResponse, KeepAliveResult, LeaseGrantRequest, LeaseGrantResponse, LeaseId, RangeRequest, RangeResponse,
+    ResponseHeader, TxnRequest, TxnResponse, WatchEvent, WatchRequest, WatchResponse, WatchResult,
+};
 use std::{
     collections::BTreeMap,
     io,
