--- a/crates/client/src/call_timeout.rs
+++ b/crates/client/src/call_timeout.rs
@@ -1,4 +1,4 @@
-//! How long calls to the platform may take.
+//! Timeouts of calls to the platform.
 
 use std::time::Duration;
 
@@ -7,10 +7,11 @@
 pub struct CallTimeout;
 
 impl CallTimeout {
-    /// Calls to the key-value service.
+    /// For calls to the key-value service, except watches.
     pub const KEY_VALUE: Duration = Duration::from_millis(1_000);
-    /// Calls to the ordering, usage and list interfaces.
+    /// For calls to the interfaces for orders, usage reports and the VM list, and to engines.
     pub const PROVIDER: Duration = Duration::from_millis(1_500);
-    /// Unacknowledged bytes on an order's connection are given up after this; shorter than the lease guard.
+    /// For bytes on an order's connection that stay unacknowledged; the connection is dropped then. Shorter than the
+    /// time before the end of a lease at which its holder stops acting.
     pub const TCP_USER: Duration = Duration::from_millis(1_500);
 }
--- a/crates/client/src/deadline_body.rs
+++ b/crates/client/src/deadline_body.rs
@@ -1,4 +1,4 @@
-//! A request body that refuses to be sent late.
+//! Request body that is not sent after its deadline.
 
 use crate::LeaseClock;
 use actix_web::body::{BodySize, MessageBody};
@@ -11,21 +11,22 @@
     task::{Context, Poll},
 };
 
-/// Checks its deadline in the same poll that hands the bytes to the connection. Past the deadline the
-/// body fails, so the receiver never sees a whole request.
+/// Request body that checks its deadline in the same poll that passes the bytes to the connection. After the deadline
+/// the body returns an error, so that the receiver never gets a complete request.
 pub struct DeadlineBody {
     clock: Arc<LeaseClock>,
     deadline: TimePoint,
+    /// Content; `None` once it was passed on or dropped.
     bytes: Option<Bytes>,
-    length: u64,
+    length_bytes: u64,
 }
 
 impl DeadlineBody {
-    /// Creates a body that may be sent before `deadline`.
+    /// Creates a body with the content `bytes` that may be sent before `deadline`.
     #[must_use]
     pub fn new(clock: Arc<LeaseClock>, deadline: TimePoint, bytes: Bytes) -> Self {
-        let length = bytes.len() as u64;
-        Self { clock, deadline, bytes: Some(bytes), length }
+        let length_bytes = bytes.len() as u64;
+        Self { clock, deadline, bytes: Some(bytes), length_bytes }
     }
 }
 
@@ -33,7 +34,7 @@
     type Error = io::Error;
 
     fn size(&self) -> BodySize {
-        BodySize::Sized(self.length)
+        BodySize::Sized(self.length_bytes)
     }
 
     fn poll_next(self: Pin<&mut Self>, _context: &mut Context<'_>) -> Poll<Option<Result<Bytes, io::Error>>> {
@@ -42,7 +43,7 @@
         if this.clock.now() >= this.deadline {
             return Poll::Ready(Some(Err(io::Error::new(
                 io::ErrorKind::TimedOut,
-                "the lease ended before the order was sent",
+                "the deadline passed before the request was sent",
             ))));
         }
         Poll::Ready(Some(Ok(bytes)))
--- a/crates/client/src/etcd_client.rs
+++ b/crates/client/src/etcd_client.rs
@@ -1,4 +1,4 @@
-//! The key-value service through the JSON form of the etcd v3 protocol.
+//! Client of the key-value service, which speaks the JSON form of the etcd v3 protocol.
 
 use crate::{CallTimeout, KeyValueClient, PlatformError, Result, plain_client};
 use awc::Client;
@@ -16,11 +16,11 @@
     time::Duration,
 };
 
-const ANSWER_BYTES_MAX: usize = 64 << 20;
+const RESPONSE_BYTES_MAX: usize = 64 << 20;
 const MS_PER_SECOND: u64 = 1_000;
 const WATCH_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Client of one endpoint. Cloning shares its connections and its call counter.
+/// Client of one endpoint. Clones share its connections and its call counter.
 #[derive(Clone)]
 pub struct EtcdClient {
     client: Client,
@@ -35,21 +35,21 @@
         Self { client: plain_client(), endpoint, calls }
     }
 
-    async fn call<Q: Serialize, A: DeserializeOwned>(&self, path: &str, question: &Q) -> Result<A> {
+    async fn call<Req: Serialize, Resp: DeserializeOwned>(&self, path: &str, request_body: &Req) -> Result<Resp> {
         self.calls.fetch_add(1, Ordering::Relaxed);
         let request = self.client.post(format!("http://{}{path}", self.endpoint)).timeout(CallTimeout::KEY_VALUE);
-        let mut answer = request.send_json(question).await.map_err(|error| self.unreachable(&error))?;
-        if !answer.status().is_success() {
+        let mut response = request.send_json(request_body).await.map_err(|error| self.unreachable(&error))?;
+        if !response.status().is_success() {
             return Err(PlatformError::Refused {
                 endpoint: self.endpoint.to_string(),
-                status: answer.status().as_u16(),
+                status: response.status().as_u16(),
             });
         }
-        let body = answer.body().limit(ANSWER_BYTES_MAX).await.map_err(|error| self.unreachable(&error))?;
+        let body = response.body().limit(RESPONSE_BYTES_MAX).await.map_err(|error| self.unreachable(&error))?;
         self.parse(&body)
     }
 
-    fn parse<A: DeserializeOwned>(&self, body: &[u8]) -> Result<A> {
+    fn parse<T: DeserializeOwned>(&self, body: &[u8]) -> Result<T> {
         serde_json::from_slice(body).map_err(|error| PlatformError::Malformed {
             endpoint: self.endpoint.to_string(),
             problem: error.to_string(),
@@ -63,14 +63,14 @@
 
 impl KeyValueClient for EtcdClient {
     async fn range(&self, prefix: &str, since: u64) -> Result<RangeResponse> {
-        let question =
+        let request_body =
             RangeRequest { key: prefix.into(), range_end: prefix_end(prefix.as_bytes()), min_mod_revision: since };
-        self.call("/v3/kv/range", &question).await
+        self.call("/v3/kv/range", &request_body).await
     }
 
     async fn get(&self, key: &str) -> Result<RangeResponse> {
-        let question = RangeRequest { key: key.into(), ..RangeRequest::default() };
-        self.call("/v3/kv/range", &question).await
+        let request_body = RangeRequest { key: key.into(), ..RangeRequest::default() };
+        self.call("/v3/kv/range", &request_body).await
     }
 
     async fn commit(&self, txn: &TxnRequest) -> Result<TxnResponse> {
@@ -78,14 +78,14 @@
     }
 
     async fn grant_lease(&self, ttl_ms: u64) -> Result<u64> {
-        let question = LeaseGrantRequest { ttl_seconds: ttl_ms.div_ceil(MS_PER_SECOND) };
-        let granted: LeaseGrantResponse = self.call("/v3/lease/grant", &question).await?;
-        Ok(granted.id)
+        let request_body = LeaseGrantRequest { ttl_seconds: ttl_ms.div_ceil(MS_PER_SECOND) };
+        let response: LeaseGrantResponse = self.call("/v3/lease/grant", &request_body).await?;
+        Ok(response.id)
     }
 
     async fn renew_lease(&self, lease: u64) -> Result<()> {
-        let answer: KeepAliveResponse = self.call("/v3/lease/keepalive", &LeaseId { id: lease }).await?;
-        if answer.result.ttl_seconds == 0 {
+        let response: KeepAliveResponse = self.call("/v3/lease/keepalive", &LeaseId { id: lease }).await?;
+        if response.result.ttl_seconds == 0 {
             return Err(PlatformError::LeaseNotFound);
         }
         Ok(())
@@ -101,26 +101,28 @@
         let create_request =
             WatchCreate { key: prefix.into(), range_end: prefix_end(prefix.as_bytes()), start_revision: since };
         let request = self.client.post(format!("http://{}/v3/watch", self.endpoint)).timeout(WATCH_TIMEOUT);
-        let question = WatchRequest { create_request };
-        let mut answer = request.send_json(&question).await.map_err(|error| self.unreachable(&error))?;
-        let mut line = Vec::new();
+        let request_body = WatchRequest { create_request };
+        let mut response = request.send_json(&request_body).await.map_err(|error| self.unreachable(&error))?;
+        let mut received = Vec::new();
         loop {
-            let next = actix_rt::time::timeout(WATCH_TIMEOUT, answer.next()).await;
-            let chunk = next.map_err(|error| self.unreachable(&error))?;
-            let Some(chunk) = chunk else { return Err(self.unreachable(&"the watch ended")) };
-            line.extend_from_slice(&chunk.map_err(|error| self.unreachable(&error))?);
-            while let Some(at) = line.iter().position(|byte| *byte == b'\n') {
-                let whole: Vec<u8> = line.drain(..=at).collect();
-                let batch: WatchResponse = self.parse(&whole)?;
-                if !batch.result.events.is_empty() {
-                    return Ok(batch.result.header.revision);
+            let result = actix_rt::time::timeout(WATCH_TIMEOUT, response.next()).await;
+            let chunk = result.map_err(|error| self.unreachable(&error))?;
+            let Some(chunk) = chunk else {
+                return Err(self.unreachable(&"the connection of the watch ended without a change"));
+            };
+            received.extend_from_slice(&chunk.map_err(|error| self.unreachable(&error))?);
+            while let Some(line_end) = received.iter().position(|byte| *byte == b'\n') {
+                let complete_line: Vec<u8> = received.drain(..=line_end).collect();
+                let response: WatchResponse = self.parse(&complete_line)?;
+                if !response.result.events.is_empty() {
+                    return Ok(response.result.header.revision);
                 }
             }
         }
     }
 }
 
-/// An answer of which only the header matters.
+/// Response of which only the header is checked.
 #[derive(serde::Deserialize)]
 struct ResponseEnvelope {
     #[serde(rename = "header", default)]
--- a/crates/client/src/http_client.rs
+++ b/crates/client/src/http_client.rs
@@ -1,4 +1,4 @@
-//! HTTP clients.
+//! Configuration of the HTTP clients.
 
 use crate::strict_stream::StrictStream;
 use actix_rt::net::TcpStream;
@@ -11,32 +11,35 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 const CONNECTIONS_MAX: usize = 4_096;
-const KEEP_ALIVE: Duration = Duration::from_secs(15);
+const IDLE_CONNECTION_TTL: Duration = Duration::from_secs(15);
 
-/// A client that keeps connections open between calls and takes no cut answer for a whole one.
+/// A client that reuses connections and reports a truncated response as an error.
 #[must_use]
 pub fn plain_client() -> Client {
     client(None)
 }
 
-/// As [`plain_client`], with connections that end when sent bytes stay unacknowledged for `timeout`, so
-/// that the operating system cannot deliver them later on behalf of a frozen process.
+/// A client like [`plain_client`] whose connections are dropped when sent bytes stay unacknowledged for `timeout`.
+/// Otherwise the operating system could still deliver them later, after the process was frozen.
 #[must_use]
 pub fn client_with_tcp_user_timeout(timeout: Duration) -> Client {
     client(Some(timeout))
 }
 
-fn client(user_timeout: Option<Duration>) -> Client {
+fn client(tcp_user_timeout: Option<Duration>) -> Client {
     let connect = fn_service(move |info: ConnectInfo<Uri>| async move {
         let connection: Connection<Uri, TcpStream> = TcpConnector::default().service().call(info).await?;
         let (stream, connection) = connection.replace_io(());
         stream.set_nodelay(true).map_err(ConnectError::Io)?;
-        if let Some(timeout) = user_timeout {
+        if let Some(timeout) = tcp_user_timeout {
             SockRef::from(&stream).set_tcp_user_timeout(Some(timeout)).map_err(ConnectError::Io)?;
         }
         Ok::<_, ConnectError>(connection.replace_io(StrictStream::new(stream)).1)
     });
-    let connector =
-        Connector::new().connector(connect).limit(CONNECTIONS_MAX).timeout(CONNECT_TIMEOUT).conn_keep_alive(KEEP_ALIVE);
+    let connector = Connector::new()
+        .connector(connect)
+        .limit(CONNECTIONS_MAX)
+        .timeout(CONNECT_TIMEOUT)
+        .conn_keep_alive(IDLE_CONNECTION_TTL);
     Client::builder().connector(connector).disable_timeout().disable_redirects().finish()
 }
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,4 +1,4 @@
-//! Clients of the platform's interfaces, and the clock for anything with an owner.
+//! Clients of the platform's interfaces, and the clock for leases and deadlines.
 
 mod call_timeout;
 mod deadline_body;
--- a/crates/client/src/platform_error.rs
+++ b/crates/client/src/platform_error.rs
@@ -1,36 +1,36 @@
-//! Failures of calls to the platform.
+//! Errors of calls to the platform.
 
 /// Result of a call to the platform.
 pub type Result<T> = std::result::Result<T, PlatformError>;
 
-/// Why a call to the platform failed. A failed write may have taken effect.
+/// Reason why a call to the platform failed. A write that failed may have been applied.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PlatformError {
-    /// No whole answer came.
-    #[error("no answer from {endpoint}: {problem}; check that it runs and can be reached")]
+    /// No complete response was received.
+    #[error("no complete response from {endpoint}: {problem}; check that it runs and is reachable")]
     Unreachable {
-        /// Address called.
+        /// Address of the called service.
         endpoint: String,
-        /// What happened.
+        /// Error of the connection.
         problem: String,
     },
-    /// It answered with an error status.
-    #[error("{endpoint} answered with status {status}; check its logs")]
+    /// The service responded with an error status.
+    #[error("{endpoint} responded with status {status}; check its logs")]
     Refused {
-        /// Address called.
+        /// Address of the called service.
         endpoint: String,
-        /// HTTP status.
+        /// HTTP status of the response.
         status: u16,
     },
-    /// Its answer could not be parsed.
-    #[error("{endpoint} sent a malformed answer: {problem}; check that its release is supported")]
+    /// The response could not be decoded, or the request could not be encoded.
+    #[error("malformed message from or to {endpoint}: {problem}; check that its release is supported")]
     Malformed {
-        /// Address called.
+        /// Address of the called service.
         endpoint: String,
-        /// What is wrong.
+        /// Error from the decoder or encoder.
         problem: String,
     },
-    /// The lease that a renewal named is gone.
-    #[error("the lease is gone; acquire it again")]
+    /// The lease to be renewed has expired or was revoked.
+    #[error("the lease has expired or was revoked; obtain a new one")]
     LeaseNotFound,
 }
--- a/crates/client/src/provider_client.rs
+++ b/crates/client/src/provider_client.rs
@@ -1,4 +1,4 @@
-//! Clients of the ordering, usage and VM list interfaces.
+//! Client of the provider's interfaces for orders, usage reports and the VM list, and of the engines.
 
 use crate::{CallTimeout, DeadlineBody, LeaseClock, PlatformError, Result, client_with_tcp_user_timeout, plain_client};
 use awc::Client;
@@ -11,79 +11,87 @@
 use serde::{Serialize, de::DeserializeOwned};
 use std::sync::Arc;
 
-const ANSWER_BYTES_MAX: usize = 16 << 20;
+const RESPONSE_BYTES_MAX: usize = 16 << 20;
 const FENCING_HEADER: &str = "x-fencing";
 const NOT_FOUND: u16 = 404;
 const CONFLICT: u16 = 409;
 
-/// Talks to the provider. Orders and reports go out on connections of their own under a deadline.
+/// Client of the provider and of engines. Sends each order and usage report on a connection of its own, before a
+/// deadline.
 #[derive(Clone)]
 pub struct ProviderClient {
-    plain: Client,
-    guarded: Client,
+    /// Client for reads, which reuses connections.
+    read_client: Client,
+    /// Client for writes, whose connections are dropped when sent bytes stay unacknowledged.
+    write_client: Client,
     clock: Arc<LeaseClock>,
-    orders: Arc<str>,
-    usage: Arc<str>,
-    vms: Arc<str>,
+    orders_endpoint: Arc<str>,
+    usage_endpoint: Arc<str>,
+    vms_endpoint: Arc<str>,
 }
 
 impl ProviderClient {
-    /// Creates clients of the three interfaces, each given as `ip:port`.
+    /// Creates a client of the three interfaces, each given as `ip:port`.
     #[must_use]
-    pub fn new(clock: Arc<LeaseClock>, orders: Arc<str>, usage: Arc<str>, vms: Arc<str>) -> Self {
+    pub fn new(
+        clock: Arc<LeaseClock>,
+        orders_endpoint: Arc<str>,
+        usage_endpoint: Arc<str>,
+        vms_endpoint: Arc<str>,
+    ) -> Self {
         Self {
-            plain: plain_client(),
-            guarded: client_with_tcp_user_timeout(CallTimeout::TCP_USER),
+            read_client: plain_client(),
+            write_client: client_with_tcp_user_timeout(CallTimeout::TCP_USER),
             clock,
-            orders,
-            usage,
-            vms,
+            orders_endpoint,
+            usage_endpoint,
+            vms_endpoint,
         }
     }
 
-    /// The VM list.
+    /// Reads the list of VMs.
     pub async fn vms(&self) -> Result<VmList> {
-        self.get(&self.vms, "/v1/vms").await
+        self.get(&self.vms_endpoint, "/v1/vms").await
     }
 
-    /// Sends an order that must have left before `deadline`.
+    /// Sends an order unless `deadline` has passed before. The response reports a refusal for its fencing number too.
     pub async fn send_order(&self, order: &OrderRequest, deadline: TimePoint) -> Result<OrderResponse> {
         let body = to_json(order)?;
         let path = format!("/v1/orders/{}", order.order_id);
-        let (status, answer) = self.put(&self.orders, &path, order.fencing, body, deadline).await?;
+        let (status, response_body) = self.put(&self.orders_endpoint, &path, order.fencing, body, deadline).await?;
         if status >= 400 && status != CONFLICT {
-            return Err(PlatformError::Refused { endpoint: self.orders.to_string(), status });
+            return Err(PlatformError::Refused { endpoint: self.orders_endpoint.to_string(), status });
         }
-        parse(&self.orders, &answer)
+        parse(&self.orders_endpoint, &response_body)
     }
 
-    /// What became of an order; None when it never arrived.
-    pub async fn order_status(&self, order: &str) -> Result<Option<OrderResponse>> {
-        match self.get(&self.orders, &format!("/v1/orders/{order}")).await {
-            Ok(answer) => Ok(Some(answer)),
+    /// Outcome of the order with the id `order_id`; `None` if the provider has not received it.
+    pub async fn order_status(&self, order_id: &str) -> Result<Option<OrderResponse>> {
+        match self.get(&self.orders_endpoint, &format!("/v1/orders/{order_id}")).await {
+            Ok(response) => Ok(Some(response)),
             Err(PlatformError::Refused { status: NOT_FOUND, .. }) => Ok(None),
             Err(error) => Err(error),
         }
     }
 
-    /// Sends the sealed bytes of a usage window before `deadline`.
+    /// Sends the encoded report of a usage window unless `deadline` has passed before.
     pub async fn report_usage(
         &self,
         site: &str,
         window: u64,
         fencing: u64,
-        sealed: Bytes,
+        report: Bytes,
         deadline: TimePoint,
     ) -> Result<()> {
         let path = format!("/v1/usage/{site}/{window}");
-        let (status, _) = self.put(&self.usage, &path, fencing, sealed, deadline).await?;
+        let (status, _) = self.put(&self.usage_endpoint, &path, fencing, report, deadline).await?;
         if status >= 400 {
-            return Err(PlatformError::Refused { endpoint: self.usage.to_string(), status });
+            return Err(PlatformError::Refused { endpoint: self.usage_endpoint.to_string(), status });
         }
         Ok(())
     }
 
-    /// Orders the engine at `address` to load weights, before `deadline`.
+    /// Orders the engine at `address` to load weights, unless `deadline` has passed before.
     pub async fn load_weights(&self, address: &str, order: &LoadOrder, deadline: TimePoint) -> Result<()> {
         let body = to_json(order)?;
         let (status, _) = self.put(address, "/orders/load", order.fencing, body, deadline).await?;
@@ -93,18 +101,18 @@
         Ok(())
     }
 
-    /// The load report of the engine at `address`.
+    /// Reads the load report of the engine at `address`.
     pub async fn load_report(&self, address: &str) -> Result<LoadReport> {
         self.get(address, "/load").await
     }
 
-    async fn get<A: DeserializeOwned>(&self, endpoint: &str, path: &str) -> Result<A> {
-        let request = self.plain.get(format!("http://{endpoint}{path}")).timeout(CallTimeout::PROVIDER);
-        let mut answer = request.send().await.map_err(|error| unreachable(endpoint, &error))?;
-        if !answer.status().is_success() {
-            return Err(PlatformError::Refused { endpoint: endpoint.to_owned(), status: answer.status().as_u16() });
+    async fn get<T: DeserializeOwned>(&self, endpoint: &str, path: &str) -> Result<T> {
+        let request = self.read_client.get(format!("http://{endpoint}{path}")).timeout(CallTimeout::PROVIDER);
+        let mut response = request.send().await.map_err(|error| unreachable(endpoint, &error))?;
+        if !response.status().is_success() {
+            return Err(PlatformError::Refused { endpoint: endpoint.to_owned(), status: response.status().as_u16() });
         }
-        let body = answer.body().limit(ANSWER_BYTES_MAX).await.map_err(|error| unreachable(endpoint, &error))?;
+        let body = response.body().limit(RESPONSE_BYTES_MAX).await.map_err(|error| unreachable(endpoint, &error))?;
         parse(endpoint, &body)
     }
 
@@ -118,15 +126,16 @@
     ) -> Result<(u16, Bytes)> {
         let body = DeadlineBody::new(self.clock.clone(), deadline, body);
         let request = self
-            .guarded
+            .write_client
             .put(format!("http://{endpoint}{path}"))
             .timeout(CallTimeout::PROVIDER)
             .force_close()
             .insert_header((FENCING_HEADER, fencing.to_string()))
             .insert_header(("content-type", "application/json"));
-        let mut answer = request.send_body(body).await.map_err(|error| unreachable(endpoint, &error))?;
-        let bytes = answer.body().limit(ANSWER_BYTES_MAX).await.map_err(|error| unreachable(endpoint, &error))?;
-        Ok((answer.status().as_u16(), bytes))
+        let mut response = request.send_body(body).await.map_err(|error| unreachable(endpoint, &error))?;
+        let response_body =
+            response.body().limit(RESPONSE_BYTES_MAX).await.map_err(|error| unreachable(endpoint, &error))?;
+        Ok((response.status().as_u16(), response_body))
     }
 }
 
@@ -136,7 +145,7 @@
     Ok(bytes.into())
 }
 
-fn parse<A: DeserializeOwned>(endpoint: &str, body: &[u8]) -> Result<A> {
+fn parse<T: DeserializeOwned>(endpoint: &str, body: &[u8]) -> Result<T> {
     serde_json::from_slice(body)
         .map_err(|error| PlatformError::Malformed { endpoint: endpoint.to_owned(), problem: error.to_string() })
 }
--- a/crates/client/src/strict_stream.rs
+++ b/crates/client/src/strict_stream.rs
@@ -1,4 +1,4 @@
-//! A TCP stream on which an end is an error.
+//! TCP stream that reports its end as an error.
 
 use actix_rt::net::{ActixStream, Ready, TcpStream};
 use std::{
@@ -8,8 +8,8 @@
 };
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// The HTTP client takes the end of a connection for the end of a body, so that a cut answer would look
-/// whole. Here the peer's end is an error, and only what the message itself ends counts as whole.
+/// TCP stream on which the end of the connection is an error. The HTTP client would accept it as the end of a body, so
+/// that a truncated response would look complete; with this stream only the framing of the message ends a body.
 #[derive(Debug)]
 pub struct StrictStream(TcpStream);
 
@@ -23,10 +23,10 @@
 
 impl AsyncRead for StrictStream {
     fn poll_read(self: Pin<&mut Self>, context: &mut Context<'_>, buffer: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let before = buffer.filled().len();
-        let room = buffer.remaining() > 0;
+        let filled_before = buffer.filled().len();
+        let has_space = buffer.remaining() > 0;
         std::task::ready!(Pin::new(&mut self.get_mut().0).poll_read(context, buffer))?;
-        if room && buffer.filled().len() == before {
+        if has_space && buffer.filled().len() == filled_before {
             return Poll::Ready(Err(io::ErrorKind::UnexpectedEof.into()));
         }
         Poll::Ready(Ok(()))
--- a/crates/client/tests/contract/provider.rs
+++ b/crates/client/tests/contract/provider.rs
@@ -1,4 +1,4 @@
-//! The ordering, usage and VM list interfaces, and orders that come too late.
+//! Contract of the interfaces for orders, usage reports and the VM list, and of deadlines and fencing numbers.
 
 use super::endpoint;
 use pimentoslip_client::{LeaseClock, ProviderClient};
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 const LOOPBACK: &str = "127.0.0.1:0";
-const LATER: TimePoint = TimePoint(u64::MAX);
+const FAR_FUTURE: TimePoint = TimePoint(u64::MAX);
 
 struct Fixture {
     clock: Arc<LeaseClock>,
@@ -45,53 +45,64 @@
 }
 
 #[actix_rt::test]
-async fn an_order_repeated_under_its_id_is_the_same_order() {
+async fn an_order_repeated_under_its_id_is_carried_out_once() {
     let client = fixture(false).client;
     let order = order("twice", 1);
-    assert_eq!(client.order_status(&order.order_id).await.expect("an answer"), None, "it never arrived");
-    let first = client.send_order(&order, LATER).await.expect("an answer");
-    assert_eq!(client.send_order(&order, LATER).await.expect("an answer"), first);
-    assert_eq!(client.order_status(&order.order_id).await.expect("an answer"), Some(first));
+    assert_eq!(client.order_status(&order.order_id).await.expect("a response"), None, "the order was not sent");
+    let first = client.send_order(&order, FAR_FUTURE).await.expect("a response");
+    assert_eq!(client.send_order(&order, FAR_FUTURE).await.expect("a response"), first);
+    assert_eq!(client.order_status(&order.order_id).await.expect("a response"), Some(first));
 }
 
 #[actix_rt::test]
-async fn a_checking_receiver_refuses_an_older_fencing_number() {
+async fn a_receiver_that_checks_fencing_refuses_an_older_fencing_number() {
     let client = fixture(true).client;
-    client.send_order(&order("new", 7), LATER).await.expect("an answer");
-    assert_eq!(client.send_order(&order("old", 6), LATER).await.expect("an answer").state, OrderState::Fenced);
-    client.report_usage("contract", 1, 7, "{}".into(), LATER).await.expect("accepted");
-    client.report_usage("contract", 2, 6, "{}".into(), LATER).await.expect_err("refused");
+    client.send_order(&order("new", 7), FAR_FUTURE).await.expect("a response");
+    assert_eq!(client.send_order(&order("old", 6), FAR_FUTURE).await.expect("a response").state, OrderState::Fenced);
+    client.report_usage("contract", 1, 7, "{}".into(), FAR_FUTURE).await.expect("accepted");
+    client
+        .report_usage("contract", 2, 6, "{}".into(), FAR_FUTURE)
+        .await
+        .expect_err("an older fencing number is refused");
 }
 
 #[actix_rt::test]
-async fn nothing_arrives_after_its_deadline() {
+async fn an_order_or_report_is_not_sent_after_its_deadline() {
     let fixture = fixture(false);
-    let passed = fixture.clock.now();
-    let late = order("late", 1);
-    fixture.client.send_order(&late, passed).await.expect_err("it is not sent");
+    let passed_deadline = fixture.clock.now();
+    let late_order = order("late", 1);
+    fixture.client.send_order(&late_order, passed_deadline).await.expect_err("the deadline has passed");
     assert_eq!(
-        fixture.client.order_status(&late.order_id).await.expect("an answer"),
+        fixture.client.order_status(&late_order.order_id).await.expect("a response"),
         None,
-        "the receiver saw no whole order"
+        "the receiver got no complete order"
     );
-    fixture.client.report_usage("contract", 3, 1, "{}".into(), passed).await.expect_err("it is not sent");
+    fixture
+        .client
+        .report_usage("contract", 3, 1, "{}".into(), passed_deadline)
+        .await
+        .expect_err("the deadline has passed");
     let url = format!("http://{}/standin/reports", fixture.usage);
     if std::env::var_os("PIMENTOSLIP_CONTRACT_USAGE").is_none() {
-        let mut answer = awc::Client::default().get(url).send().await.expect("an answer");
-        assert_eq!(answer.body().await.expect("a body"), "[]");
+        let mut response = awc::Client::default().get(url).send().await.expect("a response");
+        assert_eq!(response.body().await.expect("a body"), "[]");
     }
     let (address, _) = engine(LOOPBACK, EngineShape::default(), true).expect("a stand-in").spawn();
     let address = address.to_string();
     let load = LoadOrder { version: 9, fencing: 1 };
-    fixture.client.load_weights(&address, &load, passed).await.expect_err("it is not sent");
+    fixture.client.load_weights(&address, &load, passed_deadline).await.expect_err("the deadline has passed");
     assert_eq!(fixture.client.load_report(&address).await.expect("a report").version, Some(1));
-    fixture.client.load_weights(&address, &load, LATER).await.expect("accepted");
+    fixture.client.load_weights(&address, &load, FAR_FUTURE).await.expect("accepted");
     assert_eq!(fixture.client.load_report(&address).await.expect("a report").version, Some(9));
-    let older = LoadOrder { version: 10, fencing: 0 };
-    fixture.client.load_weights(&address, &older, LATER).await.expect_err("an engine that checks refuses it");
+    let older_load = LoadOrder { version: 10, fencing: 0 };
+    fixture
+        .client
+        .load_weights(&address, &older_load, FAR_FUTURE)
+        .await
+        .expect_err("the engine refuses an older fencing number");
 }
 
 #[actix_rt::test]
-async fn the_vm_list_can_be_read() {
+async fn the_vm_list_is_decoded() {
     fixture(false).client.vms().await.expect("a list");
 }
--- a/crates/edge/src/store/store_access.rs
+++ b/crates/edge/src/store/store_access.rs
@@ -118,7 +118,7 @@
         self.call(true, async |client, _| client.get(key).await).await
     }
 
-    /// As [`StoreClient::page`].
+    /// As [`StoreClient::range_page`].
     pub async fn page(&self, prefix: &str, after: Option<&str>) -> Result<RangePage> {
         self.call(true, async |client, _| client.range_page(prefix, after).await).await
     }
@@ -142,17 +142,17 @@
         self.call(false, async |client, _| client.commit(commit).await).await
     }
 
-    /// As [`StoreClient::grant`].
+    /// As [`StoreClient::grant_lease`].
     pub async fn grant_lease(&self, ttl_ms: u64) -> Result<u64> {
         self.call(false, async |client, _| client.grant_lease(ttl_ms).await).await
     }
 
-    /// As [`StoreClient::keep`].
+    /// As [`StoreClient::renew_lease`].
     pub async fn renew_lease(&self, lease: u64) -> Result<()> {
         self.call(true, async |client, _| client.renew_lease(lease).await).await
     }
 
-    /// As [`StoreClient::end`].
+    /// As [`StoreClient::revoke_lease`].
     pub async fn revoke_lease(&self, lease: u64) -> Result<()> {
         self.call(true, async |client, _| client.revoke_lease(lease).await).await
     }
