--- a/crates/edge/src/store/store_access.rs
+++ b/crates/edge/src/store/store_access.rs
@@ -124,7 +124,7 @@
         self.call(true, async |client, _| client.get(key).await).await
     }
 
-    /// Reads one page of the entries below `prefix`; see [`StoreClient::page`].
+    /// Reads one page of the entries below `prefix`; see [`StoreClient::range_page`].
     pub async fn page(&self, prefix: &str, after: Option<&str>) -> Result<RangePage> {
         self.call(true, async |client, _| client.range_page(prefix, after).await).await
     }
@@ -149,17 +149,17 @@
         self.call(false, async |client, _| client.commit(commit).await).await
     }
 
-    /// Requests a lease with a time to live of `ttl_ms`; see [`StoreClient::grant`].
+    /// Requests a lease with a time to live of `ttl_ms`; see [`StoreClient::grant_lease`].
     pub async fn grant_lease(&self, ttl_ms: u64) -> Result<u64> {
         self.call(false, async |client, _| client.grant_lease(ttl_ms).await).await
     }
 
-    /// Renews a lease; see [`StoreClient::keep`].
+    /// Renews a lease; see [`StoreClient::renew_lease`].
     pub async fn renew_lease(&self, lease: u64) -> Result<()> {
         self.call(true, async |client, _| client.renew_lease(lease).await).await
     }
 
-    /// Revokes a lease, which removes the entries bound to it; see [`StoreClient::end`].
+    /// Revokes a lease, which removes the entries bound to it; see [`StoreClient::revoke_lease`].
     pub async fn revoke_lease(&self, lease: u64) -> Result<()> {
         self.call(true, async |client, _| client.revoke_lease(lease).await).await
     }
