--- a/crates/cli/src/cmd/diff.rs
+++ b/crates/cli/src/cmd/diff.rs
@@ -23,10 +23,10 @@
 
 /// Compares the files with the configuration that is active in one daemon.
 pub fn run(args: &ArgMatches) -> CliResult<()> {
-    let wanted = FileArgs::from(args).read()?.records();
-    let shown: ShowAnswer =
+    let file_records = FileArgs::from(args).read()?.records();
+    let answer: ShowAnswer =
         util::block_on(async { ConnectionArgs::from_args(args).into_client().get("config").await })?;
-    let differences = compare(&wanted, &shown);
+    let differences = compare(&file_records, &answer);
     if args.get_flag("json") {
         return util::print_json(&differences);
     }
@@ -39,13 +39,13 @@
     Ok(())
 }
 
-/// Differences between the records in `wanted` and those that the daemon returned in `shown`.
-fn compare(wanted: &[(RecordName, ConfigRecord)], shown: &ShowAnswer) -> Vec<Difference> {
+/// Differences between the records of the files and the active records that the daemon returned.
+fn compare(file_records: &[(RecordName, ConfigRecord)], answer: &ShowAnswer) -> Vec<Difference> {
     let active_record = |name: &RecordName| {
-        let record = shown.records.iter().find(|body| body.name == *name).map(|body| &body.record);
+        let record = answer.records.iter().find(|body| body.name == *name).map(|body| &body.record);
         record.filter(|record| **record != ConfigRecord::Removed)
     };
-    let mut differences: Vec<Difference> = wanted
+    let mut differences: Vec<Difference> = file_records
         .iter()
         .filter_map(|(name, record)| {
             let change = match active_record(name) {
@@ -56,10 +56,10 @@
             Some(Difference { record: name.path(), change })
         })
         .collect();
-    // Only services and organisations can be removed by leaving them out of the files.
+    // Applying files removes the services and organisations that they leave out. Keys and weights are not part of files.
     let removable = |name: &RecordName| matches!(name, RecordName::Service(_) | RecordName::Organisation(_));
-    for body in shown.records.iter().filter(|body| removable(&body.name) && body.record != ConfigRecord::Removed) {
-        if !wanted.iter().any(|(name, _)| *name == body.name) {
+    for body in answer.records.iter().filter(|body| removable(&body.name) && body.record != ConfigRecord::Removed) {
+        if !file_records.iter().any(|(name, _)| *name == body.name) {
             differences.push(Difference { record: body.name.path(), change: "remove" });
         }
     }
--- a/crates/cli/src/cmd/key.rs
+++ b/crates/cli/src/cmd/key.rs
@@ -6,7 +6,7 @@
 use pimentoslip_kernel::KeySecret;
 use pimentoslip_wire::admin::{ChangeAnswer, KeyCreateAnswer, KeyListAnswer, KeyRequest};
 
-/// Adds the arguments of the command.
+/// Adds the subcommands and their arguments.
 pub fn with_flags(command: Command) -> Command {
     let organisation = || Arg::new("organisation").required(true).help("Organisation");
     let create =
--- a/crates/cli/src/connection_args.rs
+++ b/crates/cli/src/connection_args.rs
@@ -3,7 +3,7 @@
 use crate::admin_client::AdminClient;
 use clap::{Arg, ArgAction, ArgMatches, Command};
 
-const DEFAULT_DAEMON: &str = "127.0.0.1:8081";
+const DEFAULT_DAEMON_ADDRESS: &str = "127.0.0.1:8081";
 
 /// Control address of a daemon and operator key to authenticate with.
 #[derive(Clone, Debug, Default)]
@@ -25,7 +25,7 @@
                 Arg::new("daemon")
                     .long("daemon")
                     .env("PIMENTOSLIP_DAEMON")
-                    .default_value(DEFAULT_DAEMON)
+                    .default_value(DEFAULT_DAEMON_ADDRESS)
                     .help("Control address of the daemon to call, ip:port"),
             )
             .arg(
--- a/crates/cli/src/demo/scenes.rs
+++ b/crates/cli/src/demo/scenes.rs
@@ -28,7 +28,7 @@
     send_repeated_order(&site, &key, &mut checks).await?;
     run_training_step(&site, &key, &mut checks).await?;
     order_upstream(&site, &mut checks).await?;
-    report_usage(&site, &mut checks).await?;
+    check_usage_reports(&site, &mut checks).await?;
     withdraw_key(&site, &key, &mut checks).await?;
     println!("{} checks held, {} failed.", checks.passed(), checks.failed());
     if checks.failed() > 0 {
@@ -227,7 +227,7 @@
 }
 
 /// Checks that usage is reported and that reports of one window do not differ.
-async fn report_usage(site: &DemoSite, checks: &mut DemoChecks) -> CliResult<()> {
+async fn check_usage_reports(site: &DemoSite, checks: &mut DemoChecks) -> CliResult<()> {
     println!("The holder of the usage duty seals a window and reports it.");
     let reports = wait_for(|| async {
         let log: Vec<RecordedUsageReport> = get_json(site, format!("http://{}/standin/reports", site.usage)).await?;
