--- a/crates/cli/src/cmd/diff.rs
+++ b/crates/cli/src/cmd/diff.rs
@@ -56,7 +56,8 @@
             Some(Difference { record: name.path(), change })
         })
         .collect();
-    // Applying files removes the services and organisations that they leave out. Keys and weights are not part of files.
+    // Applying files removes the services and organisations that they leave out. Keys and weights are not
+    // part of the files.
     let removable = |name: &RecordName| matches!(name, RecordName::Service(_) | RecordName::Organisation(_));
     for body in answer.records.iter().filter(|body| removable(&body.name) && body.record != ConfigRecord::Removed) {
         if !file_records.iter().any(|(name, _)| *name == body.name) {
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -15,7 +15,12 @@
 /// Builds the entries of subcommands whose modules in [`cmd`] have the same name.
 macro_rules! command_list {
     ($($name:ident: $summary:literal,)*) => {
-        &[$(CommandEntry { name: stringify!($name), summary: $summary, with_flags: cmd::$name::with_flags, run: cmd::$name::run },)*]
+        &[$(CommandEntry {
+            name: stringify!($name),
+            summary: $summary,
+            with_flags: cmd::$name::with_flags,
+            run: cmd::$name::run,
+        },)*]
     };
 }
 
