--- a/crates/cli/tests/processes/check.rs
+++ b/crates/cli/tests/processes/check.rs
@@ -1,21 +1,26 @@
-//! `pimentoslip check`
+//! Tests of the command `pimentoslip check`.
 
 use super::support::{Workdir, run_cli};
 
-const EXAMPLES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples");
+/// Directory with the example configurations.
+const EXAMPLES_DIR: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples");
 
 #[test]
-fn both_deployments_are_accepted() {
+fn the_example_configurations_are_accepted() {
     for site in ["ayacucho", "viti-levu"] {
-        let output =
-            run_cli(&["check", &format!("{EXAMPLES}/base.toml"), "--overlay", &format!("{EXAMPLES}/{site}.toml")]);
+        let output = run_cli(&[
+            "check",
+            &format!("{EXAMPLES_DIR}/base.toml"),
+            "--overlay",
+            &format!("{EXAMPLES_DIR}/{site}.toml"),
+        ]);
         assert!(output.status.success(), "{site}: {}", String::from_utf8_lossy(&output.stderr));
         assert!(String::from_utf8_lossy(&output.stdout).contains(site));
     }
 }
 
-/// Overlay text, and the file, key and remedy that must be named.
-const FAULTS: &[(&str, &str, &str, &str)] = &[
+/// Text of an invalid overlay, and the file, key and remedy that the error must name.
+const INVALID_OVERLAYS: &[(&str, &str, &str, &str)] = &[
     ("[site]\nstaleness_bound = -1", "overlay.toml", "site", "CONFIGURATION.md"),
     (
         "[site]\nspend_floor_cents_per_hour = 5\nspend_ceiling_cents_per_hour = 1",
@@ -42,22 +47,22 @@
 ];
 
 #[test]
-fn each_fault_names_file_key_and_remedy() {
+fn each_error_names_the_file_key_and_remedy() {
     let workdir = Workdir::new();
     let base = workdir.write("base.toml", include_str!("support/site-base.toml"));
-    for (text, file, key, remedy) in FAULTS {
+    for (text, file, key, remedy) in INVALID_OVERLAYS {
         let overlay = workdir.write("overlay.toml", text);
         let output = run_cli(&["check", &base, "--overlay", &overlay]);
         let message = String::from_utf8_lossy(&output.stderr);
         assert_eq!(output.status.code(), Some(2), "{text}: {message}");
-        for part in [*file, &format!(": {key}: "), *remedy] {
-            assert!(message.contains(part), "{text}: {message} lacks {part}");
+        for expected in [*file, &format!(": {key}: "), *remedy] {
+            assert!(message.contains(expected), "{text}: {message} lacks {expected}");
         }
     }
 }
 
 #[test]
-fn all_faults_are_listed_at_once() {
+fn all_errors_are_listed_in_one_run() {
     let workdir = Workdir::new();
     let base = workdir.write("base.toml", "[services.a]\nkind = 'plain'\nqueue_depth = 0\ntimeout_ms = 0\n");
     let output = run_cli(&["check", &base]);
@@ -65,7 +70,7 @@
 }
 
 #[test]
-fn a_missing_file_is_a_clear_error() {
+fn a_missing_file_is_reported_with_its_name() {
     let output = run_cli(&["check", "no-such-file.toml"]);
     assert_eq!(output.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&output.stderr).contains("cannot read no-such-file.toml"));
--- a/crates/cli/tests/processes/configuration.rs
+++ b/crates/cli/tests/processes/configuration.rs
@@ -1,4 +1,5 @@
-//! Configuration and keys under outages, cuts, races and restarts.
+//! Tests of the configuration and the API keys under outages of the key-value store, cut connections, concurrent
+//! changes and restarts.
 
 use super::support::{DaemonSite, HttpAnswer, HttpClient, OPERATOR_KEY, SiteOptions, run_cli, wait_for};
 use futures_util::{StreamExt, future::join_all};
@@ -6,37 +7,46 @@
 use pimentoslip_standin::{KvFault, RelayRule, TcpRelay};
 use pimentoslip_wire::admin::{ChangeAnswer, KeyListAnswer, KeyRequest};
 
-const DOWN: KvFault = KvFault { down: true, slow_ms: 0, lose_answers: 0 };
+/// Outage of the key-value store: every call fails.
+const STORE_DOWN: KvFault = KvFault { down: true, slow_ms: 0, lose_answers: 0 };
 
-async fn quiet_site() -> (DaemonSite, KeySecret) {
+/// Starts a site of three daemons without engines, and creates an API key.
+async fn site_without_engines() -> (DaemonSite, KeySecret) {
     let site = DaemonSite::start(SiteOptions { engines: vec![], ..SiteOptions::default() }).await;
     let key = site.create_key(0, 1).await;
     (site, key)
 }
 
-async fn call(site: &DaemonSite, daemon: usize, key: &KeySecret) -> HttpAnswer {
+/// Sends a request that needs a valid key to a daemon.
+async fn send_keyed_request(site: &DaemonSite, daemon: usize, key: &KeySecret) -> HttpAnswer {
     site.send(daemon, "GET", "/services/desk/orders", key, &[], &()).await
 }
 
+/// Guards against a withdrawn key that is still accepted on connections which were open before the withdrawal.
 #[actix_rt::test]
-async fn a_withdrawn_key_stops_at_once_on_open_connections() {
-    let (site, key) = quiet_site().await;
-    let callers: Vec<HttpClient> = (0..3).map(|_| HttpClient::new()).collect();
+async fn a_withdrawn_key_is_refused_on_open_connections() {
+    let (site, key) = site_without_engines().await;
+    let clients: Vec<HttpClient> = (0..3).map(|_| HttpClient::new()).collect();
     let bearer = format!("Bearer {}", key.expose());
-    let ask = |daemon: usize| {
+    let request_status = |daemon: usize| {
         let url = format!("http://{}/services/desk/orders", site.daemons[daemon].public_address);
-        let (caller, bearer) = (callers[daemon].clone(), bearer.clone());
-        async move { caller.send("GET", &url, &[("authorization", &bearer)], &()).await.status }
+        let (client, bearer) = (clients[daemon].clone(), bearer.clone());
+        async move { client.send("GET", &url, &[("authorization", &bearer)], &()).await.status }
     };
-    assert_eq!(join_all((0..3).map(ask)).await, [200, 200, 200]);
+    assert_eq!(join_all((0..3).map(request_status)).await, [200, 200, 200]);
     let answer = site.withdraw_key(1, &key).await;
     assert_eq!(answer.status, 200, "{answer:?}");
     assert_eq!(answer.json::<ChangeAnswer>().confirmed.len(), 3);
-    assert_eq!(join_all((0..3).map(ask)).await, [401, 401, 401], "accepted is in force everywhere");
+    assert_eq!(
+        join_all((0..3).map(request_status)).await,
+        [401, 401, 401],
+        "an accepted withdrawal is in force at every daemon"
+    );
 }
 
+/// Guards against a stream that continues after its key was withdrawn, or that ends as if it were complete.
 #[actix_rt::test]
-async fn a_running_stream_ends_when_its_key_is_withdrawn() {
+async fn withdrawing_a_key_ends_its_running_streams_with_an_error() {
     let options = SiteOptions {
         engine_flags: vec!["--token-us=20000".to_owned(), "--shortest=2000".to_owned()],
         ..SiteOptions::default()
@@ -50,99 +60,111 @@
     stream.next().await.expect("a chunk").expect("a chunk");
     assert_eq!(site.withdraw_key(2, &key).await.status, 200);
     let mut text = String::new();
-    let mut cut = false;
+    let mut is_cut = false;
     while let Some(chunk) = stream.next().await {
         match chunk {
             Ok(chunk) => text.push_str(&String::from_utf8_lossy(&chunk)),
             Err(_) => {
-                cut = true;
+                is_cut = true;
                 break;
             }
         }
     }
     assert!(text.contains("event: error") && text.contains("key_unknown"), "{text}");
-    assert!(cut && !text.contains("[DONE]"), "the stream does not look whole");
+    assert!(is_cut && !text.contains("[DONE]"), "the stream does not end as if it were complete");
 }
 
+/// Guards against an outage of the key-value store that stops requests, re-enables withdrawn keys, or keeps a restarted
+/// daemon from serving.
 #[actix_rt::test]
-async fn an_outage_of_the_service_stops_no_customer() {
-    let (mut site, key) = quiet_site().await;
+async fn an_outage_of_the_store_stops_no_requests_and_reenables_no_withdrawn_key() {
+    let (mut site, key) = site_without_engines().await;
     let withdrawn = site.create_key(1, 2).await;
     assert_eq!(site.withdraw_key(0, &withdrawn).await.status, 200);
-    site.set_kv_fault(DOWN).await;
-    // Long past the bound after which unconfirmed configuration is not trusted.
+    site.set_kv_fault(STORE_DOWN).await;
+    // At least eight seconds, well past the staleness bound after which a daemon refuses to use an unconfirmed
+    // configuration.
     for _ in 0..16 {
         actix_rt::time::sleep(std::time::Duration::from_millis(500)).await;
         for daemon in 0..3 {
-            assert_eq!(call(&site, daemon, &key).await.status, 200);
-            assert_eq!(call(&site, daemon, &withdrawn).await.status, 401);
+            assert_eq!(send_keyed_request(&site, daemon, &key).await.status, 200);
+            assert_eq!(send_keyed_request(&site, daemon, &withdrawn).await.status, 401);
         }
     }
     let refused = site.withdraw_key(0, &key).await;
-    assert_eq!(refused.status, 503, "a change that cannot be recorded is not accepted: {refused:?}");
+    assert_eq!(refused.status, 503, "a change that cannot be stored is not accepted: {refused:?}");
 
-    // A daemon that restarts during the outage gets everything from its peers.
+    // A daemon that restarts during the outage receives the configuration from its peers.
     site.restart_daemon(2).await;
-    wait_for("the restarted daemon serves", || async { (call(&site, 2, &key).await.status == 200).then_some(()) })
-        .await;
-    assert_eq!(call(&site, 2, &withdrawn).await.status, 401, "nothing reverts");
+    wait_for("the restarted daemon serves", || async {
+        (send_keyed_request(&site, 2, &key).await.status == 200).then_some(())
+    })
+    .await;
+    assert_eq!(send_keyed_request(&site, 2, &withdrawn).await.status, 401, "the withdrawn key stays refused");
 }
 
-/// A site whose last daemon reaches the service through a relay.
-async fn cut_off_site() -> (DaemonSite, KeySecret, TcpRelay) {
+/// Starts a site whose third daemon reaches the key-value store through a relay, and creates an API key.
+async fn site_with_store_relay() -> (DaemonSite, KeySecret, TcpRelay) {
     let options = SiteOptions { daemons: vec!["a", "b"], engines: vec![], ..SiteOptions::default() };
     let mut site = DaemonSite::start(options).await;
-    let relay = TcpRelay::start(site.kv_address.parse().expect("an address")).await.expect("a relay");
+    let relay = TcpRelay::start(site.kv_address.parse().expect("an address")).await.expect("start a relay");
     site.start_daemon("c", &[format!("--kv={}", relay.address)]).await;
     site.wait_ready().await;
     let key = site.create_key(0, 1).await;
     (site, key, relay)
 }
 
+/// Guards against a daemon that accepts a withdrawn key because it cannot reach the store itself.
 #[actix_rt::test]
-async fn a_daemon_cut_from_the_service_learns_from_its_peers() {
-    let (site, key, relay) = cut_off_site().await;
+async fn a_daemon_cut_off_from_the_store_receives_changes_from_its_peers() {
+    let (site, key, relay) = site_with_store_relay().await;
     relay.set(RelayRule::Cut);
-    assert_eq!(call(&site, 2, &key).await.status, 200);
+    assert_eq!(send_keyed_request(&site, 2, &key).await.status, 200);
     assert_eq!(site.withdraw_key(0, &key).await.status, 200);
-    assert_eq!(call(&site, 2, &key).await.status, 401);
+    assert_eq!(send_keyed_request(&site, 2, &key).await.status, 401);
 }
 
+/// Guards against a daemon that keeps accepting keys without a confirmation by the store or a peer.
 #[actix_rt::test]
-async fn a_daemon_cut_from_all_refuses_what_it_cannot_confirm() {
-    let (site, key, relay) = cut_off_site().await;
+async fn a_daemon_cut_off_from_store_and_peers_refuses_keyed_requests_until_it_reconnects() {
+    let (site, key, relay) = site_with_store_relay().await;
     relay.set(RelayRule::Stall);
     site.daemons[0].process.freeze();
     site.daemons[1].process.freeze();
-    let refused = wait_for("it refuses", || async {
-        let answer = call(&site, 2, &key).await;
+    let refused = wait_for("the daemon refuses the request", || async {
+        let answer = send_keyed_request(&site, 2, &key).await;
         (answer.status != 200).then_some(answer)
     })
     .await;
     assert_eq!((refused.status, refused.error("code").as_str()), (503, "config_stale"));
     assert_eq!(refused.error("run_state"), "not run");
-    let open =
+    let open_answer =
         site.http.send("GET", &format!("http://{}/services/desk/menu", site.daemons[2].public_address), &[], &()).await;
-    assert_eq!(open.status, 200, "open routes need no key");
+    assert_eq!(open_answer.status, 200, "open routes need no key");
     site.daemons[0].process.resume();
     site.daemons[1].process.resume();
-    wait_for("it serves again", || async { (call(&site, 2, &key).await.status == 200).then_some(()) }).await;
+    wait_for("the daemon serves again", || async {
+        (send_keyed_request(&site, 2, &key).await.status == 200).then_some(())
+    })
+    .await;
 }
 
+/// Guards against a withdrawal that is reported as complete while a daemon still accepts the key.
 #[actix_rt::test]
-async fn a_change_that_a_daemon_did_not_confirm_is_pending_and_dead_there_too() {
-    let (site, key, relay) = cut_off_site().await;
+async fn a_withdrawal_that_a_frozen_daemon_has_not_confirmed_stays_pending_and_is_in_force_there() {
+    let (site, key, relay) = site_with_store_relay().await;
     site.daemons[2].process.freeze();
     let answer = site.withdraw_key(0, &key).await;
     assert_eq!(answer.status, 202, "{answer:?}");
     let answer: ChangeAnswer = answer.json();
     assert!(!answer.accepted && answer.unconfirmed.iter().any(|name| **name == *site.daemons[2].name));
-    // It stays frozen past the bound.
+    // The daemon stays frozen past the staleness bound.
     actix_rt::time::sleep(std::time::Duration::from_secs(3)).await;
-    // The frozen daemon wakes, cut from the service: it trusts nothing before it has asked its peers.
+    // The daemon resumes, cut off from the store, and must not use its configuration before its peers have confirmed
+    // it.
     relay.set(RelayRule::Cut);
     site.daemons[2].process.resume();
-    let refused = call(&site, 2, &key).await;
+    let refused = send_keyed_request(&site, 2, &key).await;
     assert!([401, 503].contains(&refused.status), "{refused:?}");
     let output = run_cli(&[
         "key",
@@ -157,9 +179,11 @@
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
 }
 
+/// Guards against concurrent changes that overwrite each other, and against lost or repeated ones when the answer of
+/// the store is lost.
 #[actix_rt::test]
-async fn racing_operators_lose_nothing() {
-    let (site, _) = quiet_site().await;
+async fn concurrent_changes_by_operators_are_all_stored_once() {
+    let (site, _) = site_without_engines().await;
     site.set_kv_fault(KvFault { slow_ms: 5, lose_answers: 3, ..KvFault::default() }).await;
     let requests: Vec<KeyRequest> = (0..9)
         .map(|number| KeyRequest {
@@ -170,39 +194,42 @@
         })
         .collect();
     let (site, requests) = (&site, &requests);
-    let create = |number: usize| async move {
-        // An operator repeats a change until it is accepted.
+    let create_key = |number: usize| async move {
+        // As an operator does, this repeats a change until it is accepted.
         wait_for("the change is accepted", || async {
             let answer = site.admin_post(number % 3, "keys/create", &requests[number]).await;
             (answer.status == 200).then_some(())
         })
         .await;
     };
-    join_all((0..9).map(create)).await;
+    join_all((0..9).map(create_key)).await;
     for daemon in 0..3 {
         let list: KeyListAnswer = site.admin_get(daemon, "keys").await.expect("keys");
         for request in requests {
-            let found =
+            let matching_keys =
                 list.keys.iter().filter(|key| key.key == request.key && key.organisation == request.organisation);
-            assert_eq!(found.count(), 1, "{request:?} at daemon {daemon}");
+            assert_eq!(matching_keys.count(), 1, "{request:?} is not listed once at daemon {daemon}");
         }
     }
 }
 
+/// Guards against a second key when the store commits a change but its answer is lost.
 #[actix_rt::test]
-async fn a_change_whose_answer_was_lost_is_made_once() {
-    let (site, _) = quiet_site().await;
-    let before = site.status(0).await.expect("status").revision;
+async fn a_change_whose_store_answer_is_lost_is_made_once() {
+    let (site, _) = site_without_engines().await;
+    let revision_before = site.status(0).await.expect("status").revision;
     site.set_kv_fault(KvFault { lose_answers: 1, ..KvFault::default() }).await;
     let secret = site.create_key(0, 7).await;
-    assert_eq!(call(&site, 2, &secret).await.status, 200);
+    assert_eq!(send_keyed_request(&site, 2, &secret).await.status, 200);
     let list: KeyListAnswer = site.admin_get(1, "keys").await.expect("keys");
     assert_eq!(list.keys.iter().filter(|key| key.key == secret.id).count(), 1);
-    assert!(site.status(0).await.expect("status").revision > before);
+    assert!(site.status(0).await.expect("status").revision > revision_before);
 }
 
+/// Guards against a repeated apply that rewrites stored entries, and against keys that work after the removal of their
+/// organisation.
 #[actix_rt::test]
-async fn applying_again_changes_nothing_and_removal_holds() {
+async fn applying_the_same_configuration_changes_nothing_and_a_removed_organisation_is_refused() {
     let mut site = DaemonSite::start(SiteOptions { engines: vec![], ..SiteOptions::default() }).await;
     let key = site.create_key(0, 1).await;
     assert!(site.apply_config().await.contains(" 0 records changed"));
@@ -210,21 +237,26 @@
         site.options.base_config.replace("[organisations.velorio]\nweight = 4\nservices = [\"drafts\", \"desk\"]", "");
     assert!(site.apply_config().await.contains(" 1 records changed"));
     for daemon in 0..3 {
-        assert_eq!(call(&site, daemon, &key).await.status, 401, "a removed organisation's key does not work");
+        assert_eq!(
+            send_keyed_request(&site, daemon, &key).await.status,
+            401,
+            "the key of a removed organisation is refused"
+        );
     }
 }
 
-/// An empty list, as after a restart of the interface behind it, must not pass for the end of every VM.
+/// Guards against an empty VM list, as after a restart of the service that publishes it, taken as proof that all other
+/// daemons have ended.
 #[actix_rt::test]
-async fn a_list_without_the_daemon_itself_proves_nothing() {
-    let (site, key) = quiet_site().await;
+async fn a_vm_list_without_the_daemon_itself_is_no_proof_that_its_peers_ended() {
+    let (site, key) = site_without_engines().await;
     site.daemons[1].process.freeze();
     for daemon in &site.daemons {
         site.remove_vm(&daemon.name).await;
     }
-    site.set_kv_fault(DOWN).await;
-    let refused = wait_for("what cannot be confirmed is refused", || async {
-        let answer = call(&site, 0, &key).await;
+    site.set_kv_fault(STORE_DOWN).await;
+    let refused = wait_for("the daemon refuses what it cannot confirm", || async {
+        let answer = send_keyed_request(&site, 0, &key).await;
         (answer.status != 200).then_some(answer)
     })
     .await;
--- a/crates/cli/tests/processes/demo.rs
+++ b/crates/cli/tests/processes/demo.rs
@@ -1,9 +1,9 @@
-//! `pimentoslip demo`
+//! Test of the command `pimentoslip demo`.
 
 use super::support::run_cli;
 
 #[test]
-fn demo_holds_all_its_checks() {
+fn the_demo_passes_all_its_checks() {
     let output = run_cli(&["demo"]);
     let text = String::from_utf8_lossy(&output.stdout);
     assert!(output.status.success(), "{text}{}", String::from_utf8_lossy(&output.stderr));
--- a/crates/cli/tests/processes/duties.rs
+++ b/crates/cli/tests/processes/duties.rs
@@ -1,4 +1,4 @@
-//! Duties under freezes, kills and lost answers.
+//! Tests of the ordering and usage duties under frozen and killed holders and lost answers of the key-value store.
 
 use super::support::{DaemonSite, HttpClient, SiteOptions, wait_for};
 use actix_rt::task::JoinHandle;
@@ -7,7 +7,7 @@
 use pimentoslip_wire::provider::OrderState;
 use std::collections::BTreeMap;
 
-/// Failure domain "a" wants four upstreams of a service of its own.
+/// Service `cards`, for which the ordering duty orders four upstreams in failure domain "a".
 const ORDERED_SERVICE: &str = "
 [services.cards]
 kind = \"engine\"
@@ -16,7 +16,9 @@
 standing_cents_per_hour = 1
 ";
 
-async fn duty_site(checks_fencing: bool) -> DaemonSite {
+/// Starts a site of three daemons and the service `cards`. `checks_fencing` states whether the ordering and usage
+/// interfaces reject outdated fencing numbers.
+async fn site_with_ordered_service(checks_fencing: bool) -> DaemonSite {
     let options = SiteOptions { checks_fencing, engines: vec![], ..SiteOptions::default() };
     let base_config =
         options.base_config.replace("failure_domains = [\"a\", \"b\", \"c\"]", "failure_domains = [\"a\"]");
@@ -29,14 +31,17 @@
     DaemonSite::start(SiteOptions { base_config: base_config + ORDERED_SERVICE, ..options }).await
 }
 
-async fn orders(site: &DaemonSite) -> Vec<OrderLog> {
+/// All orders that the ordering interface has received.
+async fn received_orders(site: &DaemonSite) -> Vec<OrderLog> {
     site.http.get_json(&format!("http://{}/standin/orders", site.orders_address)).await.unwrap_or_default()
 }
 
-async fn reports(site: &DaemonSite) -> Vec<UsageLog> {
+/// All reports that the usage interface has received.
+async fn received_reports(site: &DaemonSite) -> Vec<UsageLog> {
     site.http.get_json(&format!("http://{}/standin/reports", site.usage_address)).await.unwrap_or_default()
 }
 
+/// Makes one more VM available to the ordering interface, which the next order starts.
 async fn add_spare(site: &DaemonSite, number: usize) {
     let spare = SpareUpstream {
         name: format!("cards-{number}").into(),
@@ -48,10 +53,10 @@
     site.http.put_json(&format!("http://{}/standin/spares", site.orders_address), &spare).await;
 }
 
-/// The daemon that holds `duty`, other than `not`.
-async fn holder(site: &DaemonSite, duty: &str, not: Option<usize>) -> usize {
-    wait_for("somebody holds the duty", || async {
-        for daemon in (0..site.daemons.len()).filter(|daemon| Some(*daemon) != not) {
+/// Waits until a daemon holds `duty` and returns its index. The daemon `excluded` is not considered.
+async fn duty_holder(site: &DaemonSite, duty: &str, excluded: Option<usize>) -> usize {
+    wait_for("a daemon holds the duty", || async {
+        for daemon in (0..site.daemons.len()).filter(|daemon| Some(*daemon) != excluded) {
             let Some(status) = site.status(daemon).await else { continue };
             if status.duties.iter().any(|entry| &*entry.duty == duty && entry.state == "held") {
                 return Some(daemon);
@@ -62,48 +67,52 @@
     .await
 }
 
+/// Waits until orders have started `count` upstreams.
 async fn wait_started(site: &DaemonSite, count: usize) {
     wait_for("the upstreams are started", || async {
-        let started = orders(site).await.iter().filter(|order| order.vm.is_some()).count();
-        (started >= count).then_some(())
+        let started_count = received_orders(site).await.iter().filter(|order| order.vm.is_some()).count();
+        (started_count >= count).then_some(())
     })
     .await;
 }
 
-/// Orders that were not refused come from one holder at a time, in the order of their fencing numbers.
+/// Checks that the fencing numbers of the accepted orders never decrease, so that one holder at a time gave them.
 fn check_orders(orders: &[OrderLog]) {
-    let carried: Vec<u64> =
+    let fencing_numbers: Vec<u64> =
         orders.iter().filter(|order| order.state != OrderState::Fenced).map(|order| order.request.fencing).collect();
-    assert!(carried.is_sorted(), "{carried:?}");
-    let mut started: BTreeMap<&str, usize> = BTreeMap::new();
-    for order in orders.iter().filter_map(|order| order.vm.as_deref()) {
-        *started.entry(order).or_default() += 1;
+    assert!(fencing_numbers.is_sorted(), "fencing numbers decrease: {fencing_numbers:?}");
+    let mut starts_by_vm: BTreeMap<&str, usize> = BTreeMap::new();
+    for vm in orders.iter().filter_map(|order| order.vm.as_deref()) {
+        *starts_by_vm.entry(vm).or_default() += 1;
     }
 }
 
+/// Checks that the fencing numbers of the accepted reports never decrease and that all reports of a window are equal.
 fn check_reports(reports: &[UsageLog]) {
-    let carried: Vec<u64> = reports.iter().filter(|report| !report.fenced).map(|report| report.fencing).collect();
-    assert!(carried.is_sorted(), "{carried:?}");
-    let mut windows: BTreeMap<u64, &str> = BTreeMap::new();
+    let fencing_numbers: Vec<u64> =
+        reports.iter().filter(|report| !report.fenced).map(|report| report.fencing).collect();
+    assert!(fencing_numbers.is_sorted(), "fencing numbers decrease: {fencing_numbers:?}");
+    let mut first_bodies: BTreeMap<u64, &str> = BTreeMap::new();
     for report in reports {
-        let first = windows.entry(report.window).or_insert(&report.body);
-        assert_eq!(*first, report.body, "window {} has two different reports", report.window);
+        let first_body = first_bodies.entry(report.window).or_insert(&report.body);
+        assert_eq!(*first_body, report.body, "window {} has two different reports", report.window);
     }
 }
 
-/// Freezes the holder for longer than lease and guard, lets it go on, and looks at all that arrived.
-async fn freeze_the_holder(checks_fencing: bool) {
-    let site = duty_site(checks_fencing).await;
+/// Freezes the holder of the ordering duty until its lease and the guard time after it have expired, resumes it, and
+/// checks all orders and reports.
+async fn run_with_frozen_holder(checks_fencing: bool) {
+    let site = site_with_ordered_service(checks_fencing).await;
     add_spare(&site, 1).await;
     wait_started(&site, 1).await;
-    let first = holder(&site, "order-a", None).await;
+    let first = duty_holder(&site, "order-a", None).await;
     site.daemons[first].process.freeze();
     add_spare(&site, 2).await;
     if checks_fencing {
         wait_started(&site, 2).await;
     } else {
-        // Nothing proves that the frozen holder has ended, so that nobody orders in its place.
-        wait_for("a successor waits for proof", || async {
+        // Without fencing, no daemon may order in place of the frozen holder until there is proof that it has ended.
+        wait_for("a successor waits for proof that the holder has ended", || async {
             for daemon in (0..3).filter(|daemon| *daemon != first) {
                 let status = site.status(daemon).await?;
                 if status.duties.iter().any(|duty| &*duty.duty == "order-a" && duty.state == "settling") {
@@ -113,90 +122,98 @@
             None
         })
         .await;
-        assert_eq!(orders(&site).await.iter().filter(|order| order.vm.is_some()).count(), 1);
+        assert_eq!(received_orders(&site).await.iter().filter(|order| order.vm.is_some()).count(), 1);
     }
     site.daemons[first].process.resume();
     add_spare(&site, 3).await;
     if !checks_fencing {
-        // The platform takes the VM off its list, which is proof.
+        // The VM is deleted from the VM list, which proves that the holder has ended.
         site.remove_vm(&site.daemons[first].name).await;
     }
     wait_started(&site, 3).await;
-    check_orders(&orders(&site).await);
-    check_reports(&reports(&site).await);
+    check_orders(&received_orders(&site).await);
+    check_reports(&received_reports(&site).await);
 }
 
+/// Guards against a resumed holder whose late orders are accepted besides those of its successor.
 #[actix_rt::test]
-async fn a_frozen_holder_gives_no_order_beside_its_successor_with_fencing() {
-    freeze_the_holder(true).await;
+async fn a_frozen_holder_is_fenced_after_its_successor_has_ordered() {
+    run_with_frozen_holder(true).await;
 }
 
+/// Guards against two holders that order at the same time when the ordering interface does not check fencing numbers.
 #[actix_rt::test]
-async fn a_frozen_holder_gives_no_order_beside_its_successor_without_fencing() {
-    freeze_the_holder(false).await;
+async fn a_frozen_holder_has_no_successor_without_fencing_until_its_vm_is_deleted() {
+    run_with_frozen_holder(false).await;
 }
 
-/// Kills the holder twice in a row, with lost answers besides.
-async fn kill_holders(checks_fencing: bool) {
-    let mut site = duty_site(checks_fencing).await;
+/// Kills the holder of the ordering duty twice, each time with lost answers of the key-value store, and checks that
+/// each upstream is ordered once.
+async fn run_with_killed_holders(checks_fencing: bool) {
+    let mut site = site_with_ordered_service(checks_fencing).await;
     add_spare(&site, 1).await;
     wait_started(&site, 1).await;
-    for round in 0..2 {
-        let first = holder(&site, "order-a", None).await;
+    for kill in 0..2 {
+        let first = duty_holder(&site, "order-a", None).await;
         site.daemons[first].process.kill();
         site.set_kv_fault(KvFault { lose_answers: 2, ..KvFault::default() }).await;
-        add_spare(&site, 2 + round).await;
-        wait_started(&site, 2 + round).await;
+        add_spare(&site, 2 + kill).await;
+        wait_started(&site, 2 + kill).await;
         site.restart_daemon(first).await;
     }
-    let orders = orders(&site).await;
+    let orders = received_orders(&site).await;
     check_orders(&orders);
-    let started: Vec<&str> = orders.iter().filter_map(|order| order.vm.as_deref()).collect();
-    let mut distinct = started.clone();
-    distinct.sort_unstable();
-    distinct.dedup();
-    assert_eq!(distinct.len(), 3, "{started:?}");
-    check_reports(&reports(&site).await);
+    let started_vms: Vec<&str> = orders.iter().filter_map(|order| order.vm.as_deref()).collect();
+    let mut distinct_vms = started_vms.clone();
+    distinct_vms.sort_unstable();
+    distinct_vms.dedup();
+    assert_eq!(distinct_vms.len(), 3, "{started_vms:?}");
+    check_reports(&received_reports(&site).await);
 }
 
 #[actix_rt::test]
-async fn killed_holders_are_succeeded_with_fencing() {
-    kill_holders(true).await;
+async fn a_killed_holder_has_a_successor_that_orders_with_fencing() {
+    run_with_killed_holders(true).await;
 }
 
 #[actix_rt::test]
-async fn killed_holders_are_succeeded_without_fencing() {
-    kill_holders(false).await;
+async fn a_killed_holder_has_a_successor_that_orders_without_fencing() {
+    run_with_killed_holders(false).await;
 }
 
+/// Guards against requests that are not billed or billed twice, and against usage windows whose reports differ, when
+/// the reporting daemon is stopped or killed and answers of the key-value store are lost.
 #[actix_rt::test]
-async fn sealed_windows_never_differ_and_bill_everything_once() {
-    let mut site = duty_site(false).await;
+async fn usage_windows_have_one_report_and_bill_each_request_once_after_stops_and_kills() {
+    let mut site = site_with_ordered_service(false).await;
     let key = site.create_key(0, 1).await;
     let mut sent = 0;
-    for round in 0..3 {
+    for pass in 0..3 {
         for daemon in 0..3 {
             for _ in 0..5 {
                 assert_eq!(site.send(daemon, "GET", "/services/desk/orders", &key, &[], &()).await.status, 200);
                 sent += 1;
             }
         }
-        // A planned stop or a kill of the reporter, with lost answers.
-        let reporter = holder(&site, "usage", None).await;
-        let planned = round % 2 == 0;
-        if !planned {
-            // A killed daemon may lose what was not gathered yet; a planned stop loses nothing.
+        // Each pass stops or kills the daemon that reports usage, with lost answers of the key-value store.
+        let reporter = duty_holder(&site, "usage", None).await;
+        let is_planned = pass % 2 == 0;
+        if !is_planned {
+            // A killed daemon may lose counts that the reporter has not collected yet; a planned stop loses none.
             wait_billed(&site, sent).await;
         }
         site.set_kv_fault(KvFault { lose_answers: 2, ..KvFault::default() }).await;
-        if planned {
-            // A call that ends after the daemon has given its duties up is billed as well.
+        if is_planned {
+            // A request that completes after the daemon has released its duties is billed as well.
             site.set_desk_fault(PlainFault { answer_after_ms: 4_000, ..PlainFault::default() }).await;
-            let ran = site.desk_requests().await.len();
-            let slow = spawn_slow_call(&site, reporter, &key);
-            wait_for("the slow call runs", || async { (site.desk_requests().await.len() > ran).then_some(()) }).await;
+            let runs_before = site.desk_requests().await.len();
+            let slow_request = spawn_slow_request(&site, reporter, &key);
+            wait_for("the slow request runs", || async {
+                (site.desk_requests().await.len() > runs_before).then_some(())
+            })
+            .await;
             site.daemons[reporter].process.terminate();
-            assert_eq!(slow.await.expect("a task"), 200);
+            assert_eq!(slow_request.await.expect("a task"), 200);
             sent += 1;
             site.set_desk_fault(PlainFault::default()).await;
             let process = &mut site.daemons[reporter].process;
@@ -206,21 +223,26 @@
         site.wait_ready().await;
     }
     wait_billed(&site, sent).await;
-    check_reports(&reports(&site).await);
+    check_reports(&received_reports(&site).await);
 }
 
-fn spawn_slow_call(site: &DaemonSite, daemon: usize, key: &KeySecret) -> JoinHandle<u16> {
+/// Sends a request to a daemon in a task of its own, which returns the status.
+fn spawn_slow_request(site: &DaemonSite, daemon: usize, key: &KeySecret) -> JoinHandle<u16> {
     let url = format!("http://{}/services/desk/orders", site.daemons[daemon].public_address);
     let bearer = format!("Bearer {}", key.expose());
     actix_rt::spawn(async move { HttpClient::new().send("GET", &url, &[("authorization", &bearer)], &()).await.status })
 }
 
+/// Waits until exactly `sent` requests are billed.
 async fn wait_billed(site: &DaemonSite, sent: u64) {
-    wait_for("everything counted is billed", || async { (billed(&reports(site).await) == sent).then_some(()) }).await;
+    wait_for("every request is billed", || async {
+        (billed_requests(&received_reports(site).await) == sent).then_some(())
+    })
+    .await;
 }
 
-/// Requests billed by distinct windows.
-fn billed(reports: &[UsageLog]) -> u64 {
+/// Number of requests billed, with each usage window counted once.
+fn billed_requests(reports: &[UsageLog]) -> u64 {
     let windows: BTreeMap<u64, &UsageLog> = reports.iter().map(|report| (report.window, report)).collect();
     windows.values().flat_map(|report| report.report().expect("a report").lines).map(|line| line.requests).sum()
 }
--- a/crates/cli/tests/processes/hostile.rs
+++ b/crates/cli/tests/processes/hostile.rs
@@ -1,4 +1,4 @@
-//! Hostile and malformed input: clear errors, nothing lost, no panic.
+//! Tests of hostile and malformed input: it is refused with a clear error, leaks no key and does not crash a daemon.
 
 use super::support::{DaemonSite, OPERATOR_KEY, SiteOptions};
 use pimentoslip_kernel::KeySecret;
@@ -8,6 +8,7 @@
     time::Duration,
 };
 
+/// Starts a site whose daemons accept bodies of at most 100,000 bytes, and creates an API key.
 async fn site_with_key() -> (DaemonSite, KeySecret) {
     let site = DaemonSite::start(SiteOptions {
         daemon_flags: vec!["--body-bytes-max=100000".to_owned()],
@@ -18,33 +19,40 @@
     (site, key)
 }
 
-/// Path, headers, raw body, and the refusal.
-type HostileCase<'a> = (String, Vec<(&'a str, &'a str)>, String, &'a str);
+/// Path, headers and body of a request, and the error code of its refusal.
+type RefusedRequest<'a> = (String, Vec<(&'a str, &'a str)>, String, &'a str);
 
+/// Guards against keys that reach an upstream or a log because they were sent in the path, the query, the body or
+/// another header, and against paths that bypass the check of the key.
 #[actix_rt::test]
-async fn keys_in_wrong_places_are_refused_and_reach_no_upstream() {
+async fn misplaced_and_unknown_keys_are_refused_and_reach_no_upstream() {
     let (site, key) = site_with_key().await;
     let token = key.expose();
     let bearer = format!("Bearer {token}");
     let escaped: String = token.bytes().map(|byte| format!("\\u{byte:04x}")).collect();
     let percent: String = token.bytes().map(|byte| format!("%{byte:02x}")).collect();
-    let wrong = bearer.replace(&token[20..22], "zz");
-    let orders = "/services/desk/orders".to_owned();
-    let empty = "{}".to_owned();
-    let cases: Vec<HostileCase<'_>> = vec![
-        (orders.clone(), vec![], empty.clone(), "key_missing"),
-        (orders.clone(), vec![("authorization", "Bearer nonsense")], empty.clone(), "key_unknown"),
-        (orders.clone(), vec![("authorization", wrong.as_str())], empty.clone(), "key_unknown"),
-        (orders.clone(), vec![("authorization", "Basic dXNlcjpwYXNz")], empty.clone(), "key_missing"),
-        (orders.clone(), vec![("x-api-key", token)], empty.clone(), "key_missing"),
-        (format!("{orders}?key={token}"), vec![], empty.clone(), "key_missing"),
-        (orders.clone(), vec![("authorization", &bearer), ("authorization", &bearer)], empty.clone(), "key_ambiguous"),
-        (format!("{orders}?key={token}"), vec![("authorization", &bearer)], empty.clone(), "key_misplaced"),
-        (format!("{orders}?key={percent}"), vec![("authorization", &bearer)], empty.clone(), "key_misplaced"),
-        (format!("/services/desk/{token}"), vec![("authorization", &bearer)], empty.clone(), "key_misplaced"),
-        (format!("/services/desk/menu?k={token}"), vec![], empty.clone(), "key_misplaced"),
-        (orders.clone(), vec![("authorization", &bearer)], format!("{{\"k\":\"{token}\"}}"), "key_misplaced"),
-        (orders.clone(), vec![("authorization", &bearer)], format!("{{\"k\":\"{escaped}\"}}"), "key_misplaced"),
+    let unknown_bearer = bearer.replace(&token[20..22], "zz");
+    let orders_path = "/services/desk/orders".to_owned();
+    let empty_body = "{}".to_owned();
+    let cases: Vec<RefusedRequest<'_>> = vec![
+        (orders_path.clone(), vec![], empty_body.clone(), "key_missing"),
+        (orders_path.clone(), vec![("authorization", "Bearer nonsense")], empty_body.clone(), "key_unknown"),
+        (orders_path.clone(), vec![("authorization", unknown_bearer.as_str())], empty_body.clone(), "key_unknown"),
+        (orders_path.clone(), vec![("authorization", "Basic dXNlcjpwYXNz")], empty_body.clone(), "key_missing"),
+        (orders_path.clone(), vec![("x-api-key", token)], empty_body.clone(), "key_missing"),
+        (format!("{orders_path}?key={token}"), vec![], empty_body.clone(), "key_missing"),
+        (
+            orders_path.clone(),
+            vec![("authorization", &bearer), ("authorization", &bearer)],
+            empty_body.clone(),
+            "key_ambiguous",
+        ),
+        (format!("{orders_path}?key={token}"), vec![("authorization", &bearer)], empty_body.clone(), "key_misplaced"),
+        (format!("{orders_path}?key={percent}"), vec![("authorization", &bearer)], empty_body.clone(), "key_misplaced"),
+        (format!("/services/desk/{token}"), vec![("authorization", &bearer)], empty_body.clone(), "key_misplaced"),
+        (format!("/services/desk/menu?k={token}"), vec![], empty_body.clone(), "key_misplaced"),
+        (orders_path.clone(), vec![("authorization", &bearer)], format!("{{\"k\":\"{token}\"}}"), "key_misplaced"),
+        (orders_path.clone(), vec![("authorization", &bearer)], format!("{{\"k\":\"{escaped}\"}}"), "key_misplaced"),
         (
             "/v1/chat/completions".to_owned(),
             vec![("authorization", &bearer)],
@@ -52,28 +60,28 @@
             "key_misplaced",
         ),
         (
-            orders.clone(),
+            orders_path.clone(),
             vec![("authorization", &bearer), ("idempotency-key", token)],
-            empty.clone(),
+            empty_body.clone(),
             "idempotency_key_invalid",
         ),
         (
-            orders.clone(),
+            orders_path.clone(),
             vec![("authorization", &bearer), ("idempotency-key", "a"), ("idempotency-key", "b")],
-            empty.clone(),
+            empty_body.clone(),
             "idempotency_key_invalid",
         ),
         (
-            orders.clone(),
+            orders_path.clone(),
             vec![("authorization", &bearer), ("idempotency-key", "")],
-            empty.clone(),
+            empty_body.clone(),
             "idempotency_key_invalid",
         ),
-        ("/services/desk/menu/../orders".to_owned(), vec![], empty.clone(), "key_missing"),
-        ("/services/desk/menu%2f..%2forders".to_owned(), vec![], empty.clone(), "key_missing"),
-        ("/services/desk/menus".to_owned(), vec![], empty.clone(), "key_missing"),
-        ("/services/nobody/x".to_owned(), vec![("authorization", &bearer)], empty.clone(), "service_unknown"),
-        ("/nowhere".to_owned(), vec![("authorization", &bearer)], empty.clone(), "service_unknown"),
+        ("/services/desk/menu/../orders".to_owned(), vec![], empty_body.clone(), "key_missing"),
+        ("/services/desk/menu%2f..%2forders".to_owned(), vec![], empty_body.clone(), "key_missing"),
+        ("/services/desk/menus".to_owned(), vec![], empty_body.clone(), "key_missing"),
+        ("/services/nobody/x".to_owned(), vec![("authorization", &bearer)], empty_body.clone(), "service_unknown"),
+        ("/nowhere".to_owned(), vec![("authorization", &bearer)], empty_body.clone(), "service_unknown"),
     ];
     for (path, headers, body, code) in cases {
         let mut request = site.http.request("POST", &format!("http://{}{path}", site.daemons[0].public_address));
@@ -98,15 +106,16 @@
         site.engine_requests(1).await
     );
     assert!(!seen.contains(token) && !seen.contains(&escaped) && !seen.contains(&percent));
-    let allowed = site.send(0, "POST", "/services/desk/orders", &key, &[("x-extra", "v"), ("cookie", "c")], &()).await;
-    assert_eq!(allowed.status, 200);
+    let accepted = site.send(0, "POST", "/services/desk/orders", &key, &[("x-extra", "v"), ("cookie", "c")], &()).await;
+    assert_eq!(accepted.status, 200);
     let seen = format!("{:?}", site.desk_requests().await);
     assert!(!seen.contains("cookie") && !seen.contains("authorization"), "{seen}");
-    assert!(!site.logs().contains(token), "no key in any log");
+    assert!(!site.logs().contains(token), "no log contains the key");
 }
 
+/// Guards against requests to a service that the organisation of the key has not been granted.
 #[actix_rt::test]
-async fn an_organisation_runs_only_what_it_was_granted() {
+async fn an_organisation_can_use_only_the_services_granted_to_it() {
     let (site, _) = site_with_key().await;
     let secret = {
         use rand::SeedableRng;
@@ -125,8 +134,10 @@
     assert_eq!(site.send(0, "POST", "/services/desk/orders", &secret, &[], &()).await.status, 200);
 }
 
+/// Guards against access to the peer and administration interfaces with a missing, wrong, empty or repeated secret, or
+/// through the public listener.
 #[actix_rt::test]
-async fn peers_and_operators_need_their_secrets() {
+async fn peer_and_admin_requests_without_the_right_secret_are_refused() {
     let (site, key) = site_with_key().await;
     let control = format!("http://{}", site.daemons[0].control_address);
     let bearer = format!("Bearer {}", key.expose());
@@ -152,7 +163,7 @@
             let answer = site.http.send("POST", &format!("{control}{path}"), headers, &()).await;
             assert_eq!(answer.status, 404, "{path} {headers:?}");
         }
-        let public = site
+        let public_answer = site
             .http
             .send(
                 "POST",
@@ -161,7 +172,7 @@
                 &(),
             )
             .await;
-        assert_eq!(public.status, 404, "{path} on the callers' listener");
+        assert_eq!(public_answer.status, 404, "{path} on the public listener");
     }
     for path in ["/peer/exchange", "/peer/claim", "/peer/settle", "/peer/forward"] {
         for body in [&b""[..], &b"\xc1"[..], &b"\x81"[..], &[0xdd, 0xff, 0xff, 0xff, 0xff][..], &[0x91; 5_000][..]] {
@@ -173,14 +184,14 @@
             assert_eq!(answer.status().as_u16(), 400, "{path} {:?}", &body[..body.len().min(8)]);
         }
     }
-    assert!(site.status(0).await.is_some(), "the daemon lives");
+    assert!(site.status(0).await.is_some(), "the daemon still answers");
 }
 
-/// Sends raw bytes and gives what comes back, at most a second of it.
-fn raw(address: &str, bytes: &[u8]) -> String {
+/// Sends raw bytes and returns what is received until the daemon closes the connection or sends nothing for one second.
+fn send_raw(address: &str, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).expect("connect");
-    stream.set_read_timeout(Some(Duration::from_secs(1))).expect("a timeout");
-    // The daemon may close early, which is an answer as well.
+    stream.set_read_timeout(Some(Duration::from_secs(1))).expect("set the read timeout");
+    // The daemon may close the connection before it has received all bytes, so errors are ignored.
     let _ = stream.write_all(bytes);
     let _ = stream.shutdown(Shutdown::Write);
     let mut answer = Vec::new();
@@ -188,10 +199,11 @@
     String::from_utf8_lossy(&answer).into_owned()
 }
 
+/// Guards against malformed HTTP and JSON that is accepted or crashes a daemon.
 #[actix_rt::test]
-async fn malformed_http_and_json_are_refused_and_end_nothing() {
+async fn malformed_http_and_json_are_refused_and_the_daemon_keeps_serving() {
     let (site, key) = site_with_key().await;
-    let public = site.daemons[0].public_address.clone();
+    let public_address = site.daemons[0].public_address.clone();
     let bearer = format!("authorization: Bearer {}", key.expose());
     let huge_header = format!("GET / HTTP/1.1\r\nhost: x\r\nx: {}\r\n\r\n", "y".repeat(1 << 20));
     let cases: Vec<Vec<u8>> = vec![
@@ -203,12 +215,12 @@
         b"POST /v1/steps HTTP/1.1\r\nhost: x\r\ntransfer-encoding: chunked\r\n\r\nzz\r\n".to_vec(),
         huge_header.into_bytes(),
     ];
-    for case in cases {
-        let answer = raw(&public, &case);
+    for request in cases {
+        let answer = send_raw(&public_address, &request);
         assert!(
             !answer.starts_with("HTTP/1.1 2"),
             "{:?}: {answer}",
-            String::from_utf8_lossy(&case[..case.len().min(60)])
+            String::from_utf8_lossy(&request[..request.len().min(60)])
         );
     }
     for (path, body) in [
@@ -244,23 +256,23 @@
             "POST {path} HTTP/1.1\r\nhost: x\r\n{bearer}\r\ncontent-length: {}\r\nconnection: close\r\n\r\n{body}",
             body.len()
         );
-        let answer = raw(&public, request.as_bytes());
+        let answer = send_raw(&public_address, request.as_bytes());
         assert!(answer.contains("body_malformed") && answer.contains("not run"), "{path} {body}: {answer}");
     }
-    let large = serde_json::json!({ "model": "drafts", "x": "y".repeat(200_000) });
-    let answer = site.send(0, "POST", "/v1/chat/completions", &key, &[], &large).await;
+    let large_body = serde_json::json!({ "model": "drafts", "x": "y".repeat(200_000) });
+    let answer = site.send(0, "POST", "/v1/chat/completions", &key, &[], &large_body).await;
     assert_eq!((answer.status, answer.error("code").as_str()), (413, "body_too_large"));
     let body = serde_json::json!({ "model": "drafts", "messages": [] });
     assert_eq!(
         site.send(0, "POST", "/v1/chat/completions", &key, &[], &body).await.status,
         200,
-        "the daemon serves on"
+        "the daemon still serves"
     );
     assert!(!site.logs().contains("panicked"), "{}", site.logs());
 }
 
 #[test]
-fn all_faulty_settings_are_listed_at_once() {
+fn all_invalid_settings_are_listed_in_one_error() {
     let output = std::process::Command::new(env!("CARGO_BIN_EXE_pimentoslipd"))
         .env_clear()
         .args(["--name=x", "--listen=nowhere", "--cluster-secret=short", "--route-policy=nearest", "--workers=0"])
@@ -285,9 +297,10 @@
     }
 }
 
-/// A caller that stops in the middle of its body is refused by the daemon's own patience.
+/// Guards against a caller that holds a request open forever by sending only part of its body: the daemon's own timeout
+/// refuses the request.
 #[actix_rt::test]
-async fn a_slow_body_is_refused_as_not_run() {
+async fn an_incomplete_body_is_refused_as_not_run() {
     let (site, key) = site_with_key().await;
     let mut stream = TcpStream::connect(&site.daemons[0].public_address).expect("connect");
     let request = format!(
--- a/crates/cli/tests/processes/leaving.rs
+++ b/crates/cli/tests/processes/leaving.rs
@@ -1,9 +1,11 @@
-//! Planned stops cut nothing, and leaving upstreams get no new work.
+//! Tests of planned stops of daemons and of upstreams that leave: running requests are completed, and a leaving
+//! upstream receives no new requests.
 
 use super::support::{DaemonSite, HttpClient, OPERATOR_KEY, SiteOptions, run_cli, wait_for};
 use pimentoslip_standin::{EngineFault, PlainFault};
 use pimentoslip_wire::provider::{VmRole, VmState};
 
+/// Body of a request for a long stream.
 fn stream_body() -> serde_json::Value {
     serde_json::json!({
         "model": "drafts", "stream": true, "max_tokens": 400, "seed": 3,
@@ -11,8 +13,9 @@
     })
 }
 
+/// Guards against streams and slow requests that are cut when their daemon stops as planned.
 #[actix_rt::test]
-async fn a_planned_stop_finishes_streams_and_slow_calls() {
+async fn a_planned_stop_completes_running_streams_and_requests() {
     let options = SiteOptions {
         engine_flags: vec!["--token-us=4000".to_owned(), "--shortest=400".to_owned()],
         daemon_flags: vec!["--drain-grace-ms=300".to_owned()],
@@ -22,19 +25,19 @@
     let key = site.create_key(0, 1).await;
     site.set_desk_fault(PlainFault { answer_after_ms: 1_500, ..PlainFault::default() }).await;
     let bearer = format!("Bearer {}", key.expose());
-    let spawn = |path: &str, body: serde_json::Value| {
+    let spawn_request = |path: &str, body: serde_json::Value| {
         let (url, bearer) = (format!("http://{}{path}", site.daemons[0].public_address), bearer.clone());
         actix_rt::spawn(async move { HttpClient::new().send("POST", &url, &[("authorization", &bearer)], &body).await })
     };
-    let stream = spawn("/v1/chat/completions", stream_body());
-    let order = spawn("/services/desk/orders", serde_json::json!({ "order": 1 }));
-    wait_for("both are running", || async {
+    let stream_task = spawn_request("/v1/chat/completions", stream_body());
+    let order_task = spawn_request("/services/desk/orders", serde_json::json!({ "order": 1 }));
+    wait_for("the stream and the order are running", || async {
         let seen = site.engine_requests(0).await.len() + site.engine_requests(1).await.len();
         (seen == 1 && site.desk_requests().await.len() == 1).then_some(())
     })
     .await;
     site.daemons[0].process.terminate();
-    let (stream, order) = (stream.await.expect("a task"), order.await.expect("a task"));
+    let (stream, order) = (stream_task.await.expect("a task"), order_task.await.expect("a task"));
     assert_eq!(order.status, 200, "{order:?}");
     assert!(
         stream.status == 200 && stream.body.ends_with("data: [DONE]\n\n"),
@@ -43,68 +46,76 @@
         stream.body.len()
     );
     let process = &mut site.daemons[0].process;
-    let ended = wait_for("the daemon stops", || std::future::ready(process.exit_status())).await;
-    assert!(ended.success(), "{ended:?}");
+    let exit_status = wait_for("the daemon stops", || std::future::ready(process.exit_status())).await;
+    assert!(exit_status.success(), "{exit_status:?}");
     let log = site.daemons[0].process.log();
     assert!(log.contains("event=stopping inflight=0"), "{log}");
 }
 
+/// Guards against duties that stay without a holder after `pimentoslip drain` has stopped a daemon.
 #[actix_rt::test]
-async fn an_operator_can_drain_a_daemon() {
+async fn a_drained_daemon_stops_and_its_duties_are_taken_over() {
     let options = SiteOptions { daemons: vec!["a", "b"], engines: vec![], ..SiteOptions::default() };
     let mut site = DaemonSite::start(options).await;
     let output = run_cli(&["drain", "--daemon", &site.daemons[0].control_address, "--operator-key", OPERATOR_KEY]);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let process = &mut site.daemons[0].process;
-    let ended = wait_for("the daemon stops", || std::future::ready(process.exit_status())).await;
-    assert!(ended.success(), "{ended:?}");
-    wait_for("the other one takes its duties", || async {
+    let exit_status = wait_for("the daemon stops", || std::future::ready(process.exit_status())).await;
+    assert!(exit_status.success(), "{exit_status:?}");
+    wait_for("the other daemon holds all duties", || async {
         let status = site.status(1).await?;
         status.duties.iter().all(|duty| duty.state == "held").then_some(())
     })
     .await;
 }
 
-/// How many more requests an engine gets while `count` are sent.
-async fn work_of(site: &DaemonSite, key: &pimentoslip_kernel::KeySecret, engine: usize, count: usize) -> usize {
-    let before = site.engine_requests(engine).await.len();
+/// Sends `count` requests and returns how many of them the engine `engine` received.
+async fn requests_received_by(
+    site: &DaemonSite,
+    key: &pimentoslip_kernel::KeySecret,
+    engine: usize,
+    count: usize,
+) -> usize {
+    let count_before = site.engine_requests(engine).await.len();
     for number in 0..count {
         let body = serde_json::json!({ "model": "drafts", "max_tokens": 4, "messages": [{ "role": "user", "content": format!("{number}") }] });
         let answer = site.send(number % 3, "POST", "/v1/chat/completions", key, &[], &body).await;
         assert_eq!(answer.status, 200, "{answer:?}");
     }
-    site.engine_requests(engine).await.len() - before
+    site.engine_requests(engine).await.len() - count_before
 }
 
+/// Waits until no daemon reports the upstream `name` as live.
 async fn wait_leaving(site: &DaemonSite, name: &str) {
-    wait_for("all daemons know that it leaves", || async {
+    wait_for("every daemon reports the upstream as leaving", || async {
         for daemon in 0..site.daemons.len() {
             let status = site.status(daemon).await?;
-            let taking = status.upstreams.iter().any(|upstream| &*upstream.name == name && upstream.state == "live");
-            (!taking).then_some(())?;
+            let is_live = status.upstreams.iter().any(|upstream| &*upstream.name == name && upstream.state == "live");
+            (!is_live).then_some(())?;
         }
         Some(())
     })
     .await;
 }
 
+/// Guards against new requests to an upstream that reports itself as leaving while the VM list still shows it as live.
 #[actix_rt::test]
-async fn a_leaving_upstream_gets_no_new_work() {
+async fn an_upstream_that_reports_itself_as_leaving_receives_no_new_requests() {
     let site = DaemonSite::start(SiteOptions::default()).await;
     let key = site.create_key(0, 1).await;
-    assert!(work_of(&site, &key, 0, 30).await > 0, "it gets work before");
-    // The notice comes with the load report, while the list lags.
+    assert!(requests_received_by(&site, &key, 0, 30).await > 0, "the engine receives requests while it is live");
+    // The load report says that the engine is leaving; the VM list still shows it as live.
     site.set_engine_fault(0, EngineFault { leaving: true, ..EngineFault::default() }).await;
     wait_leaving(&site, "engine-0").await;
-    assert_eq!(work_of(&site, &key, 0, 30).await, 0, "none after its own notice");
+    assert_eq!(requests_received_by(&site, &key, 0, 30).await, 0, "a leaving engine receives no requests");
 }
 
 #[actix_rt::test]
-async fn an_upstream_listed_as_leaving_gets_no_new_work() {
+async fn an_upstream_listed_as_leaving_receives_no_new_requests() {
     let site = DaemonSite::start(SiteOptions::default()).await;
     let key = site.create_key(0, 1).await;
     let address = site.engines[0].1.clone();
     site.add_vm("engine-0", VmRole::Upstream, "a", &address, Some("drafts"), VmState::Leaving).await;
     wait_leaving(&site, "engine-0").await;
-    assert_eq!(work_of(&site, &key, 0, 30).await, 0);
+    assert_eq!(requests_received_by(&site, &key, 0, 30).await, 0);
 }
--- a/crates/cli/tests/processes/main.rs
+++ b/crates/cli/tests/processes/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the real binaries.
+//! Tests that run the real binaries as separate processes.
 
 mod support;
 
--- a/crates/cli/tests/processes/path.rs
+++ b/crates/cli/tests/processes/path.rs
@@ -1,4 +1,4 @@
-//! The whole path through separate processes.
+//! Test of every kind of request, the duties and the command-line tool against one site of separate processes.
 
 use super::support::{DaemonSite, OPERATOR_KEY, SiteOptions, run_cli, wait_for};
 use pimentoslip_kernel::FetchCursor;
@@ -6,7 +6,7 @@
 use pimentoslip_wire::caller::{FetchAnswer, FetchRequest, OpenRequest, PublishRequest};
 use std::collections::BTreeSet;
 
-/// One service whose upstreams are ordered, so that the ordering duty has work.
+/// Service `cards`, whose upstreams are ordered, so that the ordering duty has work.
 const ORDERED_SERVICE: &str = "
 [services.cards]
 kind = \"engine\"
@@ -15,8 +15,10 @@
 standing_cents_per_hour = 100
 ";
 
+/// Guards against an interface that does not work between the released binaries, and against a key that reaches an
+/// engine or a log.
 #[actix_rt::test]
-async fn every_kind_of_call_passes_through_separate_processes() {
+async fn every_kind_of_request_works_across_separate_processes() {
     let options = SiteOptions::default();
     let base_config = options.base_config.clone() + ORDERED_SERVICE;
     let site = DaemonSite::start(SiteOptions { base_config, ..options }).await;
@@ -29,13 +31,16 @@
     assert!(stream.body.ends_with("data: [DONE]\n\n"), "{stream:?}");
 
     let request_id = stream.header("x-request-id");
-    assert!(site.daemons[0].process.log().contains(&format!("request_id={request_id}")), "the daemon logs the id");
+    assert!(
+        site.daemons[0].process.log().contains(&format!("request_id={request_id}")),
+        "the daemon logs the request id"
+    );
     let seen: Vec<_> = [site.engine_requests(0).await, site.engine_requests(1).await].concat();
     assert!(
         seen.iter().any(|request| request.header("x-request-id").starts_with(&request_id)),
-        "the engine sees the id"
+        "the engine receives the request id"
     );
-    assert!(!format!("{seen:?}").contains(key.expose()), "the engine does not see the key");
+    assert!(!format!("{seen:?}").contains(key.expose()), "the engine does not receive the key");
 
     let order = serde_json::json!({ "trays": 3 });
     let header = [("idempotency-key", "order-1")];
@@ -46,23 +51,24 @@
     assert_eq!(second.header("x-replayed"), "true");
     assert_eq!(site.desk_requests().await.len(), 1);
 
-    let open =
+    let open_answer =
         site.http.send("GET", &format!("http://{}/services/desk/menu", site.daemons[2].public_address), &[], &()).await;
-    assert_eq!(open.status, 200, "{open:?}");
+    assert_eq!(open_answer.status, 200, "{open_answer:?}");
 
-    step_is_fetched_to_its_end(&site, &key).await;
-    usage_window_is_reported(&site).await;
-    upstream_is_ordered(&site).await;
-    assert!(!site.logs().contains(key.expose()), "no key in any log");
-    command_line_shows_the_site(&site);
+    check_step(&site, &key).await;
+    check_usage_report(&site).await;
+    check_order(&site).await;
+    assert!(!site.logs().contains(key.expose()), "no log contains the key");
+    check_command_line(&site);
 }
 
-async fn step_is_fetched_to_its_end(site: &DaemonSite, key: &pimentoslip_kernel::KeySecret) {
+/// Opens a step, fetches its samples from each daemon in turn and checks that each sample is received once.
+async fn check_step(site: &DaemonSite, key: &pimentoslip_kernel::KeySecret) {
     let publish = PublishRequest { service: "drafts".into(), version: 2 };
-    let published = site.send(2, "POST", "/v1/weights", key, &[], &publish).await;
-    assert_eq!(published.status, 200, "{published:?}");
+    let publish_answer = site.send(2, "POST", "/v1/weights", key, &[], &publish).await;
+    assert_eq!(publish_answer.status, 200, "{publish_answer:?}");
     let prompts = (0..6).map(|group| format!("menu {group}").into()).collect();
-    let open = OpenRequest {
+    let open_request = OpenRequest {
         trainer: "menus".into(),
         step: 7,
         service: "drafts".into(),
@@ -70,8 +76,8 @@
         group_size: 4,
         max_tokens: 64,
     };
-    let opened = site.send(1, "POST", "/v1/steps", key, &[], &open).await;
-    assert_eq!(opened.status, 200, "{opened:?}");
+    let open_answer = site.send(1, "POST", "/v1/steps", key, &[], &open_request).await;
+    assert_eq!(open_answer.status, 200, "{open_answer:?}");
     let mut cursor = FetchCursor::default();
     let mut versions = BTreeSet::new();
     let mut turn = 0;
@@ -89,7 +95,7 @@
         assert_eq!(answer.status, 200, "{answer:?}");
         let answer: FetchAnswer = answer.json();
         for sample in &answer.samples {
-            assert!(!cursor.contains(sample.sample), "sample {} came twice", sample.sample);
+            assert!(!cursor.contains(sample.sample), "sample {} was received twice", sample.sample);
             assert_eq!(sample.segments[0].start, 0);
             cursor.insert(sample.sample);
             versions.extend(sample.segments.iter().map(|segment| segment.version));
@@ -102,7 +108,8 @@
     assert!(versions.iter().all(|version| [1, 2].contains(version)), "{versions:?}");
 }
 
-async fn usage_window_is_reported(site: &DaemonSite) {
+/// Waits for the usage report of the organisation and checks that all reports parse.
+async fn check_usage_report(site: &DaemonSite) {
     let reports = wait_for("usage of the organisation is reported", || async {
         let log: Vec<UsageLog> = site.http.get_json(&format!("http://{}/standin/reports", site.usage_address)).await?;
         log.iter().any(|entry| entry.body.contains("velorio")).then_some(log)
@@ -112,7 +119,8 @@
     }
 }
 
-async fn upstream_is_ordered(site: &DaemonSite) {
+/// Makes a VM available and waits until it is ordered and requests are routed to it.
+async fn check_order(site: &DaemonSite) {
     let spare = SpareUpstream {
         name: "cards-1".into(),
         service: "cards".into(),
@@ -121,46 +129,50 @@
         reclaimable: false,
     };
     site.http.put_json(&format!("http://{}/standin/spares", site.orders_address), &spare).await;
-    let order = wait_for("the upstream is started by an order", || async {
+    let order = wait_for("an order has started the VM", || async {
         let log: Vec<OrderLog> = site.http.get_json(&format!("http://{}/standin/orders", site.orders_address)).await?;
         log.into_iter().find(|entry| entry.vm.as_deref() == Some("cards-1"))
     });
     assert!(order.await.request.fencing > 0);
-    wait_for("the started upstream is routed to", || async {
+    wait_for("the daemon lists the new upstream", || async {
         let status = site.status(0).await?;
         status.upstreams.iter().any(|upstream| &*upstream.name == "cards-1").then_some(())
     })
     .await;
 }
 
-fn command_line_shows_the_site(site: &DaemonSite) {
-    let daemon = site.daemons[1].control_address.as_str();
+/// Runs the commands of the command-line tool against a daemon and checks their output and exit codes.
+fn check_command_line(site: &DaemonSite) {
+    let control_address = site.daemons[1].control_address.as_str();
     for command in ["show", "status", "usage"] {
         for json in [false, true] {
-            let mut args = vec![command, "--daemon", daemon, "--operator-key", OPERATOR_KEY];
+            let mut args = vec![command, "--daemon", control_address, "--operator-key", OPERATOR_KEY];
             args.extend(json.then_some("--json"));
             let output = run_cli(&args);
             assert!(output.status.success(), "{command}: {}", String::from_utf8_lossy(&output.stderr));
             assert!(!output.stdout.is_empty());
         }
     }
-    let to = ["--daemon", daemon, "--operator-key", OPERATOR_KEY];
-    let said = |args: &[&str]| {
-        let output = run_cli(&[args, &to].concat());
+    let connection_args = ["--daemon", control_address, "--operator-key", OPERATOR_KEY];
+    let command_output = |args: &[&str]| {
+        let output = run_cli(&[args, &connection_args].concat());
         assert!(output.status.success(), "{args:?}: {}", String::from_utf8_lossy(&output.stderr));
         String::from_utf8_lossy(&output.stdout).into_owned()
     };
-    let base_config = site.workdir.path("base.toml");
-    assert_eq!(said(&["diff", &base_config.to_string_lossy()]), "no difference\n");
-    let other = site.workdir.write("other.toml", &site.options.base_config.replace("weight = 4", "weight = 5"));
-    assert_eq!(said(&["diff", &other]), "change organisation/velorio\n");
-    let key = said(&["key", "create", "rose"]);
+    let config_path = site.workdir.path("base.toml");
+    assert_eq!(command_output(&["diff", &config_path.to_string_lossy()]), "no difference\n");
+    let changed_path = site.workdir.write("other.toml", &site.options.base_config.replace("weight = 4", "weight = 5"));
+    assert_eq!(command_output(&["diff", &changed_path]), "change organisation/velorio\n");
+    let key = command_output(&["key", "create", "rose"]);
     let id = key.trim().split('-').nth(1).expect("an id").to_owned();
-    assert!(said(&["key", "list"]).contains(&id) && !said(&["key", "list", "--json"]).contains(key.trim()));
-    said(&["key", "withdraw", "rose", &id]);
-    assert!(said(&["key", "list"]).lines().any(|line| line.contains(&id) && line.ends_with("withdrawn")));
-    let refused = run_cli(&["status", "--daemon", daemon, "--operator-key", "wrong-operator-key"]);
+    assert!(
+        command_output(&["key", "list"]).contains(&id)
+            && !command_output(&["key", "list", "--json"]).contains(key.trim())
+    );
+    command_output(&["key", "withdraw", "rose", &id]);
+    assert!(command_output(&["key", "list"]).lines().any(|line| line.contains(&id) && line.ends_with("withdrawn")));
+    let refused = run_cli(&["status", "--daemon", control_address, "--operator-key", "wrong-operator-key"]);
     assert_eq!(refused.status.code(), Some(1));
-    let nobody = run_cli(&["status", "--daemon", "127.0.0.1:1", "--operator-key", OPERATOR_KEY]);
-    assert_eq!(nobody.status.code(), Some(3));
+    let unreachable = run_cli(&["status", "--daemon", "127.0.0.1:1", "--operator-key", OPERATOR_KEY]);
+    assert_eq!(unreachable.status.code(), Some(3));
 }
--- a/crates/cli/tests/processes/platform_duties.rs
+++ b/crates/cli/tests/processes/platform_duties.rs
@@ -1,18 +1,20 @@
-//! Duties on the users' platform: one holder at a time, weights loaded in order, usage reported once.
+//! Tests of the duties on the users' platform (weight rollout, usage reports, scaling, VM retirement) and of planned
+//! stops: each duty has one holder at a time, which performs each action once.
 
 use crate::support::{EdgeSite, job_item, job_submission, wait_for};
 use std::collections::BTreeMap;
 
+/// Guards against engines that miss or repeat a version, and against two edges that order loads at the same time.
 #[actix_rt::test]
-async fn named_versions_reach_every_engine_under_one_holder() {
+async fn each_weight_version_is_loaded_once_by_every_engine_under_a_single_holder() {
     let site = EdgeSite::start(3).await;
     for version in 2..=3 {
         site.store.put("op/version/verse", &serde_json::json!({ "model": "verse", "version": version }));
-        wait_for("all engines have it", || async {
-            let loaded = |engine: &pimentoslip_standin::FleetSampler| {
+        wait_for("every engine was ordered to load the version", || async {
+            let is_loaded = |engine: &pimentoslip_standin::FleetSampler| {
                 engine.orders().last().is_some_and(|order| order["version"] == version)
             };
-            site.engines.iter().all(loaded).then_some(())
+            site.engines.iter().all(is_loaded).then_some(())
         })
         .await;
     }
@@ -20,85 +22,95 @@
     assert_eq!(orders.len(), 4, "each engine loads each version once: {orders:?}");
     assert!(orders.iter().all(|order| order["holder"] == orders[0]["holder"]));
     assert!(orders.iter().all(|order| order["fencingToken"] == orders[0]["fencingToken"]));
-    assert!(orders.iter().all(|order| order["expected"].is_u64()), "late orders are guarded against");
+    assert!(
+        orders.iter().all(|order| order["expected"].is_u64()),
+        "each order states the version accepted before, so that a late order has no effect"
+    );
 }
 
+/// Guards against usage that is lost, billed twice or reported with different counts when the holder of the reporting
+/// duty is killed.
 #[actix_rt::test]
-async fn usage_windows_are_reported_once_and_go_on_after_the_holder_died() {
+async fn usage_windows_are_reported_with_one_set_of_counts_after_the_holder_is_killed() {
     let mut site = EdgeSite::start(3).await;
     for number in 0..12 {
         assert_eq!(site.send_quote(number % 3, &format!("q-{number}")).await.status, 200);
     }
-    let counted = |site: &EdgeSite| -> u64 {
-        let reports: BTreeMap<u64, u64> = site
+    let reported_requests = |site: &EdgeSite| -> u64 {
+        let counts_by_window: BTreeMap<u64, u64> = site
             .provider
             .reports()
             .iter()
             .map(|report| (report.window, report.counts["rose"].as_u64().unwrap_or(0)))
             .collect();
-        reports.values().sum()
+        counts_by_window.values().sum()
     };
-    wait_for("all requests are reported", || async { (counted(&site) == 12).then_some(()) }).await;
-    let first = site.provider.reports()[0].clone();
-    let holder = site.edges.iter().position(|edge| edge.vm == first.holder).expect("the holder is an edge");
+    wait_for("all requests are reported", || async { (reported_requests(&site) == 12).then_some(()) }).await;
+    let first_report = site.provider.reports()[0].clone();
+    let holder = site.edges.iter().position(|edge| edge.vm == first_report.holder).expect("the holder is an edge");
     site.edges[holder].process.kill();
-    wait_for("another one reports", || async {
-        site.provider.reports().iter().any(|report| report.holder != first.holder).then_some(())
+    wait_for("another edge reports", || async {
+        site.provider.reports().iter().any(|report| report.holder != first_report.holder).then_some(())
     })
     .await;
     let reports = site.provider.reports();
-    let mut sealed = BTreeMap::new();
-    let mut token = 0;
+    let mut counts_by_window = BTreeMap::new();
+    let mut highest_token = 0;
     for report in &reports {
-        assert!(report.fencing_token >= token, "tokens never fall: {reports:?}");
-        token = report.fencing_token;
-        let counts = sealed.entry(report.window).or_insert_with(|| report.counts.clone());
-        assert_eq!(*counts, report.counts, "a window has one set of counts");
+        assert!(report.fencing_token >= highest_token, "fencing tokens never decrease: {reports:?}");
+        highest_token = report.fencing_token;
+        let counts = counts_by_window.entry(report.window).or_insert_with(|| report.counts.clone());
+        assert_eq!(*counts, report.counts, "all reports of a window have the same counts");
     }
     let holders: std::collections::BTreeSet<_> =
         reports.iter().map(|report| (report.fencing_token, report.holder.clone())).collect();
-    assert_eq!(holders.len(), 2, "one holder a token: {holders:?}");
+    assert_eq!(holders.len(), 2, "each fencing token belongs to one holder: {holders:?}");
 }
 
+/// Guards against a batch job that waits for reclaimable VMs which the cloud cannot provide.
 #[actix_rt::test]
-async fn engines_are_ordered_as_a_batch_job_asks() {
+async fn a_batch_job_orders_reclaimable_engines_and_standing_ones_if_none_are_available() {
     let site = EdgeSite::start(2).await;
-    assert!(site.provider.orders().is_empty(), "nothing is ordered without work");
-    // Two engines of 8 slots run; 30 items ask for four.
+    assert!(site.provider.orders().is_empty(), "no VM is ordered without work");
+    // Two engines of 8 slots are running; 30 items require four engines.
     let items: Vec<_> = (0..30).map(|n| job_item(&format!("i{n}"), 200, false)).collect();
     assert_eq!(site.submit_job(0, "job", &job_submission(1, &items)).await.status, 202);
-    let accepted = |site: &EdgeSite, spot: bool, desired: u64| {
-        let fits = |order: &pimentoslip_standin::ScaleOrder| {
+    let accepted_order = |site: &EdgeSite, spot: bool, desired: u64| {
+        let matches = |order: &pimentoslip_standin::ScaleOrder| {
             order.status == 200 && order.order["spot"] == spot && order.order["desired"] == desired
         };
-        site.provider.orders().iter().find(|order| fits(order)).cloned()
+        site.provider.orders().iter().find(|order| matches(order)).cloned()
     };
-    let order = wait_for("two reclaimable ones are ordered", || async { accepted(&site, true, 2) }).await;
+    let order = wait_for("two reclaimable VMs are ordered", || async { accepted_order(&site, true, 2) }).await;
     assert_eq!(order.order, serde_json::json!({ "service": "engine", "zone": "north", "desired": 2, "spot": true }));
     assert!(order.fencing_token > 0 && site.edges.iter().any(|edge| edge.vm == order.holder), "{order:?}");
-    // They never come, and there are no others: the standing kind takes their place.
+    // The ordered VMs never start and no other reclaimable ones are available, so standing ones are ordered instead.
     site.provider.set_dry(true);
-    wait_for("standing ones are ordered", || async { accepted(&site, false, 4) }).await;
+    wait_for("standing VMs are ordered", || async { accepted_order(&site, false, 4) }).await;
 }
 
 #[actix_rt::test]
-async fn a_vm_that_is_to_be_emptied_is_said_to_be_empty() {
+async fn a_request_to_retire_a_vm_is_reported_as_completed() {
     let site = EdgeSite::start(1).await;
     site.store.put("op/retire/storage-1", &serde_json::json!({ "durationS": 10 }));
-    let status =
-        wait_for("the status is written", || async { site.store.memory().value("status/retire/storage-1") }).await;
+    let status = wait_for("the status of the retirement is stored", || async {
+        site.store.memory().value("status/retire/storage-1")
+    })
+    .await;
     assert_eq!(status, br#"{"state":"completed"}"#);
 }
 
+/// Guards against requests refused while an edge stops, and against an edge that does not start again after a stop.
 #[actix_rt::test]
-async fn a_planned_stop_ends_in_time_and_a_restart_serves_again() {
+async fn a_stopping_edge_serves_until_it_exits_and_serves_again_after_a_restart() {
     let mut site = EdgeSite::start(2).await;
     site.edges[0].process.terminate();
-    wait_for("the edge is out of rotation", || async { (site.readiness_status(0).await != 200).then_some(()) }).await;
-    assert_eq!(site.send_quote(0, "during").await.status, 200, "it serves until it is gone");
-    wait_for("the process ends", || {
-        let ended = site.edges[0].process.exit_status();
-        async move { ended }
+    wait_for("the edge is not ready any more", || async { (site.readiness_status(0).await != 200).then_some(()) })
+        .await;
+    assert_eq!(site.send_quote(0, "during").await.status, 200, "a stopping edge still serves");
+    wait_for("the process exits", || {
+        let exit_status = site.edges[0].process.exit_status();
+        async move { exit_status }
     })
     .await;
     site.restart_edge(0);
--- a/crates/cli/tests/processes/platform_jobs.rs
+++ b/crates/cli/tests/processes/platform_jobs.rs
@@ -1,27 +1,32 @@
-//! Batch jobs on the users' platform: accepted once, listed once, the same at every edge, whatever fails.
+//! Tests of batch jobs on the users' platform: a job is accepted once, each item has one result, and every edge returns
+//! the same results, whichever process, connection or store fails.
 
 use crate::support::{EdgeSite, job_item, job_submission, wait_for};
 use pimentoslip_standin::{RelayRule, SamplerFault, StoreFault, TcpRelay};
 use serde_json::Value;
 use std::time::Duration;
 
-fn text(id: &str, events: u64) -> String {
+/// Complete text of the item `id` with `events` events, as the stand-in engine generates it.
+fn expected_text(id: &str, events: u64) -> String {
     (1..=events).map(|number| format!("{id}:{number}")).collect::<Vec<_>>().join("\n")
 }
 
-fn by_id<'a>(results: &'a [Value], id: &str) -> &'a Value {
-    results.iter().find(|result| result["id"] == id).unwrap_or_else(|| panic!("{id} is not listed: {results:?}"))
+/// Result of the item `id`.
+fn result_of<'a>(results: &'a [Value], id: &str) -> &'a Value {
+    results.iter().find(|result| result["id"] == id).unwrap_or_else(|| panic!("item {id} has no result: {results:?}"))
 }
 
-/// The edge that owns `job`.
-fn owner(site: &EdgeSite, job: &str) -> Option<usize> {
-    let begun = format!("event=job_begun job={job} ");
-    let mut owners = (0..site.edges.len()).filter(|edge| site.edges[*edge].process.log().contains(&begun));
+/// Index of the edge that owns `job`, according to the logs; `None` while no edge has started it.
+fn job_owner(site: &EdgeSite, job: &str) -> Option<usize> {
+    let start_event = format!("event=job_begun job={job} ");
+    let mut owners = (0..site.edges.len()).filter(|edge| site.edges[*edge].process.log().contains(&start_event));
     owners.next_back()
 }
 
+/// Guards against a job that runs again when it is submitted at several edges, and against edges that return different
+/// results.
 #[actix_rt::test]
-async fn a_job_is_accepted_once_and_reads_the_same_everywhere() {
+async fn a_job_submitted_at_three_edges_runs_once_and_has_the_same_results_at_each() {
     let site = EdgeSite::start(3).await;
     let job = job_submission(1, &[job_item("a", 3, true), job_item("b", 12, true), job_item("c", 1, false)]);
     for edge in 0..3 {
@@ -29,41 +34,43 @@
     }
     let results = site.all_results(0, "job").await;
     for (id, events) in [("a", 3), ("b", 12), ("c", 1)] {
-        let result = by_id(&results, id);
+        let result = result_of(&results, id);
         assert_eq!(result["state"], "completed");
-        assert_eq!(result["text"], text(id, events));
+        assert_eq!(result["text"], expected_text(id, events));
         assert_eq!(result["versions"], serde_json::json!([1]));
         assert_eq!(site.engine_calls(id).len(), 1, "{id} ran once");
         assert_eq!(site.engine_calls(id)[0].organisation, "rose");
     }
-    assert_eq!(by_id(&results, "a")["score"], "signed score-a");
-    assert!(by_id(&results, "c").get("score").is_none());
+    assert_eq!(result_of(&results, "a")["score"], "signed score-a");
+    assert!(result_of(&results, "c").get("score").is_none());
     for edge in 1..3 {
         assert_eq!(site.all_results(edge, "job").await, results);
-        let middle = site.send_job_request(edge, "GET", "/pimentoslip/lots/job?after=1").await.json();
-        assert_eq!(middle["results"], Value::from(results[1..].to_vec()));
+        let last_page = site.send_job_request(edge, "GET", "/pimentoslip/lots/job?after=1").await.json();
+        assert_eq!(last_page["results"], Value::from(results[1..].to_vec()));
     }
-    let body = site.send_job_request(2, "GET", "/pimentoslip/items/job?id=b").await;
-    assert_eq!(body.status, 200);
+    let item_reply = site.send_job_request(2, "GET", "/pimentoslip/items/job?id=b").await;
+    assert_eq!(item_reply.status, 200);
     for edge in 0..3 {
         assert_eq!(site.send_job_request(edge, "DELETE", "/pimentoslip/lots/job").await.status, 200);
     }
     assert_eq!(site.all_results(1, "job").await, results, "an ended job can still be read");
 }
 
+/// Guards against engines that keep generating text for a job that was deleted through another edge.
 #[actix_rt::test]
-async fn an_ended_job_is_cut_at_its_owner() {
+async fn deleting_a_job_at_any_edge_cancels_its_runs() {
     let site = EdgeSite::start(3).await;
     assert_eq!(site.submit_job(0, "job", &job_submission(1, &[job_item("long", 2_000, false)])).await.status, 202);
     wait_for("the item runs", || async { (!site.engine_calls("long").is_empty()).then_some(()) }).await;
     assert_eq!(site.send_job_request(1, "DELETE", "/pimentoslip/lots/job").await.status, 200);
-    let working = || site.engines.iter().map(|engine| engine.working()).sum::<usize>();
-    wait_for("the run is cut", || async { (working() == 0).then_some(()) }).await;
+    let running_requests = || site.engines.iter().map(|engine| engine.working()).sum::<usize>();
+    wait_for("the run is cancelled", || async { (running_requests() == 0).then_some(()) }).await;
 }
 
+/// Guards against texts with missing or repeated events when the first run of an item fails.
 #[actix_rt::test]
-async fn texts_are_whole_whatever_a_run_does() {
-    // fault of the first run, events of the text, runs that go on after an event
+async fn texts_are_complete_after_each_kind_of_failed_run() {
+    // fault of the first run, whether another run resumes after the last event received
     let cases = [
         (SamplerFault::CutAfter(2), true),
         (SamplerFault::CutAtEnd, true),
@@ -73,23 +80,25 @@
         (SamplerFault::WrongId, false),
     ];
     let site = EdgeSite::start(1).await;
-    for (number, (fault, resumed)) in cases.into_iter().enumerate() {
+    for (number, (fault, is_resumed)) in cases.into_iter().enumerate() {
         let (job, id) = (format!("job-{number}"), format!("item-{number}"));
         site.engines.iter().for_each(|engine| engine.set_faults([fault]));
         assert_eq!(site.submit_job(0, &job, &job_submission(1, &[job_item(&id, 5, true)])).await.status, 202);
         let results = site.all_results(0, &job).await;
-        assert_eq!(by_id(&results, &id)["text"], text(&id, 5), "{fault:?}");
-        assert_eq!(by_id(&results, &id)["versions"], serde_json::json!([1]), "{fault:?}");
-        let resumes = site.engine_calls(&id).iter().filter(|run| run.last_event.is_some()).count();
-        assert_eq!(resumes > 0, resumed, "{fault:?}: {:?}", site.engine_calls(&id));
+        assert_eq!(result_of(&results, &id)["text"], expected_text(&id, 5), "{fault:?}");
+        assert_eq!(result_of(&results, &id)["versions"], serde_json::json!([1]), "{fault:?}");
+        let resumed_runs = site.engine_calls(&id).iter().filter(|run| run.last_event.is_some()).count();
+        assert_eq!(resumed_runs > 0, is_resumed, "{fault:?}: {:?}", site.engine_calls(&id));
         site.engines.iter().for_each(|engine| engine.set_faults([]));
     }
 }
 
+/// Guards against items that are terminated after a fault which a retry resolves, and against items that are retried
+/// forever.
 #[actix_rt::test]
-async fn items_are_given_up_only_for_a_reason() {
+async fn items_are_terminated_only_after_a_permanent_or_repeated_failure() {
     let site = EdgeSite::start(1).await;
-    // faults of the engines, faults of the scorers, state
+    // item, faults of the engines, faults of the scorers, state of the result
     let cases = [
         ("impossible", vec![SamplerFault::Status(422)], vec![], "terminated"),
         ("failing", vec![SamplerFault::Status(500); 4], vec![], "terminated"),
@@ -109,33 +118,36 @@
     }
 }
 
+/// Guards against results that are lost or change their position when another edge takes the job over.
 #[actix_rt::test]
-async fn a_job_outlives_its_owner() {
+async fn a_job_whose_owner_is_killed_keeps_its_results_and_completes() {
     let mut site = EdgeSite::start(3).await;
     let items: Vec<Value> = (0..8).map(|n| job_item(&format!("i{n}"), if n < 4 { 1 } else { 120 }, false)).collect();
     assert_eq!(site.submit_job(0, "job", &job_submission(1, &items)).await.status, 202);
-    let owned = wait_for("the job has an owner", || async { owner(&site, "job") }).await;
-    let reader = (owned + 1) % 3;
-    let early = wait_for("the short items are listed", || async {
+    let owner = wait_for("the job has an owner", || async { job_owner(&site, "job") }).await;
+    let reader = (owner + 1) % 3;
+    let early_results = wait_for("the short items have results", || async {
         let page = site.send_job_request(reader, "GET", "/pimentoslip/lots/job?after=0").await.json();
         page["results"].as_array().filter(|results| results.len() >= 2).cloned()
     })
     .await;
-    site.edges[owned].process.kill();
+    site.edges[owner].process.kill();
     let results = site.all_results(reader, "job").await;
-    assert_eq!(results[..early.len()], early, "what was read stays at its position");
-    assert_eq!(site.all_results((owned + 2) % 3, "job").await, results);
+    assert_eq!(results[..early_results.len()], early_results, "results that were read keep their position");
+    assert_eq!(site.all_results((owner + 2) % 3, "job").await, results);
     for n in 4..8 {
-        assert_eq!(by_id(&results, &format!("i{n}"))["text"], text(&format!("i{n}"), 120));
+        assert_eq!(result_of(&results, &format!("i{n}"))["text"], expected_text(&format!("i{n}"), 120));
     }
 }
 
+/// Guards against items that run again from their first event after all edges were killed: the text checkpoints are in
+/// the store.
 #[actix_rt::test]
-async fn texts_in_the_middle_outlive_every_process() {
+async fn items_resume_from_their_text_checkpoints_after_all_edges_are_killed() {
     let mut site = EdgeSite::start(2).await;
     let items: Vec<Value> = (0..4).map(|n| job_item(&format!("i{n}"), 300, true)).collect();
     assert_eq!(site.submit_job(0, "job", &job_submission(1, &items)).await.status, 202);
-    wait_for("texts are on record", || async {
+    wait_for("a text checkpoint is stored", || async {
         (!site.store.memory().range("p/d/job/text/", "").is_empty()).then_some(())
     })
     .await;
@@ -147,36 +159,44 @@
     let results = site.all_results(1, "job").await;
     for n in 0..4 {
         let id = format!("i{n}");
-        assert_eq!(by_id(&results, &id)["text"], text(&id, 300));
-        assert_eq!(by_id(&results, &id)["score"], format!("signed score-{id}"));
+        assert_eq!(result_of(&results, &id)["text"], expected_text(&id, 300));
+        assert_eq!(result_of(&results, &id)["score"], format!("signed score-{id}"));
         let runs = site.engine_calls(&id);
-        assert!(runs[1..].iter().all(|run| run.last_event.is_some()), "{id} began anew: {runs:?}");
+        assert!(
+            runs[1..].iter().all(|run| run.last_event.is_some()),
+            "{id} started again from its first event: {runs:?}"
+        );
     }
 }
 
+/// Guards against items that run again from their first event when the owner of their job stops as planned.
 #[actix_rt::test]
-async fn a_planned_stop_hands_jobs_over_in_the_middle_of_their_texts() {
+async fn a_stopping_owner_hands_its_job_over_with_the_partial_texts() {
     let site = EdgeSite::start(3).await;
     let items: Vec<Value> = (0..4).map(|n| job_item(&format!("i{n}"), 200, true)).collect();
     assert_eq!(site.submit_job(0, "job", &job_submission(1, &items)).await.status, 202);
-    let owned = wait_for("the job has an owner", || async { owner(&site, "job") }).await;
-    wait_for("all items run", || async {
+    let owner = wait_for("the job has an owner", || async { job_owner(&site, "job") }).await;
+    wait_for("every item runs", || async {
         (0..4).all(|n| !site.engine_calls(&format!("i{n}")).is_empty()).then_some(())
     })
     .await;
     actix_rt::time::sleep(Duration::from_millis(400)).await;
-    site.edges[owned].process.terminate();
-    let results = site.all_results((owned + 1) % 3, "job").await;
+    site.edges[owner].process.terminate();
+    let results = site.all_results((owner + 1) % 3, "job").await;
     for n in 0..4 {
         let id = format!("i{n}");
-        assert_eq!(by_id(&results, &id)["text"], text(&id, 200));
+        assert_eq!(result_of(&results, &id)["text"], expected_text(&id, 200));
         let runs = site.engine_calls(&id);
-        assert!(runs[1..].iter().all(|run| run.last_event.is_some()), "{id} began anew: {runs:?}");
+        assert!(
+            runs[1..].iter().all(|run| run.last_event.is_some()),
+            "{id} started again from its first event: {runs:?}"
+        );
     }
 }
 
+/// Guards against a second run of a job when the store commits its submission but the answer to the commit is lost.
 #[actix_rt::test]
-async fn a_submission_whose_answer_was_lost_is_accepted_once() {
+async fn a_submission_whose_commit_answer_is_lost_is_accepted_once() {
     let site = EdgeSite::start(2).await;
     site.store.set_fault(StoreFault { lose_commits: 1, down: false });
     let job = job_submission(1, &[job_item("a", 3, false)]);
@@ -186,8 +206,9 @@
     assert_eq!(site.engine_calls("a").len(), 1);
 }
 
+/// Guards against jobs that are reported as unknown, or run without being stored, while the store is unreachable.
 #[actix_rt::test]
-async fn without_the_store_requests_go_on_and_jobs_are_refused_as_not_run() {
+async fn an_unreachable_store_refuses_jobs_without_running_them_and_serves_requests() {
     let site = EdgeSite::start(2).await;
     site.store.set_fault(StoreFault { down: true, lose_commits: 0 });
     let job = job_submission(1, &[job_item("a", 3, false)]);
@@ -195,12 +216,12 @@
     assert_eq!(
         site.send_job_request(1, "GET", "/pimentoslip/lots/job").await.status,
         503,
-        "nobody can say that it is unknown"
+        "without the store no edge can tell whether the job exists"
     );
     assert_eq!(site.send_quote(0, "still").await.status, 200);
     site.store.set_fault(StoreFault::default());
-    // Each edge finds the store back with its next look; until then it cannot say that a job is unknown.
-    wait_for("the store is found back", || async {
+    // Each edge reconnects to the store with its next poll; until then it cannot tell whether a job exists.
+    wait_for("the edge has reconnected to the store", || async {
         let status = site.send_job_request(1, "GET", "/pimentoslip/lots/job").await.status;
         assert!(status == 503 || status == 404, "{status}");
         (status == 404).then_some(())
@@ -212,29 +233,33 @@
     assert_eq!(site.all_results(1, "job").await.len(), 1);
 }
 
+/// Guards against an edge that refuses jobs or keeps outdated keys when only its own connection to the store is cut.
 #[actix_rt::test]
-async fn an_edge_that_does_not_reach_the_store_goes_through_a_peer() {
+async fn an_edge_cut_off_from_the_store_reads_and_writes_through_a_peer() {
     let mut site = EdgeSite::without_edges();
     site.write_config(2, &[("rose", crate::support::ROSE_KEY)]);
-    let relay = TcpRelay::start(site.store.address).await.expect("a relay");
+    let relay = TcpRelay::start(site.store.address).await.expect("start a relay");
     let store = site.store.address;
     site.start_edge(relay.address);
     site.start_edge(store);
     site.wait_ready().await;
     relay.set(RelayRule::Cut);
     let job = job_submission(1, &[job_item("a", 40, false)]);
-    let accepted = wait_for("the cut-off edge accepts a job", || async {
+    let acceptance = wait_for("the cut-off edge accepts a job", || async {
         (site.submit_job(0, "job", &job).await.status == 202).then_some(())
     });
-    accepted.await;
+    acceptance.await;
     assert_eq!(site.all_results(0, "job").await.len(), 1);
     site.write_config(3, &[("tray", crate::support::TRAY_KEY)]);
-    wait_for("a key is withdrawn there too", || async { (site.send_quote(0, "q").await.status == 401).then_some(()) })
-        .await;
+    wait_for("the withdrawn key is refused at the cut-off edge", || async {
+        (site.send_quote(0, "q").await.status == 401).then_some(())
+    })
+    .await;
 }
 
+/// Guards against the loss of a job that is larger than a single value of the store may be.
 #[actix_rt::test]
-async fn a_large_job_fits_into_several_values() {
+async fn a_large_job_is_stored_in_several_values() {
     let site = EdgeSite::start(2).await;
     let items: Vec<Value> = (0..250)
         .map(|n| {
--- a/crates/cli/tests/processes/platform_path.rs
+++ b/crates/cli/tests/processes/platform_path.rs
@@ -1,11 +1,12 @@
-//! Requests on the users' platform: whole answers, true refusals, nobody else's key.
+//! Tests of requests on the users' platform: complete answers, refusals that state truthfully whether the request ran,
+//! and API keys that grant access to their own organisation only.
 
 use crate::support::{EdgeSite, ROSE_KEY, TRAY_KEY, wait_for};
 use pimentoslip_standin::SamplerFault;
 use std::time::Duration;
 
 #[actix_rt::test]
-async fn a_request_runs_for_its_organisation_and_comes_back_unchanged() {
+async fn a_request_runs_for_the_organisation_of_its_key_and_its_answer_is_returned_unchanged() {
     let site = EdgeSite::start(2).await;
     for edge in 0..2 {
         let id = format!("quote-{edge}");
@@ -17,15 +18,18 @@
         assert_eq!(seen.len(), 1);
         assert_eq!((seen[0].organisation.as_str(), seen[0].keyed), ("rose", false));
         assert_eq!((seen[0].path.as_str(), seen[0].body.as_slice()), ("/quote/roses", &b"how much"[..]));
-        assert!(seen[0].deadline_ms <= 1_500, "the route's timeout is shorter than the caller's");
+        assert!(
+            seen[0].deadline_ms <= 1_500,
+            "the deadline is the route's timeout, which is shorter than the caller's"
+        );
     }
 }
 
 #[actix_rt::test]
-async fn refusals_say_why_and_nothing_runs() {
+async fn refused_requests_get_the_status_of_their_fault_and_reach_no_upstream() {
     let site = EdgeSite::start(1).await;
     let bearer = format!("Bearer {ROSE_KEY}");
-    // path, key, status
+    // path, authorization header, status of the refusal
     let cases = [
         ("/nowhere/x", Some(bearer.as_str()), 404),
         ("/quote/x", None, 401),
@@ -36,30 +40,33 @@
         ("/pimentoslip/lots/unknown", None, 401),
         ("/pimentoslip/items/unknown?id=x", Some(bearer.as_str()), 404),
     ];
-    for (path, key, status) in cases {
+    for (path, authorization, status) in cases {
         let mut headers = vec![("request-id", "refused"), ("deadline-ms", "1000")];
-        headers.extend(key.map(|key| ("authorization", key)));
+        headers.extend(authorization.map(|authorization| ("authorization", authorization)));
         let method = if path.starts_with("/pimentoslip") { "GET" } else { "POST" };
-        assert_eq!(site.send(0, method, path, &headers, "").await.status, status, "{path} with {key:?}");
+        assert_eq!(site.send(0, method, path, &headers, "").await.status, status, "{path} with {authorization:?}");
     }
-    let long = "x".repeat(17_000);
-    let large =
-        [("request-id", "large"), ("deadline-ms", "1000"), ("authorization", bearer.as_str()), ("x-long", &long)];
-    assert_eq!(site.send(0, "POST", "/quote/x", &large, "").await.status, 431);
-    let large = [("request-id", "large"), ("deadline-ms", "1000"), ("authorization", bearer.as_str())];
-    assert_eq!(site.send(0, "POST", "/quote/x", &large, &"x".repeat(1_000_001)).await.status, 413);
-    let open = [("request-id", "open"), ("deadline-ms", "1000")];
-    assert_eq!(site.send(0, "POST", "/score/x", &open, "").await.status, 200, "an open route needs no key");
-    let seen: Vec<_> = site.desks.iter().flat_map(|desk| desk.seen()).map(|call| call.id).collect();
-    assert_eq!(seen, ["open"]);
+    let long_value = "x".repeat(17_000);
+    let large_headers =
+        [("request-id", "large"), ("deadline-ms", "1000"), ("authorization", bearer.as_str()), ("x-long", &long_value)];
+    assert_eq!(site.send(0, "POST", "/quote/x", &large_headers, "").await.status, 431);
+    let large_body_headers = [("request-id", "large"), ("deadline-ms", "1000"), ("authorization", bearer.as_str())];
+    assert_eq!(site.send(0, "POST", "/quote/x", &large_body_headers, &"x".repeat(1_000_001)).await.status, 413);
+    let open_headers = [("request-id", "open"), ("deadline-ms", "1000")];
+    assert_eq!(site.send(0, "POST", "/score/x", &open_headers, "").await.status, 200, "an open route needs no key");
+    let request_ids: Vec<_> = site.desks.iter().flat_map(|desk| desk.seen()).map(|call| call.id).collect();
+    assert_eq!(request_ids, ["open"]);
 }
 
 #[actix_rt::test]
-async fn an_edge_without_a_configuration_is_not_ready_and_refuses_with_503() {
+async fn an_edge_without_a_configuration_is_not_ready_and_refuses_requests_with_503() {
     let mut site = EdgeSite::without_edges();
     let store = site.store.address;
     site.start_edge(store);
-    wait_for("the edge answers", || async { (site.readiness_status(0).await == 503).then_some(()) }).await;
+    wait_for("the edge answers its readiness check", || async {
+        (site.readiness_status(0).await == 503).then_some(())
+    })
+    .await;
     let reply = site.send_quote(0, "early").await;
     assert_eq!(reply.status, 503);
     assert!(!reply.header("retry-after").is_empty());
@@ -68,19 +75,22 @@
     assert_eq!(site.send_quote(0, "later").await.status, 200);
 }
 
+/// Guards against a withdrawn key that is accepted again after an older or malformed configuration was written.
 #[actix_rt::test]
-async fn a_withdrawn_key_stops_working_and_an_older_version_brings_nothing_back() {
+async fn a_withdrawn_key_stays_refused_after_an_older_or_malformed_configuration() {
     let site = EdgeSite::start(1).await;
     site.write_config(5, &[("tray", TRAY_KEY)]);
-    wait_for("the key is refused", || async { (site.send_quote(0, "q").await.status == 401).then_some(()) }).await;
+    wait_for("the withdrawn key is refused", || async { (site.send_quote(0, "q").await.status == 401).then_some(()) })
+        .await;
     site.write_config(4, &[("rose", ROSE_KEY), ("tray", TRAY_KEY)]);
     site.store.put("op/config", &serde_json::json!("not a configuration"));
     actix_rt::time::sleep(Duration::from_millis(300)).await;
     assert_eq!(site.send_quote(0, "q").await.status, 401);
 }
 
+/// Guards against an idempotent request that fails, or gets the answer to another request, because of one upstream.
 #[actix_rt::test]
-async fn an_idempotent_request_survives_the_failure_of_one_upstream() {
+async fn an_idempotent_request_succeeds_after_each_fault_of_one_upstream() {
     let site = EdgeSite::start(1).await;
     let faults = [
         SamplerFault::Refuse,
@@ -96,21 +106,22 @@
         let reply = if reply.status == 200 { reply } else { site.send_quote(0, &id).await };
         assert_eq!((reply.status, reply.body.as_str()), (200, format!("answer to {id}").as_str()), "{fault:?}");
         site.desks[0].set_faults([]);
-        // A failed upstream rests for a moment.
+        // Requests back off from a failed upstream for a short time.
         actix_rt::time::sleep(Duration::from_millis(300)).await;
     }
 }
 
+/// Guards against a request on an unsafe route that is sent again, or reported as not run, after its answer was lost.
 #[actix_rt::test]
-async fn a_request_that_may_run_once_is_sent_once_and_never_called_unrun() {
+async fn an_unsafe_request_whose_answer_is_lost_is_sent_once_and_not_reported_as_not_run() {
     let site = EdgeSite::start(1).await;
     for (number, fault) in
         [SamplerFault::LoseAnswer, SamplerFault::WrongId, SamplerFault::Truncate].into_iter().enumerate()
     {
         let id = format!("once-{number}");
         site.desks.iter().for_each(|desk| desk.set_faults([fault]));
-        let key = format!("Bearer {ROSE_KEY}");
-        let headers = [("request-id", id.as_str()), ("deadline-ms", "2000"), ("authorization", key.as_str())];
+        let bearer = format!("Bearer {ROSE_KEY}");
+        let headers = [("request-id", id.as_str()), ("deadline-ms", "2000"), ("authorization", bearer.as_str())];
         let reply = site.send(0, "POST", "/once/order", &headers, "one wreath").await;
         assert_eq!(reply.status, 502, "{fault:?}");
         let runs = site.desks.iter().flat_map(|desk| desk.seen()).filter(|call| call.id == id).count();
@@ -121,7 +132,7 @@
 }
 
 #[actix_rt::test]
-async fn a_request_that_no_upstream_takes_is_refused_as_not_run() {
+async fn a_request_refused_by_every_upstream_does_not_run_and_is_answered_with_503() {
     let site = EdgeSite::start(1).await;
     site.desks.iter().for_each(|desk| desk.set_faults([SamplerFault::Refuse; 40]));
     let reply = site.send_quote(0, "unlucky").await;
@@ -131,31 +142,33 @@
 }
 
 #[actix_rt::test]
-async fn a_request_past_its_routes_timeout_may_have_run() {
+async fn a_request_past_the_timeout_of_its_route_is_answered_with_504_because_it_may_have_run() {
     let site = EdgeSite::start(1).await;
     site.desks.iter().for_each(|desk| desk.set_faults([SamplerFault::Hang; 4]));
     assert_eq!(site.send_quote(0, "late").await.status, 504);
 }
 
+/// Guards against upstreams that keep working for a client that has disconnected.
 #[actix_rt::test]
-async fn an_upstream_hears_that_the_client_left() {
+async fn a_client_that_disconnects_cancels_its_request_at_the_upstream() {
     let site = EdgeSite::start(1).await;
     site.desks.iter().for_each(|desk| desk.set_faults([SamplerFault::Hang]));
-    let working = || site.desks.iter().map(|desk| desk.working()).sum::<usize>();
-    let gone = actix_rt::time::timeout(Duration::from_millis(400), site.send_quote(0, "left")).await;
-    assert!(gone.is_err(), "the request hangs");
-    wait_for("the upstream is let go", || async { (working() == 0).then_some(()) }).await;
+    let running_requests = || site.desks.iter().map(|desk| desk.working()).sum::<usize>();
+    let timed_out = actix_rt::time::timeout(Duration::from_millis(400), site.send_quote(0, "left")).await;
+    assert!(timed_out.is_err(), "the answer of the upstream never ends");
+    wait_for("the request is cancelled at the upstream", || async { (running_requests() == 0).then_some(()) }).await;
     let log = site.edges[0].process.log();
     assert!(log.contains("event=client_left request_id=left"), "{log}");
 }
 
+/// Guards against requests to upstreams that are leaving, and against malformed entries of the store that stop routing.
 #[actix_rt::test]
-async fn a_leaving_upstream_and_an_unreadable_entry_get_nothing() {
+async fn leaving_upstreams_and_malformed_upstream_entries_receive_no_requests() {
     let site = EdgeSite::start(1).await;
     site.desks[0].leave();
     site.store.put("servers/strange", &serde_json::json!({ "service": 7, "address": "nowhere" }));
     site.store.memory().put("servers/bytes", vec![0xff, 0xfe], 0);
-    wait_for("the entries are read", || async {
+    wait_for("the edge has read the entries", || async {
         let log = site.edges[0].process.log();
         (log.contains("upstream=desk-1 service=desk")
             && log.contains("state=leaving")
@@ -170,10 +183,13 @@
     assert_eq!(site.desks[1].seen().len(), 6);
 }
 
+/// One edge watches the store on behalf of all. Guards against edges that keep an outdated configuration when that edge
+/// is frozen or killed.
 #[actix_rt::test]
-async fn news_reaches_every_edge_also_when_the_one_that_watches_for_all_is_killed_or_frozen() {
+async fn changes_reach_every_edge_after_the_watching_edge_is_frozen_or_killed() {
     let mut site = EdgeSite::start(4).await;
-    // Two edges are lost, one after the other; whichever watches, the others must hear of the next change.
+    // Two edges are lost, one after the other. Whichever edge watches the store, the others must receive the next
+    // change.
     for (number, lost) in [0, 1].into_iter().enumerate() {
         if number == 0 {
             site.edges[lost].process.freeze();
@@ -185,14 +201,14 @@
         let bearer = format!("Bearer {key}");
         for edge in lost + 1..4 {
             let headers = [("request-id", "news"), ("deadline-ms", "2000"), ("authorization", bearer.as_str())];
-            wait_for("the new key holds", || async {
+            wait_for("the new key is accepted", || async {
                 (site.send(edge, "POST", "/quote/x", &headers, "").await.status == 200).then_some(())
             })
             .await;
         }
     }
     site.edges[0].process.resume();
-    wait_for("the frozen edge hears of it too", || async {
+    wait_for("the resumed edge refuses the previous key", || async {
         (site.send_quote(0, "old").await.status == 401).then_some(())
     })
     .await;
--- a/crates/cli/tests/processes/requests.rs
+++ b/crates/cli/tests/processes/requests.rs
@@ -1,4 +1,5 @@
-//! Requests: at most once, "not run" is true, whole answers, under cuts, kills and crossed answers.
+//! Tests of single requests under cut connections, killed daemons and answers with the wrong id: a request runs at most
+//! once, its reported run state is true, and an answer is complete or an error.
 
 use super::support::{DaemonSite, HttpAnswer, HttpClient, SiteOptions, wait_for};
 use actix_rt::{
@@ -11,30 +12,33 @@
 use pimentoslip_wire::provider::{VmRole, VmState};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-const ORDERS: &str = "/services/desk/orders";
+/// Path of the plain service that runs an order.
+const ORDERS_PATH: &str = "/services/desk/orders";
 
-async fn small_site() -> (DaemonSite, KeySecret) {
+/// Starts a site of three daemons without engines, and creates an API key.
+async fn site_without_engines() -> (DaemonSite, KeySecret) {
     let site = DaemonSite::start(SiteOptions { engines: vec![], ..SiteOptions::default() }).await;
     let key = site.create_key(0, 1).await;
     (site, key)
 }
 
-/// Puts a relay between the daemons and the plain service.
+/// Starts a site whose daemons reach the plain service through a relay.
 async fn relayed_site() -> (DaemonSite, KeySecret, TcpRelay) {
-    let (site, key) = small_site().await;
-    let relay = TcpRelay::start(site.desk_address.parse().expect("an address")).await.expect("a relay");
+    let (site, key) = site_without_engines().await;
+    let relay = TcpRelay::start(site.desk_address.parse().expect("an address")).await.expect("start a relay");
     let address = relay.address.to_string();
     site.add_vm("desk-1", VmRole::Upstream, "a", &address, Some("desk"), VmState::Live).await;
-    wait_for("the relay is in the way", || async {
-        let before = relay.passed().1;
-        site.send(0, "GET", ORDERS, &key, &[], &()).await;
-        (relay.passed().1 > before).then_some(())
+    wait_for("requests pass through the relay", || async {
+        let passed_before = relay.passed().1;
+        site.send(0, "GET", ORDERS_PATH, &key, &[], &()).await;
+        (relay.passed().1 > passed_before).then_some(())
     })
     .await;
     (site, key, relay)
 }
 
-async fn order(
+/// Sends order `number` to a daemon.
+async fn send_order(
     site: &DaemonSite,
     daemon: usize,
     key: &KeySecret,
@@ -42,12 +46,12 @@
     idempotency_key: Option<&str>,
 ) -> HttpAnswer {
     let header: Vec<(&str, &str)> = idempotency_key.map(|key| ("idempotency-key", key)).into_iter().collect();
-    site.send(daemon, "POST", ORDERS, key, &header, &serde_json::json!({ "order": number })).await
+    site.send(daemon, "POST", ORDERS_PATH, key, &header, &serde_json::json!({ "order": number })).await
 }
 
-/// Sends order 1 to daemon 0 under a key of its own, beside the test.
+/// Sends order 1 to daemon 0 with the idempotency key `order-1`, in a task of its own.
 fn spawn_first_order(site: &DaemonSite, key: &KeySecret) -> JoinHandle<HttpAnswer> {
-    let url = format!("http://{}{ORDERS}", site.daemons[0].public_address);
+    let url = format!("http://{}{ORDERS_PATH}", site.daemons[0].public_address);
     let bearer = format!("Bearer {}", key.expose());
     actix_rt::spawn(async move {
         let headers = [("authorization", bearer.as_str()), ("idempotency-key", "order-1")];
@@ -55,70 +59,74 @@
     })
 }
 
-/// Runs of order `number`.
-async fn runs(site: &DaemonSite, number: usize) -> usize {
+/// Number of times that the plain service has run order `number`.
+async fn run_count(site: &DaemonSite, number: usize) -> usize {
     let body = serde_json::json!({ "order": number }).to_string();
     site.desk_requests().await.iter().filter(|run| run.body == body).count()
 }
 
-/// Cuts an exchange after every single byte and compares what the caller is told with what ran.
-async fn cut_everywhere(rule: fn(usize) -> RelayRule, bytes: fn((usize, usize)) -> usize) {
+/// Sends one order for each byte of an exchange, cuts the connection after that byte, and compares the run state that
+/// the caller receives with what the plain service ran. `rule` cuts after so many bytes, and `passed_bytes` selects the
+/// direction that is counted.
+async fn cut_after_every_byte(rule: fn(usize) -> RelayRule, passed_bytes: fn((usize, usize)) -> usize) {
     let (site, key, relay) = relayed_site().await;
-    let before = bytes(relay.passed());
+    let passed_before = passed_bytes(relay.passed());
     relay.set(RelayRule::Cut);
     relay.set(RelayRule::Pass);
-    assert_eq!(order(&site, 0, &key, 1_000_000, None).await.status, 200);
-    let length = bytes(relay.passed()) - before;
-    assert!(length > 50, "{length} bytes");
-    let (mut not_run, mut whole) = (0, 0);
-    // Later ids and counts are a few bytes longer than the first ones.
+    assert_eq!(send_order(&site, 0, &key, 1_000_000, None).await.status, 200);
+    let length = passed_bytes(relay.passed()) - passed_before;
+    assert!(length > 50, "the exchange has only {length} bytes");
+    let (mut not_run_count, mut complete_count) = (0, 0);
+    // Later request ids and order numbers are a few bytes longer than those of the first order.
     for cut in 0..=length + 16 {
         relay.set(RelayRule::Cut);
         relay.set(rule(cut));
-        let answer = order(&site, 0, &key, cut, None).await;
-        let ran = runs(&site, cut).await;
-        assert!(ran <= 1, "cut after {cut} of {length}: ran {ran} times");
+        let answer = send_order(&site, 0, &key, cut, None).await;
+        let runs = run_count(&site, cut).await;
+        assert!(runs <= 1, "cut after {cut} of {length}: ran {runs} times");
         match answer.status {
             200 => {
-                whole += 1;
-                assert_eq!(ran, 1, "cut after {cut}: {answer:?}");
+                complete_count += 1;
+                assert_eq!(runs, 1, "cut after {cut}: {answer:?}");
                 assert!(answer.body.contains("\"run\""), "cut after {cut}: {answer:?}");
             }
             _ => match answer.error("run_state").as_str() {
                 "not run" => {
-                    not_run += 1;
-                    assert_eq!(ran, 0, "cut after {cut}: told not run: {answer:?}");
+                    not_run_count += 1;
+                    assert_eq!(runs, 0, "cut after {cut}: reported as not run: {answer:?}");
                 }
                 "may have run" => {}
-                "ran" => assert_eq!(ran, 1, "cut after {cut}: told ran: {answer:?}"),
-                other => panic!("cut after {cut}: told {other:?}: {answer:?}"),
+                "ran" => assert_eq!(runs, 1, "cut after {cut}: reported as ran: {answer:?}"),
+                other => panic!("cut after {cut}: unknown run state {other:?}: {answer:?}"),
             },
         }
     }
-    assert!(whole >= 1, "the exchange that is not cut is whole");
-    assert_eq!(not_run, 0, "bytes may have left in all of these");
+    assert!(complete_count >= 1, "an exchange that is not cut is complete");
+    assert_eq!(not_run_count, 0, "some bytes may have been sent in each exchange");
 }
 
+/// Guards against a cut request that runs twice or is reported as not run although it may have run.
 #[actix_rt::test]
-async fn requests_cut_after_every_byte_run_at_most_once_and_are_told_truly() {
-    cut_everywhere(RelayRule::CutRequestAfter, |passed| passed.0).await;
+async fn requests_cut_after_every_byte_run_at_most_once_and_report_their_true_run_state() {
+    cut_after_every_byte(RelayRule::CutRequestAfter, |passed| passed.0).await;
 }
 
+/// Guards against a cut answer that passes for a complete one.
 #[actix_rt::test]
-async fn answers_cut_after_every_byte_are_whole_or_refused() {
-    cut_everywhere(RelayRule::CutAnswerAfter, |passed| passed.1).await;
+async fn answers_cut_after_every_byte_are_complete_or_refused() {
+    cut_after_every_byte(RelayRule::CutAnswerAfter, |passed| passed.1).await;
 }
 
 #[actix_rt::test]
-async fn an_unreachable_upstream_did_not_run_it() {
-    let (site, key) = small_site().await;
-    // A port that nothing listens on.
+async fn a_request_to_an_unreachable_upstream_is_reported_as_not_run() {
+    let (site, key) = site_without_engines().await;
+    // A port that no process listens on.
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
     drop(listener);
     site.add_vm("desk-1", VmRole::Upstream, "a", &address, Some("desk"), VmState::Live).await;
     let answer = wait_for("the upstream is unreachable", || async {
-        let answer = order(&site, 0, &key, 1, None).await;
+        let answer = send_order(&site, 0, &key, 1, None).await;
         (answer.status == 503).then_some(answer)
     })
     .await;
@@ -126,19 +134,20 @@
     assert_eq!(answer.header("retry-after"), "1");
 }
 
+/// Guards against a second run when three daemons receive requests with the same idempotency key at the same time.
 #[actix_rt::test]
-async fn one_key_at_three_daemons_at_once_runs_once() {
-    let (site, key) = small_site().await;
-    for round in 0..10 {
-        let name = format!("order-{round}");
-        let (site, key, name) = (&site, &key, name.as_str());
-        let calls = (0..9).map(|call| order(site, call % 3, key, round, Some(name)));
-        let answers = join_all(calls).await;
-        assert_eq!(runs(site, round).await, 1, "{answers:?}");
-        let whole: Vec<&HttpAnswer> = answers.iter().filter(|answer| answer.status == 200).collect();
-        assert!(!whole.is_empty(), "{answers:?}");
-        assert!(whole.iter().all(|answer| answer.body == whole[0].body));
-        assert_eq!(whole.iter().filter(|answer| answer.header("x-replayed").is_empty()).count(), 1);
+async fn concurrent_requests_with_one_idempotency_key_at_three_daemons_run_once() {
+    let (site, key) = site_without_engines().await;
+    for number in 0..10 {
+        let idempotency_key = format!("order-{number}");
+        let (site, key, idempotency_key) = (&site, &key, idempotency_key.as_str());
+        let requests = (0..9).map(|request| send_order(site, request % 3, key, number, Some(idempotency_key)));
+        let answers = join_all(requests).await;
+        assert_eq!(run_count(site, number).await, 1, "{answers:?}");
+        let complete_answers: Vec<&HttpAnswer> = answers.iter().filter(|answer| answer.status == 200).collect();
+        assert!(!complete_answers.is_empty(), "{answers:?}");
+        assert!(complete_answers.iter().all(|answer| answer.body == complete_answers[0].body));
+        assert_eq!(complete_answers.iter().filter(|answer| answer.header("x-replayed").is_empty()).count(), 1);
         for answer in answers.iter().filter(|answer| answer.status != 200) {
             assert_eq!(
                 (answer.error("code").as_str(), answer.error("run_state").as_str()),
@@ -146,123 +155,139 @@
             );
         }
     }
-    let other = serde_json::json!({ "order": 99 });
-    let reused = site.send(1, "POST", ORDERS, &key, &[("idempotency-key", "order-0")], &other).await;
+    let other_order = serde_json::json!({ "order": 99 });
+    let reused = site.send(1, "POST", ORDERS_PATH, &key, &[("idempotency-key", "order-0")], &other_order).await;
     assert_eq!((reused.status, reused.error("code").as_str()), (422, "idempotency_key_reused"));
 }
 
+/// Guards against a second run of a request whose claim was held by a daemon that was killed.
 #[actix_rt::test]
-async fn a_key_whose_owner_died_never_runs_again() {
-    let (mut site, key) = small_site().await;
+async fn requests_whose_claim_owner_was_killed_never_run_again() {
+    let (mut site, key) = site_without_engines().await;
     for number in 0..12 {
-        assert_eq!(order(&site, 1, &key, number, Some(&format!("order-{number}"))).await.status, 200);
+        assert_eq!(send_order(&site, 1, &key, number, Some(&format!("order-{number}"))).await.status, 200);
     }
     site.daemons[0].process.kill();
     for number in 0..12 {
-        let name = format!("order-{number}");
+        let idempotency_key = format!("order-{number}");
         let answer = wait_for("the shard has an owner again", || async {
-            let answer = order(&site, 2, &key, number, Some(&name)).await;
+            let answer = send_order(&site, 2, &key, number, Some(&idempotency_key)).await;
             (answer.error("code") != "claim_unavailable").then_some(answer)
         })
         .await;
-        let known = answer.status == 200 && answer.header("x-replayed") == "true";
-        assert!(known || answer.error("code") == "outcome_unknown", "{answer:?}");
-        assert!(known || answer.error("run_state") == "may have run", "{answer:?}");
-        assert_eq!(runs(&site, number).await, 1);
+        let is_replayed = answer.status == 200 && answer.header("x-replayed") == "true";
+        assert!(is_replayed || answer.error("code") == "outcome_unknown", "{answer:?}");
+        assert!(is_replayed || answer.error("run_state") == "may have run", "{answer:?}");
+        assert_eq!(run_count(&site, number).await, 1);
     }
-    let fresh = order(&site, 2, &key, 100, Some("order-100")).await;
-    assert_eq!(fresh.status, 200, "new orders run: {fresh:?}");
+    let new_order = send_order(&site, 2, &key, 100, Some("order-100")).await;
+    assert_eq!(new_order.status, 200, "new orders run: {new_order:?}");
 }
 
+/// Guards against a second run when a daemon is killed between the claim and the first byte of the request.
 #[actix_rt::test]
-async fn a_daemon_killed_in_the_middle_leaves_no_second_run() {
+async fn a_daemon_killed_after_the_claim_causes_no_second_run() {
     let (mut site, key, relay) = relayed_site().await;
-    // After the claim, before a byte has passed: the relay holds everything.
+    // The relay forwards nothing, so that the daemon is killed after the claim and before the upstream receives a byte.
     relay.set(RelayRule::Cut);
     relay.set(RelayRule::Stall);
-    let attempts = || site.daemons[0].process.log().matches("event=attempt").count();
-    let before = attempts();
-    let held = spawn_first_order(&site, &key);
-    wait_for("the claim is granted and the request is on its way", || async { (attempts() > before).then_some(()) })
-        .await;
+    let attempt_count = || site.daemons[0].process.log().matches("event=attempt").count();
+    let attempts_before = attempt_count();
+    let pending_order = spawn_first_order(&site, &key);
+    wait_for("the claim is granted and the request is being sent", || async {
+        (attempt_count() > attempts_before).then_some(())
+    })
+    .await;
     site.daemons[0].process.kill();
-    assert_eq!(held.await.expect("a task").status, 0, "the caller's connection ended");
+    assert_eq!(pending_order.await.expect("a task").status, 0, "the connection of the caller was closed");
     relay.set(RelayRule::Cut);
     relay.set(RelayRule::Pass);
     for _ in 0..20 {
-        let answer = order(&site, 1, &key, 1, Some("order-1")).await;
-        let told = answer.error("code");
-        assert!(["claim_in_progress", "outcome_unknown", "claim_unavailable"].contains(&told.as_str()), "{answer:?}");
-        assert!(told == "claim_unavailable" || answer.error("run_state") == "may have run", "{answer:?}");
+        let answer = send_order(&site, 1, &key, 1, Some("order-1")).await;
+        let code = answer.error("code");
+        assert!(["claim_in_progress", "outcome_unknown", "claim_unavailable"].contains(&code.as_str()), "{answer:?}");
+        assert!(code == "claim_unavailable" || answer.error("run_state") == "may have run", "{answer:?}");
     }
-    assert!(runs(&site, 1).await <= 1, "what may have run is not run again");
+    assert!(run_count(&site, 1).await <= 1, "a request that may have run is not run again");
 }
 
+/// Guards against a second run when a daemon is killed while the upstream runs the request.
 #[actix_rt::test]
-async fn a_daemon_killed_while_the_upstream_runs_leaves_one_run() {
-    let (mut site, key) = small_site().await;
+async fn a_daemon_killed_while_the_upstream_runs_a_request_causes_no_second_run() {
+    let (mut site, key) = site_without_engines().await;
     site.set_desk_fault(PlainFault { answer_after_ms: 60_000, ..PlainFault::default() }).await;
-    let held = spawn_first_order(&site, &key);
-    wait_for("the upstream runs it", || async { (runs(&site, 1).await == 1).then_some(()) }).await;
+    let pending_order = spawn_first_order(&site, &key);
+    wait_for("the upstream runs the order", || async { (run_count(&site, 1).await == 1).then_some(()) }).await;
     site.daemons[0].process.kill();
-    assert_eq!(held.await.expect("a task").status, 0);
+    assert_eq!(pending_order.await.expect("a task").status, 0);
     site.set_desk_fault(PlainFault::default()).await;
     for _ in 0..20 {
-        let answer = order(&site, 2, &key, 1, Some("order-1")).await;
+        let answer = send_order(&site, 2, &key, 1, Some("order-1")).await;
         assert_ne!(answer.status, 200, "{answer:?}");
     }
-    assert_eq!(runs(&site, 1).await, 1);
+    assert_eq!(run_count(&site, 1).await, 1);
 }
 
+/// Guards against an answer that reaches the caller of another request, because it has a wrong id or arrives after the
+/// timeout of its own request.
 #[actix_rt::test]
-async fn crossed_and_late_answers_reach_nobody_else() {
-    let (site, key) = small_site().await;
+async fn mismatched_and_late_answers_do_not_reach_other_callers() {
+    let (site, key) = site_without_engines().await;
     site.set_desk_fault(PlainFault { cross: 1, ..PlainFault::default() }).await;
-    let crossed = order(&site, 0, &key, 1, None).await;
-    assert_eq!((crossed.status, crossed.error("code").as_str()), (502, "answer_mismatch"));
-    assert_eq!(crossed.error("run_state"), "may have run");
-    assert_eq!(runs(&site, 1).await, 1);
+    let mismatched = send_order(&site, 0, &key, 1, None).await;
+    assert_eq!((mismatched.status, mismatched.error("code").as_str()), (502, "answer_mismatch"));
+    assert_eq!(mismatched.error("run_state"), "may have run");
+    assert_eq!(run_count(&site, 1).await, 1);
 
     site.set_desk_fault(PlainFault { answer_after_ms: 1_500, ..PlainFault::default() }).await;
-    let late = site.send(0, "POST", ORDERS, &key, &[("x-timeout-ms", "200")], &serde_json::json!({ "order": 2 })).await;
+    let late =
+        site.send(0, "POST", ORDERS_PATH, &key, &[("x-timeout-ms", "200")], &serde_json::json!({ "order": 2 })).await;
     assert_eq!((late.status, late.error("run_state").as_str()), (504, "may have run"));
     site.set_desk_fault(PlainFault::default()).await;
     for number in 3..20 {
-        let answer = order(&site, 0, &key, number, None).await;
-        let run = site.desk_requests().await.len();
-        assert_eq!(answer.json::<serde_json::Value>()["run"], run, "each caller gets its own answer");
+        let answer = send_order(&site, 0, &key, number, None).await;
+        let run_number = site.desk_requests().await.len();
+        assert_eq!(
+            answer.json::<serde_json::Value>()["run"],
+            run_number,
+            "each caller receives the answer to its own request"
+        );
     }
 }
 
+/// Guards against a refused request that is not retried, and against an idempotency key that stays claimed although its
+/// request did not run.
 #[actix_rt::test]
-async fn refused_requests_are_tried_elsewhere_and_told_as_not_run() {
-    let (site, key) = small_site().await;
+async fn refused_requests_are_retried_and_reported_as_not_run() {
+    let (site, key) = site_without_engines().await;
     site.set_desk_fault(PlainFault { refuse: 1, ..PlainFault::default() }).await;
-    assert_eq!(order(&site, 0, &key, 1, None).await.status, 200, "one refusal is retried");
+    assert_eq!(send_order(&site, 0, &key, 1, None).await.status, 200, "one refusal is retried");
     site.set_desk_fault(PlainFault { refuse: 10, ..PlainFault::default() }).await;
-    let refused = order(&site, 0, &key, 2, Some("order-2")).await;
+    let refused = send_order(&site, 0, &key, 2, Some("order-2")).await;
     assert_eq!((refused.status, refused.error("run_state").as_str()), (503, "not run"));
     site.set_desk_fault(PlainFault::default()).await;
-    let again = order(&site, 1, &key, 2, Some("order-2")).await;
-    assert_eq!(again.status, 200, "a request that did not run may be sent again: {again:?}");
-    assert_eq!((runs(&site, 1).await, runs(&site, 2).await), (1, 1));
+    let retried = send_order(&site, 1, &key, 2, Some("order-2")).await;
+    assert_eq!(retried.status, 200, "a request that did not run may be sent again: {retried:?}");
+    assert_eq!((run_count(&site, 1).await, run_count(&site, 2).await), (1, 1));
 }
 
+/// Guards against requests with an idempotency key that run without a claim while the key-value store is unreachable,
+/// and against an outage that stops requests which need no claim.
 #[actix_rt::test]
-async fn claims_are_refused_as_not_run_while_the_service_is_away() {
-    let (site, key) = small_site().await;
+async fn requests_with_a_claim_are_refused_as_not_run_while_the_store_is_unreachable() {
+    let (site, key) = site_without_engines().await;
     site.set_kv_fault(pimentoslip_standin::KvFault { down: true, ..Default::default() }).await;
-    let refused = order(&site, 0, &key, 1, Some("order-1")).await;
+    let refused = send_order(&site, 0, &key, 1, Some("order-1")).await;
     assert_eq!((refused.status, refused.error("code").as_str()), (503, "claim_unavailable"));
     assert_eq!(refused.error("run_state"), "not run");
-    assert_eq!(order(&site, 0, &key, 2, None).await.status, 200, "requests without a claim go on");
+    assert_eq!(send_order(&site, 0, &key, 2, None).await.status, 200, "requests without a claim are served");
     site.set_kv_fault(Default::default()).await;
-    let again = order(&site, 0, &key, 1, Some("order-1")).await;
-    assert_eq!(again.status, 200, "{again:?}");
-    assert_eq!(runs(&site, 1).await, 1);
+    let retried = send_order(&site, 0, &key, 1, Some("order-1")).await;
+    assert_eq!(retried.status, 200, "{retried:?}");
+    assert_eq!(run_count(&site, 1).await, 1);
 }
 
-/// Answers every request twice, naming the path that it answers.
+/// Sends the answer to each request twice, with the path of the request as the body.
 async fn answer_twice(mut connection: TcpStream) {
     let mut buffer = Vec::new();
     while let Ok(1..) = connection.read_buf(&mut buffer).await {
@@ -280,9 +305,10 @@
     }
 }
 
+/// Guards against the second copy of an answer, left on a reused connection, that reaches the next caller.
 #[actix_rt::test]
-async fn doubled_answers_reach_nobody_else() {
-    let (site, key) = small_site().await;
+async fn duplicate_answers_do_not_reach_other_callers() {
+    let (site, key) = site_without_engines().await;
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
     actix_rt::spawn(async move {
@@ -291,18 +317,18 @@
         }
     });
     site.add_vm("desk-1", VmRole::Upstream, "a", &address, Some("desk"), VmState::Live).await;
-    wait_for("the doubling upstream is in use", || async {
+    wait_for("requests reach the upstream that answers twice", || async {
         let answer = site.send(0, "GET", "/services/desk/first", &key, &[], &()).await;
         (answer.body == "/first").then_some(())
     })
     .await;
-    let mut whole = 0;
+    let mut complete_count = 0;
     for number in 0..200 {
         let answer = site.send(0, "GET", &format!("/services/desk/{number}"), &key, &[], &()).await;
         if answer.status == 200 {
-            whole += 1;
-            assert_eq!(answer.body, format!("/{number}"), "each caller gets its own answer");
+            complete_count += 1;
+            assert_eq!(answer.body, format!("/{number}"), "each caller receives the answer to its own request");
         }
     }
-    assert!(whole > 0, "some are answered");
+    assert!(complete_count > 0, "some requests are answered");
 }
--- a/crates/cli/tests/processes/samples.rs
+++ b/crates/cli/tests/processes/samples.rs
@@ -1,14 +1,19 @@
-//! Steps through kills of their home, lost answers, and engines that swap or misbehave.
+//! Tests of training steps under killed and frozen daemons, lost answers, and engines that change their weights or send
+//! invalid streams. The home of a step is the daemon that runs it.
 
 use super::support::{DaemonSite, HttpAnswer, SiteOptions, wait_for};
 use pimentoslip_kernel::{FetchCursor, KeySecret, highest_ranked};
 use pimentoslip_standin::EngineFault;
 use pimentoslip_wire::caller::{FetchAnswer, FetchRequest, OpenRequest, PublishRequest, SampleBody};
 
+/// Number of prompts in a step.
 const GROUPS: usize = 8;
+/// Samples for each prompt.
 const GROUP_SIZE: usize = 8;
+/// Samples in a step.
 const SAMPLES: usize = GROUPS * GROUP_SIZE;
 
+/// Request to open step `step`.
 fn open_request(step: u64) -> OpenRequest {
     OpenRequest {
         trainer: "menus".into(),
@@ -20,15 +25,19 @@
     }
 }
 
-async fn open(site: &DaemonSite, daemon: usize, key: &KeySecret, step: u64) -> HttpAnswer {
+/// Opens step `step` at a daemon.
+async fn open_step(site: &DaemonSite, daemon: usize, key: &KeySecret, step: u64) -> HttpAnswer {
     site.send(daemon, "POST", "/v1/steps", key, &[], &open_request(step)).await
 }
 
-/// A trainer with its cursor.
+/// Trainer that fetches the samples of one step.
 struct Trainer {
     step: u64,
+    /// Samples received so far, as the trainer sends them with each fetch.
     cursor: FetchCursor,
+    /// Weight version that the trainer published last; 0 before the first.
     published: u64,
+    /// Samples in the order of their arrival.
     samples: Vec<SampleBody>,
 }
 
@@ -37,7 +46,8 @@
         Self { step, cursor: FetchCursor::default(), published: 0, samples: Vec::new() }
     }
 
-    /// One fetch from daemon `at`. Opens the step again when its home is gone. True at the end.
+    /// Fetches once from a daemon, at most `max` samples, and opens the step again if its home no longer has it. True
+    /// when the step is complete.
     async fn fetch(&mut self, site: &DaemonSite, daemon: usize, key: &KeySecret, max: usize) -> bool {
         let fetch = FetchRequest {
             trainer: "menus".into(),
@@ -49,32 +59,32 @@
         };
         let answer = site.send(daemon, "POST", "/v1/steps/fetch", key, &[], &fetch).await;
         if answer.error("code") == "step_unknown" {
-            open(site, daemon, key, self.step).await;
+            open_step(site, daemon, key, self.step).await;
         }
         if answer.status != 200 {
             return false;
         }
         let answer: FetchAnswer = answer.json();
         for sample in answer.samples {
-            assert!(!self.cursor.contains(sample.sample), "sample {} came twice", sample.sample);
+            assert!(!self.cursor.contains(sample.sample), "sample {} was received twice", sample.sample);
             self.cursor.insert(sample.sample);
             self.samples.push(sample);
         }
         answer.complete
     }
 
-    /// Fetches to the end, from each of the daemons in turn.
+    /// Fetches from each of `daemons` in turn until the step is complete. Panics after 2000 fetches.
     async fn fetch_all(&mut self, site: &DaemonSite, daemons: &[usize], key: &KeySecret, max: usize) {
-        const TURNS: usize = 2_000;
-        for turn in 0..TURNS {
+        const MAX_FETCHES: usize = 2_000;
+        for turn in 0..MAX_FETCHES {
             if self.fetch(site, daemons[turn % daemons.len()], key, max).await {
                 return;
             }
         }
-        panic!("{} of {SAMPLES} samples after {TURNS} fetches", self.samples.len());
+        panic!("{} of {SAMPLES} samples after {MAX_FETCHES} fetches", self.samples.len());
     }
 
-    /// Publishes the next version, which the trainer knows of from then on.
+    /// Publishes a weight version, which later fetches report as the last published one.
     async fn publish(&mut self, site: &DaemonSite, daemon: usize, key: &KeySecret, version: u64) {
         let publish = PublishRequest { service: "drafts".into(), version };
         let answer = site.send(daemon, "POST", "/v1/weights", key, &[], &publish).await;
@@ -83,21 +93,23 @@
     }
 }
 
-fn home_of(site: &DaemonSite, step: u64) -> usize {
+/// Index of the daemon that is the home of step `step`.
+fn home_index(site: &DaemonSite, step: u64) -> usize {
     let names: Vec<String> = site.daemons.iter().map(|daemon| daemon.name.clone()).collect();
-    let home = highest_ranked(&format!("step/velorio/menus/{step}"), &names).expect("a home");
-    names.iter().position(|name| name == home).expect("a daemon")
+    let home = highest_ranked(&format!("step/velorio/menus/{step}"), &names).expect("a highest ranked daemon");
+    names.iter().position(|name| name == home).expect("the index of the home")
 }
 
+/// Guards against samples that are lost or delivered twice when the home of a step is killed and restarted.
 #[actix_rt::test]
-async fn a_step_outlives_its_home() {
+async fn a_step_is_completed_after_its_home_is_killed() {
     let mut site = DaemonSite::start(SiteOptions::default()).await;
     let key = site.create_key(0, 1).await;
     for step in 1..=2 {
         let mut trainer = Trainer::new(step);
-        let home = home_of(&site, step);
+        let home = home_index(&site, step);
         let entry = (home + 1) % 3;
-        assert_eq!(open(&site, entry, &key, step).await.status, 200);
+        assert_eq!(open_step(&site, entry, &key, step).await.status, 200);
         while trainer.samples.len() < SAMPLES / 4 {
             trainer.fetch(&site, entry, &key, 5).await;
         }
@@ -108,14 +120,16 @@
     }
 }
 
+/// Guards against samples that are delivered twice because a frozen home resumes after another daemon took its step
+/// over.
 #[actix_rt::test]
-async fn a_frozen_home_and_a_second_one_deliver_each_sample_once() {
+async fn a_resumed_home_and_its_successor_deliver_each_sample_once() {
     let site = DaemonSite::start(SiteOptions::default()).await;
     let key = site.create_key(0, 1).await;
     let mut trainer = Trainer::new(1);
-    let home = home_of(&site, 1);
+    let home = home_index(&site, 1);
     let (entry, other) = ((home + 1) % 3, (home + 2) % 3);
-    open(&site, entry, &key, 1).await;
+    open_step(&site, entry, &key, 1).await;
     while trainer.samples.len() < SAMPLES / 4 {
         trainer.fetch(&site, entry, &key, 5).await;
     }
@@ -123,15 +137,17 @@
     while trainer.samples.len() < SAMPLES / 2 {
         trainer.fetch(&site, other, &key, 3).await;
     }
-    // The first home wakes and still holds its samples.
+    // The first home resumes and still holds its samples.
     site.daemons[home].process.resume();
     trainer.fetch_all(&site, &[home, entry, other], &key, 3).await;
     assert_eq!(trainer.samples.len(), SAMPLES);
 }
 
+/// Guards against samples that name the wrong weight version, or are older than the staleness bound allows, while new
+/// weights are loaded.
 #[actix_rt::test]
-async fn versions_are_true_across_swaps_and_none_is_older_than_the_bound() {
-    const BOUND: u64 = 2;
+async fn samples_name_their_true_weight_version_and_respect_the_staleness_bound() {
+    const STALENESS_BOUND: u64 = 2;
     let options = SiteOptions {
         engine_flags: vec!["--token-us=2000".to_owned(), "--shortest=24".to_owned()],
         ..SiteOptions::default()
@@ -139,31 +155,35 @@
     let site = DaemonSite::start(options).await;
     let key = site.create_key(0, 1).await;
     let mut trainer = Trainer::new(1);
-    open(&site, 0, &key, 1).await;
-    let (mut version, mut turn, mut swapped) = (1, 0, 0);
+    open_step(&site, 0, &key, 1).await;
+    let (mut version, mut turn, mut mixed_samples) = (1, 0, 0);
     loop {
         turn += 1;
         if turn % 2 == 0 && version < 8 {
             version += 1;
             trainer.publish(&site, turn % 3, &key, version).await;
         }
-        let known = trainer.samples.len();
+        let previous_count = trainer.samples.len();
         let complete = trainer.fetch(&site, turn % 3, &key, 9).await;
-        for sample in &trainer.samples[known..] {
+        for sample in &trainer.samples[previous_count..] {
             check_versions(sample);
             let oldest = sample.segments.iter().map(|segment| segment.version).min().expect("a segment");
-            assert!(oldest + BOUND >= trainer.published, "{sample:?} is too old for {}", trainer.published);
-            swapped += usize::from(sample.segments.len() > 1);
+            assert!(
+                oldest + STALENESS_BOUND >= trainer.published,
+                "{sample:?} is older than the bound allows after version {}",
+                trainer.published
+            );
+            mixed_samples += usize::from(sample.segments.len() > 1);
         }
         if complete {
             break;
         }
     }
     assert_eq!(trainer.samples.len(), SAMPLES);
-    println!("{swapped} of {SAMPLES} samples saw a swap");
+    println!("{mixed_samples} of {SAMPLES} samples contain more than one weight version");
 }
 
-/// The stand-in writes the version into each token, which the segments must match.
+/// Checks the segments of a sample against its text, in which the stand-in engine names the version of each token.
 fn check_versions(sample: &SampleBody) {
     let words: Vec<&str> = sample.text.split_whitespace().collect();
     assert_eq!(words.len(), sample.segments.last().expect("a segment").end as usize, "{sample:?}");
@@ -174,33 +194,36 @@
     }
 }
 
+/// Guards against a sample that names a single version although the engine changed its weights while generating it.
 #[actix_rt::test]
-async fn an_engine_that_swaps_in_the_middle_is_told_by_segments() {
+async fn a_weight_change_within_a_sample_is_reported_by_its_segments() {
     let site = DaemonSite::start(SiteOptions { engines: vec!["a"], ..SiteOptions::default() }).await;
     let key = site.create_key(0, 1).await;
     site.set_engine_fault(0, EngineFault { swap_after_chunks: Some(2), ..EngineFault::default() }).await;
     let mut trainer = Trainer::new(1);
-    open(&site, 0, &key, 1).await;
+    open_step(&site, 0, &key, 1).await;
     while !trainer.fetch(&site, 0, &key, 64).await {}
     trainer.samples.iter().for_each(check_versions);
-    assert!(trainer.samples.iter().any(|sample| sample.segments.len() > 1), "some saw the swap");
+    assert!(trainer.samples.iter().any(|sample| sample.segments.len() > 1), "a sample contains the weight change");
 }
 
+/// Guards against the delivery of samples whose version is missing, whose stream was cut or whose answer has a wrong
+/// id.
 #[actix_rt::test]
-async fn samples_of_unknown_version_and_cut_samples_are_run_again() {
+async fn samples_without_a_version_and_cut_samples_are_discarded_and_run_again() {
     let site = DaemonSite::start(SiteOptions::default()).await;
     let key = site.create_key(0, 1).await;
-    let mute = EngineFault { omit_version: true, ..EngineFault::default() };
-    site.set_engine_fault(0, mute.clone()).await;
-    site.set_engine_fault(1, mute).await;
+    let no_version = EngineFault { omit_version: true, ..EngineFault::default() };
+    site.set_engine_fault(0, no_version.clone()).await;
+    site.set_engine_fault(1, no_version).await;
     let mut trainer = Trainer::new(1);
-    open(&site, 0, &key, 1).await;
+    open_step(&site, 0, &key, 1).await;
     wait_for("discarded samples are logged", || async {
         site.logs().contains("named no weight version").then_some(())
     })
     .await;
     trainer.fetch(&site, 0, &key, 64).await;
-    assert!(trainer.samples.is_empty(), "nothing of unknown version is delivered");
+    assert!(trainer.samples.is_empty(), "no sample without a version is delivered");
     for engine in 0..2 {
         site.set_engine_fault(engine, EngineFault { cut_streams: 5, cross: 2, ..EngineFault::default() }).await;
     }
@@ -209,8 +232,9 @@
     trainer.samples.iter().for_each(check_versions);
 }
 
+/// Guards against an engine that keeps its previous weights after one failed order to load new ones.
 #[actix_rt::test]
-async fn a_failed_swap_is_ordered_again() {
+async fn a_failed_weight_load_is_ordered_again() {
     let site = DaemonSite::start(SiteOptions { engines: vec!["a"], ..SiteOptions::default() }).await;
     let key = site.create_key(0, 1).await;
     site.set_engine_fault(0, EngineFault { fail_swap: true, ..EngineFault::default() }).await;
@@ -218,7 +242,7 @@
     trainer.publish(&site, 1, &key, 5).await;
     wait_for("the failure is logged", || async { site.logs().contains("event=weights_failed").then_some(()) }).await;
     site.set_engine_fault(0, EngineFault::default()).await;
-    wait_for("the engine has the weights", || async {
+    wait_for("the engine reports the new weights", || async {
         let status = site.status(0).await?;
         status.upstreams.iter().any(|upstream| upstream.version == Some(5)).then_some(())
     })
--- a/crates/cli/tests/processes/support/daemon_site.rs
+++ b/crates/cli/tests/processes/support/daemon_site.rs
@@ -1,4 +1,4 @@
-//! A site of separate processes on ports picked by the kernel.
+//! A site for tests: daemons and stand-in services as child processes, on ports that the operating system assigns.
 
 use super::{ChildProcess, HttpAnswer, HttpClient, Workdir, wait_for};
 use pimentoslip_kernel::KeySecret;
@@ -10,27 +10,29 @@
 };
 use serde::{Serialize, de::DeserializeOwned};
 
-/// Organisation that tests create keys for.
+/// Organisation that owns the API keys which tests create.
 pub const KEY_ORGANISATION: &str = "velorio";
-/// Key of the operators.
+/// Operator key that every daemon of the site accepts.
 pub const OPERATOR_KEY: &str = "test-operator-key";
+/// Secret that the daemons present to each other.
 const CLUSTER_SECRET: &str = "test-cluster-secret";
-const BASE: &str = include_str!("site-base.toml");
+/// Default base configuration, in TOML.
+const BASE_CONFIG: &str = include_str!("site-base.toml");
 
-/// What to start.
+/// Processes of a site and their settings.
 #[derive(Clone, Debug)]
 pub struct SiteOptions {
-    /// Failure domain of each daemon.
+    /// Failure domain of each daemon to start.
     pub daemons: Vec<&'static str>,
-    /// Failure domain of each engine.
+    /// Failure domain of each stand-in engine to start.
     pub engines: Vec<&'static str>,
-    /// Extra flags of engines.
+    /// Additional command-line flags of every engine.
     pub engine_flags: Vec<String>,
-    /// Extra flags of daemons.
+    /// Additional command-line flags of every daemon, as `--flag=value`.
     pub daemon_flags: Vec<String>,
-    /// Whether the ordering and usage interfaces check fencing numbers.
+    /// Whether the stand-ins for the VM ordering and usage interfaces reject requests with an outdated fencing number.
     pub checks_fencing: bool,
-    /// Configuration.
+    /// Base configuration in TOML, applied by [`DaemonSite::start`].
     pub base_config: String,
 }
 
@@ -42,53 +44,55 @@
             engine_flags: Vec::new(),
             daemon_flags: Vec::new(),
             checks_fencing: false,
-            base_config: BASE.to_owned(),
+            base_config: BASE_CONFIG.to_owned(),
         }
     }
 }
 
-/// One daemon.
+/// Running daemon of a site.
 pub struct DaemonProcess {
-    /// Name.
+    /// Name of its VM.
     pub name: String,
-    /// Failure domain.
+    /// Failure domain of its VM.
     pub failure_domain: &'static str,
-    /// Process.
+    /// Process of the daemon.
     pub process: ChildProcess,
-    /// Address for callers.
+    /// Address that callers send requests to (host:port).
     pub public_address: String,
-    /// Address for peers and operators.
+    /// Address that peers and operators send requests to (host:port).
     pub control_address: String,
 }
 
-/// All processes of a site.
+/// Site of daemons, with a stand-in for every service that they use.
 pub struct DaemonSite {
-    /// Folder with logs and files.
+    /// Directory with the logs of all processes and the files of the test.
     pub workdir: Workdir,
-    /// Daemons.
+    /// Daemons, in the order of their start. Methods take a daemon as its index in this list.
     pub daemons: Vec<DaemonProcess>,
-    /// Engines with their addresses.
+    /// Stand-in engines with their addresses (host:port). Methods take an engine as its index in this list.
     pub engines: Vec<(ChildProcess, String)>,
-    /// Plain service.
+    /// Address of the upstream of the plain service `desk`.
     pub desk_address: String,
-    /// Key-value service.
+    /// Address of the key-value store.
     pub kv_address: String,
-    /// Ordering interface.
+    /// Address of the interface that takes orders for VMs.
     pub orders_address: String,
-    /// Usage interface.
+    /// Address of the interface that takes usage reports.
     pub usage_address: String,
-    /// VM list.
+    /// Address of the service that publishes the VM list.
     pub vms_address: String,
-    /// HTTP client.
+    /// HTTP client shared by the methods of the site.
     pub http: HttpClient,
-    /// What was asked for.
+    /// Options that the site was started with; later starts of processes use them too.
     pub options: SiteOptions,
+    /// Stand-ins other than engines, kept because dropping one kills its process.
     _stand_ins: Vec<ChildProcess>,
+    /// Number of daemons started so far, used for their names. Restarts do not count.
     daemons_started: usize,
 }
 
 impl DaemonSite {
-    /// Starts stand-ins and daemons and puts the configuration in force.
+    /// Starts the stand-ins and the daemons, applies the configuration and waits until the site is ready.
     pub async fn start(options: SiteOptions) -> Self {
         let mut site = Self::without_daemons(options).await;
         for failure_domain in site.options.daemons.clone() {
@@ -99,7 +103,7 @@
         site
     }
 
-    /// Starts stand-ins only.
+    /// Starts the stand-ins, engines included, without any daemon.
     pub async fn without_daemons(options: SiteOptions) -> Self {
         let workdir = Workdir::new();
         let mut stand_ins = Vec::new();
@@ -109,12 +113,13 @@
             stand_ins.push(process);
             format!("127{address}")
         };
-        let fencing: Vec<String> = options.checks_fencing.then(|| "--checks-fencing".to_owned()).into_iter().collect();
+        let fencing_flags: Vec<String> =
+            options.checks_fencing.then(|| "--checks-fencing".to_owned()).into_iter().collect();
         let vms_address = start_stand_in("vms", &[]);
         let kv_address = start_stand_in("kv", &[]);
-        let usage_address = start_stand_in("usage", &fencing);
+        let usage_address = start_stand_in("usage", &fencing_flags);
         let desk_address = start_stand_in("plain", &[]);
-        let orders_address = start_stand_in("orders", &[fencing, vec![format!("--vms={vms_address}")]].concat());
+        let orders_address = start_stand_in("orders", &[fencing_flags, vec![format!("--vms={vms_address}")]].concat());
         let mut site = Self {
             workdir,
             daemons: Vec::new(),
@@ -136,7 +141,7 @@
         site
     }
 
-    /// Starts one more engine and lists it. Its place among the engines.
+    /// Starts one more engine, adds it to the VM list and returns its index in [`DaemonSite::engines`].
     pub async fn start_engine(&mut self, failure_domain: &str) -> usize {
         let index = self.engines.len();
         let process = spawn_stand_in(&self.workdir, "engine", 100 + index, &self.options.engine_flags);
@@ -154,17 +159,18 @@
         index
     }
 
-    /// Starts one more daemon and lists it. Later flags override earlier ones.
-    pub async fn start_daemon(&mut self, failure_domain: &'static str, extra: &[String]) -> usize {
+    /// Starts one more daemon, adds it to the VM list and returns its index in [`DaemonSite::daemons`]. Flags in
+    /// `extra_flags` override those of the options.
+    pub async fn start_daemon(&mut self, failure_domain: &'static str, extra_flags: &[String]) -> usize {
         let name = format!("entry-{}", self.daemons_started);
         self.daemons_started += 1;
-        let daemon = self.spawn_daemon(&name, failure_domain, "127.0.0.1:0", extra);
+        let daemon = self.spawn_daemon(&name, failure_domain, "127.0.0.1:0", extra_flags);
         self.add_vm(&name, VmRole::Entry, failure_domain, &daemon.control_address, None, VmState::Live).await;
         self.daemons.push(daemon);
         self.daemons.len() - 1
     }
 
-    /// Starts daemon `index` again under its name, on new ports.
+    /// Kills daemon `index` and starts it again under the same name, on new ports.
     pub async fn restart_daemon(&mut self, index: usize) {
         let (name, failure_domain) = (self.daemons[index].name.clone(), self.daemons[index].failure_domain);
         self.daemons[index].process.kill();
@@ -173,7 +179,14 @@
         self.daemons[index] = daemon;
     }
 
-    fn spawn_daemon(&self, name: &str, failure_domain: &'static str, listen: &str, extra: &[String]) -> DaemonProcess {
+    /// Starts the process of a daemon without adding it to the VM list.
+    fn spawn_daemon(
+        &self,
+        name: &str,
+        failure_domain: &'static str,
+        listen: &str,
+        extra_flags: &[String],
+    ) -> DaemonProcess {
         let mut args: Vec<(String, String)> = [
             ("name", name),
             ("failure-domain", failure_domain),
@@ -189,19 +202,19 @@
         ]
         .map(|(flag, value)| (flag.to_owned(), value.to_owned()))
         .to_vec();
-        for flag in self.options.daemon_flags.iter().chain(extra) {
-            let (flag, value) = flag.trim_start_matches("--").split_once('=').expect("--flag=value");
+        for flag in self.options.daemon_flags.iter().chain(extra_flags) {
+            let (flag, value) = flag.trim_start_matches("--").split_once('=').expect("a flag of the form --flag=value");
             args.retain(|(default_flag, _)| default_flag != flag);
             args.push((flag.to_owned(), value.to_owned()));
         }
         let args: Vec<String> = args.into_iter().map(|(flag, value)| format!("--{flag}={value}")).collect();
-        let log = self.workdir.path(&format!("{name}-{}.log", self.daemons.len()));
-        let process = ChildProcess::start(env!("CARGO_BIN_EXE_pimentoslipd"), &args, log);
+        let log_path = self.workdir.path(&format!("{name}-{}.log", self.daemons.len()));
+        let process = ChildProcess::start(env!("CARGO_BIN_EXE_pimentoslipd"), &args, log_path);
         let (public_address, control_address) = (process.word_after("public="), process.word_after("control="));
         DaemonProcess { name: name.to_owned(), failure_domain, process, public_address, control_address }
     }
 
-    /// Puts a VM that cannot be reclaimed on the list.
+    /// Adds a VM that cannot be reclaimed to the VM list, or replaces the entry of that name.
     pub async fn add_vm(
         &self,
         name: &str,
@@ -223,7 +236,7 @@
         self.put_vm(&entry).await;
     }
 
-    /// Puts an upstream that can be reclaimed on the list.
+    /// Adds an upstream whose VM can be reclaimed to the VM list, or replaces the entry of that name.
     pub async fn add_reclaimable_vm(&self, name: &str, failure_domain: &str, address: &str, service: &str) {
         let entry = VmEntry {
             name: name.into(),
@@ -237,27 +250,29 @@
         self.put_vm(&entry).await;
     }
 
+    /// Writes an entry of the VM list.
     async fn put_vm(&self, entry: &VmEntry) {
         self.http.put_json(&format!("http://{}/v1/vms/{}", self.vms_address, entry.name), entry).await;
     }
 
-    /// Takes a VM off the list.
+    /// Deletes a VM from the VM list.
     pub async fn remove_vm(&self, name: &str) {
         self.http.delete(&format!("http://{}/v1/vms/{name}", self.vms_address)).await;
     }
 
-    /// Applies the configuration through the command line.
+    /// Applies the base configuration with `pimentoslip apply` and returns what the command printed.
     pub async fn apply_config(&self) -> String {
-        let base_config = self.workdir.write("base.toml", &self.options.base_config);
-        let daemon = self.daemons[0].control_address.clone();
-        let output = super::run_cli(&["apply", &base_config, "--daemon", &daemon, "--operator-key", OPERATOR_KEY]);
+        let config_path = self.workdir.write("base.toml", &self.options.base_config);
+        let control_address = self.daemons[0].control_address.clone();
+        let output =
+            super::run_cli(&["apply", &config_path, "--daemon", &control_address, "--operator-key", OPERATOR_KEY]);
         assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
         String::from_utf8_lossy(&output.stdout).into_owned()
     }
 
-    /// Waits until every daemon knows the configuration, all daemons and all upstreams.
+    /// Waits until every daemon has the configuration and reports all daemons as alive and all upstreams as live.
     pub async fn wait_ready(&self) {
-        wait_for("all daemons are ready", || async {
+        wait_for("every daemon is ready", || async {
             for daemon in 0..self.daemons.len() {
                 let status = self.status(daemon).await?;
                 let alive = status.daemons.iter().filter(|daemon| daemon.state == "alive").count();
@@ -270,12 +285,13 @@
         .await;
     }
 
-    /// Status of daemon `daemon`, if it answers.
+    /// Status that daemon `daemon` reports, or `None` if it does not answer.
     pub async fn status(&self, daemon: usize) -> Option<StatusAnswer> {
         self.admin_get(daemon, "status").await
     }
 
-    /// Reads from the administration API of daemon `daemon`.
+    /// Sends a GET request to the administration API of daemon `daemon`; `None` if it does not answer or the body does
+    /// not parse.
     pub async fn admin_get<T: DeserializeOwned>(&self, daemon: usize, path: &str) -> Option<T> {
         let url = format!("http://{}/admin/v1/{path}", self.daemons[daemon].control_address);
         let mut answer =
@@ -284,13 +300,13 @@
         serde_json::from_slice(&body).ok()
     }
 
-    /// Sends to the administration API of daemon `daemon`.
+    /// Sends a POST request to the administration API of daemon `daemon`.
     pub async fn admin_post<Q: Serialize>(&self, daemon: usize, path: &str, body: &Q) -> HttpAnswer {
         let url = format!("http://{}/admin/v1/{path}", self.daemons[daemon].control_address);
         self.http.send("POST", &url, &[(OPERATOR_KEY_HEADER, OPERATOR_KEY)], body).await
     }
 
-    /// Creates a key through daemon `daemon` and waits until every daemon has it.
+    /// Creates an API key through daemon `daemon`, generated from `seed`, and waits until every daemon has it.
     pub async fn create_key(&self, daemon: usize, seed: u64) -> KeySecret {
         use rand::SeedableRng;
         let secret = KeySecret::generate(&mut rand_chacha::ChaCha8Rng::seed_from_u64(seed));
@@ -303,7 +319,7 @@
         let answer = self.admin_post(daemon, "keys/create", &request).await;
         assert_eq!(answer.status, 200, "{answer:?}");
         let revision = answer.json::<ChangeAnswer>().revision;
-        wait_for("the key is known everywhere", || async {
+        wait_for("every daemon has the revision with the new key", || async {
             for daemon in 0..self.daemons.len() {
                 (self.status(daemon).await?.revision >= revision).then_some(())?;
             }
@@ -313,7 +329,7 @@
         secret
     }
 
-    /// Withdraws a key through daemon `daemon`.
+    /// Withdraws an API key through daemon `daemon`.
     pub async fn withdraw_key(&self, daemon: usize, secret: &KeySecret) -> HttpAnswer {
         let request = KeyRequest {
             change: format!("withdraw-{}", secret.id).into(),
@@ -324,55 +340,57 @@
         self.admin_post(daemon, "keys/withdraw", &request).await
     }
 
-    /// Sends to daemon `daemon` with a key.
+    /// Sends a caller's request to daemon `daemon`, with an API key and additional headers.
     pub async fn send<Q: Serialize>(
         &self,
         daemon: usize,
         method: &str,
         path: &str,
         key: &KeySecret,
-        extra: &[(&str, &str)],
+        extra_headers: &[(&str, &str)],
         body: &Q,
     ) -> HttpAnswer {
         let url = format!("http://{}{path}", self.daemons[daemon].public_address);
         let bearer = format!("Bearer {}", key.expose());
-        let headers: Vec<(&str, &str)> = extra.iter().copied().chain([("authorization", bearer.as_str())]).collect();
+        let headers: Vec<(&str, &str)> =
+            extra_headers.iter().copied().chain([("authorization", bearer.as_str())]).collect();
         self.http.send(method, &url, &headers, body).await
     }
 
-    /// Requests that the plain service ran.
+    /// Requests that the upstream of the plain service `desk` has run.
     pub async fn desk_requests(&self) -> Vec<SeenRequest> {
         self.http.get_json(&format!("http://{}/standin/seen", self.desk_address)).await.unwrap_or_default()
     }
 
-    /// Requests that engine `engine` was sent.
+    /// Requests that engine `engine` has received.
     pub async fn engine_requests(&self, engine: usize) -> Vec<SeenRequest> {
         self.http.get_json(&format!("http://{}/standin/seen", self.engines[engine].1)).await.unwrap_or_default()
     }
 
-    /// Sets faults of the key-value service.
+    /// Sets the faults that the key-value store shows from now on.
     pub async fn set_kv_fault(&self, fault: KvFault) {
         self.http.put_json(&format!("http://{}/standin/fault", self.kv_address), &fault).await;
     }
 
-    /// Sets faults of the plain service.
+    /// Sets the faults that the upstream of the plain service shows from now on.
     pub async fn set_desk_fault(&self, fault: PlainFault) {
         self.http.put_json(&format!("http://{}/standin/fault", self.desk_address), &fault).await;
     }
 
-    /// Sets faults of engine `engine`.
+    /// Sets the faults that engine `engine` shows from now on.
     pub async fn set_engine_fault(&self, engine: usize, fault: EngineFault) {
         self.http.put_json(&format!("http://{}/standin/fault", self.engines[engine].1), &fault).await;
     }
 
-    /// Logs of all daemons.
+    /// Concatenated log texts of all daemons.
     pub fn logs(&self) -> String {
         self.daemons.iter().map(|daemon| daemon.process.log()).collect()
     }
 }
 
+/// Starts a stand-in of `kind`; `number` makes the name of its log file unique.
 fn spawn_stand_in(workdir: &Workdir, kind: &str, number: usize, flags: &[String]) -> ChildProcess {
     let args = [vec!["standin".to_owned(), kind.to_owned()], flags.to_vec()].concat();
-    let log = workdir.path(&format!("{kind}-{number}.log"));
-    ChildProcess::start(env!("CARGO_BIN_EXE_pimentoslip"), &args, log)
+    let log_path = workdir.path(&format!("{kind}-{number}.log"));
+    ChildProcess::start(env!("CARGO_BIN_EXE_pimentoslip"), &args, log_path)
 }
--- a/crates/cli/tests/processes/support/edge_site.rs
+++ b/crates/cli/tests/processes/support/edge_site.rs
@@ -1,4 +1,5 @@
-//! A small site on the users' platform: edges as processes, everything else as stand-ins of this process.
+//! A site on the users' platform for tests: edge daemons as child processes, everything that they use as stand-ins
+//! inside the test process.
 
 use super::{ChildProcess, Workdir, wait_for};
 use awc::{Client, http::Method};
@@ -6,71 +7,76 @@
 use serde_json::{Value, json};
 use std::{net::SocketAddr, time::Duration};
 
-/// Key of the organisation `rose`.
+/// API key of the organisation `rose`.
 pub const ROSE_KEY: &str = "key-of-rose";
-/// Key of the organisation `tray`.
+/// API key of the organisation `tray`.
 pub const TRAY_KEY: &str = "key-of-tray";
+/// Host name that the routes of the configuration match.
 const HOST: &str = "desk.example";
-const TIMEOUT: Duration = Duration::from_secs(30);
-const ANSWER_BYTES_MAX: usize = 16 << 20;
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
+const ANSWER_BODY_MAX_BYTES: usize = 16 << 20;
 
-/// An answer; status 0 if none came whole.
+/// HTTP answer of an edge.
 #[derive(Clone, Debug)]
 pub struct EdgeReply {
-    /// Status.
+    /// HTTP status; 0 if no complete answer was received.
     pub status: u16,
-    /// Headers.
+    /// Names and values of the headers; empty if no header was received.
     pub headers: Vec<(String, String)>,
-    /// Body.
+    /// Complete body; empty if the status is 0.
     pub body: String,
 }
 
 impl EdgeReply {
-    /// The parsed body.
+    /// Body parsed as JSON. Panics if it is malformed.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.body).unwrap_or_else(|error| panic!("{error} in {self:?}"))
     }
 
-    /// Value of a header, empty when it is missing.
+    /// Value of the header `name`; empty if it is missing.
     pub fn header(&self, name: &str) -> &str {
-        self.headers.iter().find(|(key, _)| key == name).map_or("", |(_, value)| value)
+        self.headers.iter().find(|(header, _)| header == name).map_or("", |(_, value)| value)
     }
 }
 
-/// One edge daemon.
+/// Running edge daemon of a site.
 pub struct EdgeProcess {
-    /// Its process.
+    /// Process of the edge.
     pub process: ChildProcess,
     /// Name of its VM.
     pub vm: String,
+    /// Address that callers send requests to.
     frontend_address: SocketAddr,
+    /// Address of the readiness check.
     readiness_address: SocketAddr,
-    settings: String,
+    /// Path of its settings file.
+    settings_path: String,
 }
 
-/// The site.
+/// Site of edges, with a stand-in for everything of the users' platform that they use.
 pub struct EdgeSite {
-    /// Store.
+    /// Key-value store.
     pub store: FleetStore,
-    /// Interface for usage reports.
+    /// Cloud interface, which takes usage reports and orders for VMs.
     pub provider: FleetProvider,
-    /// Plain upstreams of `desk`.
+    /// Upstreams of the plain service `desk`.
     pub desks: Vec<FleetSampler>,
-    /// Model engines of `engine`.
+    /// Upstreams of the service `engine`, which serve a model.
     pub engines: Vec<FleetSampler>,
-    /// Edges.
+    /// Edges, in the order of their start. Methods take an edge as its index in this list.
     pub edges: Vec<EdgeProcess>,
+    /// Directory with the settings and logs of the edges.
     workdir: Workdir,
 }
 
-/// An address that nobody listens at right now.
+/// Local address that no process listens on at the time of the call.
 fn free_address() -> SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
-    listener.local_addr().expect("its address")
+    listener.local_addr().expect("the address of the listener")
 }
 
 impl EdgeSite {
-    /// Starts the site with `edges` edges, whose store is the site's.
+    /// Starts the stand-ins, a configuration with two organisations and `edges` edges, and waits until they are ready.
     pub async fn start(edges: usize) -> Self {
         let mut site = Self::without_edges();
         site.write_config(2, &[("rose", ROSE_KEY), ("tray", TRAY_KEY)]);
@@ -82,10 +88,10 @@
         site
     }
 
-    /// Everything but edges and a configuration.
+    /// Starts the stand-ins, without any edge and without a configuration.
     pub fn without_edges() -> Self {
-        let store = FleetStore::start().expect("a store");
-        let provider = FleetProvider::start().expect("an interface for usage reports");
+        let store = FleetStore::start().expect("start the store");
+        let provider = FleetProvider::start().expect("start the cloud interface");
         let shape = |id: &str, service: &str, models: &[&str], event_ms| SamplerShape {
             id: id.to_owned(),
             service: service.to_owned(),
@@ -94,9 +100,9 @@
             models: models.iter().map(ToString::to_string).collect(),
             event_ms,
         };
-        let start = |shape| FleetSampler::start(shape, &store).expect("an upstream");
-        let desks = ["desk-1", "desk-2"].map(|id| start(shape(id, "desk", &[], 5)));
-        let engines = ["engine-1", "engine-2"].map(|id| start(shape(id, "engine", &["verse"], 10)));
+        let start_upstream = |shape| FleetSampler::start(shape, &store).expect("start an upstream");
+        let desks = ["desk-1", "desk-2"].map(|id| start_upstream(shape(id, "desk", &[], 5)));
+        let engines = ["engine-1", "engine-2"].map(|id| start_upstream(shape(id, "engine", &["verse"], 10)));
         Self {
             desks: desks.into(),
             engines: engines.into(),
@@ -107,7 +113,7 @@
         }
     }
 
-    /// Writes a configuration.
+    /// Stores a configuration with the version `version` and the organisations in `keys` (name, API key).
     pub fn write_config(&self, version: u64, keys: &[(&str, &str)]) {
         let tenants: Vec<Value> =
             keys.iter().map(|(name, key)| json!({ "name": name, "apiKeys": [key], "priority": 1 })).collect();
@@ -135,9 +141,9 @@
         self.store.put("op/config", &config);
     }
 
-    /// Starts one more edge, whose store is at `store`.
+    /// Starts one more edge, which connects to the store at `store`.
     pub fn start_edge(&mut self, store: SocketAddr) {
-        // Between the choice of a free port and its use another test may take it.
+        // Another test may take a free port after it was chosen and before the edge listens on it.
         let mut edge = self.try_start_edge(store);
         while edge.process.failed_to_listen() {
             edge = self.try_start_edge(store);
@@ -145,60 +151,64 @@
         self.edges.push(edge);
     }
 
+    /// Starts the next edge on addresses that are free at the time of the call.
     fn try_start_edge(&self, store: SocketAddr) -> EdgeProcess {
         let vm = format!("edge-{}", self.edges.len());
-        let (frontend_address, readiness_address, control) = (free_address(), free_address(), free_address());
+        let (frontend_address, readiness_address, control_address) = (free_address(), free_address(), free_address());
         let settings = json!({
             "nodeName": vm, "ip": "127.0.0.1", "zone": "north", "zones": { "north": "land" },
-            "listenAddrs": { "frontend": frontend_address, "ready": readiness_address }, "internalPorts": [control.port(), control.port()],
+            "listenAddrs": { "frontend": frontend_address, "ready": readiness_address },
+            "internalPorts": [control_address.port(), control_address.port()],
             "platform": { "address": store, "valueBytes": 1_048_576, "minTtlMs": 1000 },
             "cloudApi": { "address": self.provider.address },
             "bounds": { "leaseMs": 1000, "graceS": 8, "reportWindowS": 1, "statusS": 120 },
         });
-        let settings = self.workdir.write(&format!("{vm}.json"), &settings.to_string());
-        let process = self.spawn_edge(&vm, &settings);
-        EdgeProcess { process, vm, frontend_address, readiness_address, settings }
+        let settings_path = self.workdir.write(&format!("{vm}.json"), &settings.to_string());
+        let process = self.spawn_edge(&vm, &settings_path);
+        EdgeProcess { process, vm, frontend_address, readiness_address, settings_path }
     }
 
-    fn spawn_edge(&self, vm: &str, settings: &str) -> ChildProcess {
+    /// Starts the process of an edge with the settings file at `settings_path`.
+    fn spawn_edge(&self, vm: &str, settings_path: &str) -> ChildProcess {
         let program = env!("CARGO_BIN_EXE_pimentoslipd");
-        let log = self.workdir.path(&format!("{vm}.log"));
-        ChildProcess::start_logged(program, &["edge"], ("PIMENTOSLIP_BOOT", settings), log)
+        let log_path = self.workdir.path(&format!("{vm}.log"));
+        ChildProcess::start_logged(program, &["edge"], ("PIMENTOSLIP_BOOT", settings_path), log_path)
     }
 
-    /// Starts the process of an edge again.
+    /// Starts the process of an edge again, with the same settings. The previous process must have exited, since both
+    /// listen on the same addresses.
     pub fn restart_edge(&mut self, edge: usize) {
-        let (vm, settings) = (self.edges[edge].vm.clone(), self.edges[edge].settings.clone());
-        self.edges[edge].process = self.spawn_edge(&vm, &settings);
+        let (vm, settings_path) = (self.edges[edge].vm.clone(), self.edges[edge].settings_path.clone());
+        self.edges[edge].process = self.spawn_edge(&vm, &settings_path);
     }
 
-    /// Status of an edge's readiness.
+    /// HTTP status of an edge's readiness check; 0 if the edge does not answer.
     pub async fn readiness_status(&self, edge: usize) -> u16 {
         let url = format!("http://{}/pimentoslip/ready", self.edges[edge].readiness_address);
         Client::default().get(url).send().await.map_or(0, |answer| answer.status().as_u16())
     }
 
-    /// Waits until every edge is ready and has heard of all others.
+    /// Waits until every edge is ready and has had time to receive the entries of all other edges.
     pub async fn wait_ready(&self) {
         for edge in 0..self.edges.len() {
-            wait_for("an edge is ready", || async { (self.readiness_status(edge).await == 200).then_some(()) }).await;
+            wait_for("the edge is ready", || async { (self.readiness_status(edge).await == 200).then_some(()) }).await;
         }
-        let all = self.edges.len();
-        wait_for("all edges are present", || async {
-            (self.store.memory().range("p/w/vm/", "").len() == all).then_some(())
+        let edge_count = self.edges.len();
+        wait_for("every edge has stored its entry", || async {
+            (self.store.memory().range("p/w/vm/", "").len() == edge_count).then_some(())
         })
         .await;
-        // Each edge hears of the others with its next watch.
+        // Each edge receives the entries of the others with its next watch of the store.
         actix_rt::time::sleep(Duration::from_millis(700)).await;
     }
 
-    /// Sends a request to an edge.
+    /// Sends a caller's request to an edge and reads the complete answer.
     pub async fn send(&self, edge: usize, method: &str, path: &str, headers: &[(&str, &str)], body: &str) -> EdgeReply {
-        let method = Method::from_bytes(method.as_bytes()).expect("a method");
+        let method = Method::from_bytes(method.as_bytes()).expect("a valid HTTP method");
         let client = Client::builder().disable_timeout().finish();
         let mut request = client
             .request(method, format!("http://{}{path}", self.edges[edge].frontend_address))
-            .timeout(TIMEOUT)
+            .timeout(REQUEST_TIMEOUT)
             .force_close()
             .insert_header(("host", HOST));
         for (name, value) in headers {
@@ -210,34 +220,35 @@
         let headers = answer.headers().iter();
         let headers = headers.map(|(name, value)| (name.to_string(), value.to_str().unwrap_or_default().to_owned()));
         let (status, headers) = (answer.status().as_u16(), headers.collect());
-        match answer.body().limit(ANSWER_BYTES_MAX).await {
+        match answer.body().limit(ANSWER_BODY_MAX_BYTES).await {
             Ok(body) => EdgeReply { status, headers, body: String::from_utf8_lossy(&body).into_owned() },
             Err(_) => EdgeReply { status: 0, headers, body: String::new() },
         }
     }
 
-    /// Asks for a quote.
+    /// Sends an idempotent request to the route `quote`, as `rose`, with `id` as its request id.
     pub async fn send_quote(&self, edge: usize, id: &str) -> EdgeReply {
-        let key = format!("Bearer {ROSE_KEY}");
-        let headers = [("request-id", id), ("deadline-ms", "2000"), ("authorization", key.as_str())];
+        let bearer = format!("Bearer {ROSE_KEY}");
+        let headers = [("request-id", id), ("deadline-ms", "2000"), ("authorization", bearer.as_str())];
         self.send(edge, "POST", "/quote/roses", &headers, "how much").await
     }
 
-    /// Submits a batch job.
+    /// Submits the batch job `job`, as `rose`.
     pub async fn submit_job(&self, edge: usize, job: &str, body: &Value) -> EdgeReply {
-        let key = format!("Bearer {ROSE_KEY}");
-        let headers = [("request-id", job), ("authorization", key.as_str()), ("deadline-ms", "5000")];
+        let bearer = format!("Bearer {ROSE_KEY}");
+        let headers = [("request-id", job), ("authorization", bearer.as_str()), ("deadline-ms", "5000")];
         self.send(edge, "POST", &format!("/cards/{job}"), &headers, &body.to_string()).await
     }
 
-    /// Calls about a batch job.
+    /// Sends a request to the batch job API, as `rose`.
     pub async fn send_job_request(&self, edge: usize, method: &str, path: &str) -> EdgeReply {
-        let key = format!("Bearer {ROSE_KEY}");
-        let headers = [("request-id", "about"), ("authorization", key.as_str()), ("wait-ms", "500")];
+        let bearer = format!("Bearer {ROSE_KEY}");
+        let headers = [("request-id", "about"), ("authorization", bearer.as_str()), ("wait-ms", "500")];
         self.send(edge, method, path, &headers, "").await
     }
 
-    /// All results of a job, once there are as many as items, read at `edge` in pieces.
+    /// All results of a job, read page by page from `edge`. Returns when every item of the job has a result, and does
+    /// not time out.
     pub async fn all_results(&self, edge: usize, job: &str) -> Vec<Value> {
         let mut results: Vec<Value> = Vec::new();
         loop {
@@ -256,13 +267,13 @@
         }
     }
 
-    /// Requests that upstreams of `engine` ran, with this id.
+    /// Requests with the id `id` that upstreams of the service `engine` have run.
     pub fn engine_calls(&self, id: &str) -> Vec<pimentoslip_standin::SeenCall> {
         self.engines.iter().flat_map(FleetSampler::seen).filter(|call| call.id == id).collect()
     }
 }
 
-/// An item whose text has `events` events.
+/// Item of a batch job. Its text consists of `events` events; a `scored` item has a scorer on the route `score`.
 pub fn job_item(id: &str, events: u64, scored: bool) -> Value {
     let mut item = json!({
         "id": id, "path": format!("/cards/x/{id}"), "body": "q83v", "tokens": 100, "group": "g",
@@ -274,7 +285,7 @@
     item
 }
 
-/// A submission of `items`.
+/// Body of the submission of a batch job whose items run on weights of version `oldest_version` or newer.
 pub fn job_submission(oldest_version: u64, items: &[Value]) -> Value {
     json!({ "step": 0, "model": "verse", "minVersion": oldest_version, "desired": 1, "items": items })
 }
--- a/crates/cli/tests/processes/support/mod.rs
+++ b/crates/cli/tests/processes/support/mod.rs
@@ -1,4 +1,4 @@
-//! Runs the real binaries as separate processes.
+//! Test support: runs the real binaries as child processes against stand-in services.
 
 mod child_process;
 mod daemon_site;
@@ -12,16 +12,17 @@
 
 use std::{future::Future, time::Duration};
 
-/// Polls until `probe` gives a value. The limit only ends a run that would never end.
+/// Calls `probe` repeatedly until it returns a value, and returns that value. Panics with `what`, the awaited
+/// condition, after 90 seconds of waiting; the limit is only there to end a test that would hang.
 pub async fn wait_for<T, F: Future<Output = Option<T>>>(what: &str, mut probe: impl FnMut() -> F) -> T {
-    const LIMIT: Duration = Duration::from_secs(90);
-    const POLL: Duration = Duration::from_millis(25);
-    let polls = LIMIT.as_millis() / POLL.as_millis();
+    const TIMEOUT: Duration = Duration::from_secs(90);
+    const POLL_INTERVAL: Duration = Duration::from_millis(25);
+    let polls = TIMEOUT.as_millis() / POLL_INTERVAL.as_millis();
     for _ in 0..polls {
         if let Some(value) = probe().await {
             return value;
         }
-        actix_rt::time::sleep(POLL).await;
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
-    panic!("did not happen: {what}");
+    panic!("timed out waiting until {what}");
 }
