--- a/crates/cli/tests/processes/crasher.rs
+++ b/crates/cli/tests/processes/crasher.rs
@@ -13,7 +13,11 @@
         site.set_engine_fault(engine, EngineFault { crash_on: Some("boom".to_owned()), ..EngineFault::default() })
             .await;
     }
-    let body = |text: &str| serde_json::json!({ "model": "drafts", "max_tokens": 4, "messages": [{ "role": "user", "content": text }] });
+    let body = |text: &str| {
+        serde_json::json!({
+            "model": "drafts", "max_tokens": 4, "messages": [{ "role": "user", "content": text }]
+        })
+    };
     let mut quarantined = [false; 3];
     let mut request_count = 0;
     while quarantined.contains(&false) {
--- a/crates/cli/tests/processes/duties.rs
+++ b/crates/cli/tests/processes/duties.rs
@@ -105,15 +105,15 @@
     let site = site_with_ordered_service(checks_fencing).await;
     add_spare(&site, 1).await;
     wait_started(&site, 1).await;
-    let first = duty_holder(&site, "order-a", None).await;
-    site.daemons[first].process.freeze();
+    let holder = duty_holder(&site, "order-a", None).await;
+    site.daemons[holder].process.freeze();
     add_spare(&site, 2).await;
     if checks_fencing {
         wait_started(&site, 2).await;
     } else {
         // Without fencing, no daemon may order in place of the frozen holder until there is proof that it has ended.
         wait_for("a successor waits for proof that the holder has ended", || async {
-            for daemon in (0..3).filter(|daemon| *daemon != first) {
+            for daemon in (0..3).filter(|daemon| *daemon != holder) {
                 let status = site.status(daemon).await?;
                 if status.duties.iter().any(|duty| &*duty.duty == "order-a" && duty.state == "settling") {
                     return Some(());
@@ -124,11 +124,11 @@
         .await;
         assert_eq!(received_orders(&site).await.iter().filter(|order| order.vm.is_some()).count(), 1);
     }
-    site.daemons[first].process.resume();
+    site.daemons[holder].process.resume();
     add_spare(&site, 3).await;
     if !checks_fencing {
         // The VM is deleted from the VM list, which proves that the holder has ended.
-        site.remove_vm(&site.daemons[first].name).await;
+        site.remove_vm(&site.daemons[holder].name).await;
     }
     wait_started(&site, 3).await;
     check_orders(&received_orders(&site).await);
@@ -154,12 +154,12 @@
     add_spare(&site, 1).await;
     wait_started(&site, 1).await;
     for kill in 0..2 {
-        let first = duty_holder(&site, "order-a", None).await;
-        site.daemons[first].process.kill();
+        let holder = duty_holder(&site, "order-a", None).await;
+        site.daemons[holder].process.kill();
         site.set_kv_fault(KvFault { lose_answers: 2, ..KvFault::default() }).await;
         add_spare(&site, 2 + kill).await;
         wait_started(&site, 2 + kill).await;
-        site.restart_daemon(first).await;
+        site.restart_daemon(holder).await;
     }
     let orders = received_orders(&site).await;
     check_orders(&orders);
--- a/crates/cli/tests/processes/hostile.rs
+++ b/crates/cli/tests/processes/hostile.rs
@@ -29,8 +29,8 @@
     let (site, key) = site_with_key().await;
     let token = key.expose();
     let bearer = format!("Bearer {token}");
-    let escaped: String = token.bytes().map(|byte| format!("\\u{byte:04x}")).collect();
-    let percent: String = token.bytes().map(|byte| format!("%{byte:02x}")).collect();
+    let json_escaped: String = token.bytes().map(|byte| format!("\\u{byte:04x}")).collect();
+    let percent_encoded: String = token.bytes().map(|byte| format!("%{byte:02x}")).collect();
     let unknown_bearer = bearer.replace(&token[20..22], "zz");
     let orders_path = "/services/desk/orders".to_owned();
     let empty_body = "{}".to_owned();
@@ -48,11 +48,21 @@
             "key_ambiguous",
         ),
         (format!("{orders_path}?key={token}"), vec![("authorization", &bearer)], empty_body.clone(), "key_misplaced"),
-        (format!("{orders_path}?key={percent}"), vec![("authorization", &bearer)], empty_body.clone(), "key_misplaced"),
+        (
+            format!("{orders_path}?key={percent_encoded}"),
+            vec![("authorization", &bearer)],
+            empty_body.clone(),
+            "key_misplaced",
+        ),
         (format!("/services/desk/{token}"), vec![("authorization", &bearer)], empty_body.clone(), "key_misplaced"),
         (format!("/services/desk/menu?k={token}"), vec![], empty_body.clone(), "key_misplaced"),
         (orders_path.clone(), vec![("authorization", &bearer)], format!("{{\"k\":\"{token}\"}}"), "key_misplaced"),
-        (orders_path.clone(), vec![("authorization", &bearer)], format!("{{\"k\":\"{escaped}\"}}"), "key_misplaced"),
+        (
+            orders_path.clone(),
+            vec![("authorization", &bearer)],
+            format!("{{\"k\":\"{json_escaped}\"}}"),
+            "key_misplaced",
+        ),
         (
             "/v1/chat/completions".to_owned(),
             vec![("authorization", &bearer)],
@@ -99,17 +109,21 @@
         assert_eq!(error["error"]["run_state"], "not run", "{text}");
         assert!(!error["error"]["remedy"].as_str().unwrap_or("").is_empty());
     }
-    let seen = format!(
+    let upstream_requests = format!(
         "{:?}{:?}{:?}",
         site.desk_requests().await,
         site.engine_requests(0).await,
         site.engine_requests(1).await
     );
-    assert!(!seen.contains(token) && !seen.contains(&escaped) && !seen.contains(&percent));
+    assert!(
+        !upstream_requests.contains(token)
+            && !upstream_requests.contains(&json_escaped)
+            && !upstream_requests.contains(&percent_encoded)
+    );
     let accepted = site.send(0, "POST", "/services/desk/orders", &key, &[("x-extra", "v"), ("cookie", "c")], &()).await;
     assert_eq!(accepted.status, 200);
-    let seen = format!("{:?}", site.desk_requests().await);
-    assert!(!seen.contains("cookie") && !seen.contains("authorization"), "{seen}");
+    let desk_requests = format!("{:?}", site.desk_requests().await);
+    assert!(!desk_requests.contains("cookie") && !desk_requests.contains("authorization"), "{desk_requests}");
     assert!(!site.logs().contains(token), "no log contains the key");
 }
 
@@ -139,7 +153,7 @@
 #[actix_rt::test]
 async fn peer_and_admin_requests_without_the_right_secret_are_refused() {
     let (site, key) = site_with_key().await;
-    let control = format!("http://{}", site.daemons[0].control_address);
+    let control_url = format!("http://{}", site.daemons[0].control_address);
     let bearer = format!("Bearer {}", key.expose());
     let paths = [
         "/peer/exchange",
@@ -160,7 +174,7 @@
     ];
     for path in paths {
         for headers in headers {
-            let answer = site.http.send("POST", &format!("{control}{path}"), headers, &()).await;
+            let answer = site.http.send("POST", &format!("{control_url}{path}"), headers, &()).await;
             assert_eq!(answer.status, 404, "{path} {headers:?}");
         }
         let public_answer = site
@@ -178,7 +192,7 @@
         for body in [&b""[..], &b"\xc1"[..], &b"\x81"[..], &[0xdd, 0xff, 0xff, 0xff, 0xff][..], &[0x91; 5_000][..]] {
             let request = site
                 .http
-                .request("POST", &format!("{control}{path}"))
+                .request("POST", &format!("{control_url}{path}"))
                 .insert_header(("x-cluster-secret", "test-cluster-secret"));
             let answer = request.send_body(body.to_vec()).await.expect("an answer");
             assert_eq!(answer.status().as_u16(), 400, "{path} {:?}", &body[..body.len().min(8)]);
--- a/crates/cli/tests/processes/leaving.rs
+++ b/crates/cli/tests/processes/leaving.rs
@@ -32,8 +32,8 @@
     let stream_task = spawn_request("/v1/chat/completions", stream_body());
     let order_task = spawn_request("/services/desk/orders", serde_json::json!({ "order": 1 }));
     wait_for("the stream and the order are running", || async {
-        let seen = site.engine_requests(0).await.len() + site.engine_requests(1).await.len();
-        (seen == 1 && site.desk_requests().await.len() == 1).then_some(())
+        let engine_request_count = site.engine_requests(0).await.len() + site.engine_requests(1).await.len();
+        (engine_request_count == 1 && site.desk_requests().await.len() == 1).then_some(())
     })
     .await;
     site.daemons[0].process.terminate();
@@ -78,7 +78,10 @@
 ) -> usize {
     let count_before = site.engine_requests(engine).await.len();
     for number in 0..count {
-        let body = serde_json::json!({ "model": "drafts", "max_tokens": 4, "messages": [{ "role": "user", "content": format!("{number}") }] });
+        let body = serde_json::json!({
+            "model": "drafts", "max_tokens": 4,
+            "messages": [{ "role": "user", "content": format!("{number}") }]
+        });
         let answer = site.send(number % 3, "POST", "/v1/chat/completions", key, &[], &body).await;
         assert_eq!(answer.status, 200, "{answer:?}");
     }
--- a/crates/cli/tests/processes/path.rs
+++ b/crates/cli/tests/processes/path.rs
@@ -35,20 +35,20 @@
         site.daemons[0].process.log().contains(&format!("request_id={request_id}")),
         "the daemon logs the request id"
     );
-    let seen: Vec<_> = [site.engine_requests(0).await, site.engine_requests(1).await].concat();
+    let engine_requests: Vec<_> = [site.engine_requests(0).await, site.engine_requests(1).await].concat();
     assert!(
-        seen.iter().any(|request| request.header("x-request-id").starts_with(&request_id)),
+        engine_requests.iter().any(|request| request.header("x-request-id").starts_with(&request_id)),
         "the engine receives the request id"
     );
-    assert!(!format!("{seen:?}").contains(key.expose()), "the engine does not receive the key");
+    assert!(!format!("{engine_requests:?}").contains(key.expose()), "the engine does not receive the key");
 
     let order = serde_json::json!({ "trays": 3 });
-    let header = [("idempotency-key", "order-1")];
-    let first = site.send(0, "POST", "/services/desk/orders?window=am", &key, &header, &order).await;
-    let second = site.send(1, "POST", "/services/desk/orders?window=am", &key, &header, &order).await;
-    assert_eq!((first.status, second.status), (200, 200), "{first:?} {second:?}");
-    assert_eq!(first.body, second.body);
-    assert_eq!(second.header("x-replayed"), "true");
+    let headers = [("idempotency-key", "order-1")];
+    let first_answer = site.send(0, "POST", "/services/desk/orders?window=am", &key, &headers, &order).await;
+    let second_answer = site.send(1, "POST", "/services/desk/orders?window=am", &key, &headers, &order).await;
+    assert_eq!((first_answer.status, second_answer.status), (200, 200), "{first_answer:?} {second_answer:?}");
+    assert_eq!(first_answer.body, second_answer.body);
+    assert_eq!(second_answer.header("x-replayed"), "true");
     assert_eq!(site.desk_requests().await.len(), 1);
 
     let open_answer =
@@ -129,11 +129,11 @@
         reclaimable: false,
     };
     site.http.put_json(&format!("http://{}/standin/spares", site.orders_address), &spare).await;
-    let order = wait_for("an order has started the VM", || async {
+    let new_order = wait_for("an order has started the VM", || async {
         let log: Vec<OrderLog> = site.http.get_json(&format!("http://{}/standin/orders", site.orders_address)).await?;
         log.into_iter().find(|entry| entry.vm.as_deref() == Some("cards-1"))
     });
-    assert!(order.await.request.fencing > 0);
+    assert!(new_order.await.request.fencing > 0);
     wait_for("the daemon lists the new upstream", || async {
         let status = site.status(0).await?;
         status.upstreams.iter().any(|upstream| &*upstream.name == "cards-1").then_some(())
--- a/crates/cli/tests/processes/platform_jobs.rs
+++ b/crates/cli/tests/processes/platform_jobs.rs
@@ -16,7 +16,8 @@
     results.iter().find(|result| result["id"] == id).unwrap_or_else(|| panic!("item {id} has no result: {results:?}"))
 }
 
-/// Index of the edge that owns `job`, according to the logs; `None` while no edge has started it.
+/// Index of the edge that owns `job`, according to the logs: the last edge that logged the start of the job. `None`
+/// before the start.
 fn job_owner(site: &EdgeSite, job: &str) -> Option<usize> {
     let start_event = format!("event=job_begun job={job} ");
     let mut owners = (0..site.edges.len()).filter(|edge| site.edges[*edge].process.log().contains(&start_event));
@@ -38,7 +39,7 @@
         assert_eq!(result["state"], "completed");
         assert_eq!(result["text"], expected_text(id, events));
         assert_eq!(result["versions"], serde_json::json!([1]));
-        assert_eq!(site.engine_calls(id).len(), 1, "{id} ran once");
+        assert_eq!(site.engine_calls(id).len(), 1, "item {id} ran once");
         assert_eq!(site.engine_calls(id)[0].organisation, "rose");
     }
     assert_eq!(result_of(&results, "a")["score"], "signed score-a");
@@ -53,12 +54,12 @@
     for edge in 0..3 {
         assert_eq!(site.send_job_request(edge, "DELETE", "/pimentoslip/lots/job").await.status, 200);
     }
-    assert_eq!(site.all_results(1, "job").await, results, "an ended job can still be read");
+    assert_eq!(site.all_results(1, "job").await, results, "the results of an ended job can still be read");
 }
 
-/// Guards against engines that keep generating text for a job that was deleted through another edge.
+/// Guards against engines that keep generating text for a job that was ended through an edge which does not own it.
 #[actix_rt::test]
-async fn deleting_a_job_at_any_edge_cancels_its_runs() {
+async fn ending_a_job_at_any_edge_cancels_its_runs() {
     let site = EdgeSite::start(3).await;
     assert_eq!(site.submit_job(0, "job", &job_submission(1, &[job_item("long", 2_000, false)])).await.status, 202);
     wait_for("the item runs", || async { (!site.engine_calls("long").is_empty()).then_some(()) }).await;
@@ -257,7 +258,7 @@
     .await;
 }
 
-/// Guards against the loss of a job that is larger than a single value of the store may be.
+/// Guards against a job of nearly one megabyte that is refused, or read back incompletely.
 #[actix_rt::test]
 async fn a_large_job_is_stored_in_several_values() {
     let site = EdgeSite::start(2).await;
--- a/crates/cli/tests/processes/platform_path.rs
+++ b/crates/cli/tests/processes/platform_path.rs
@@ -14,12 +14,12 @@
         assert_eq!((reply.status, reply.body.as_str()), (200, format!("answer to {id}").as_str()));
         assert_eq!(reply.header("server-signature"), format!("signed {id}"));
         assert_eq!(reply.header("request-id"), id);
-        let seen: Vec<_> = site.desks.iter().flat_map(|desk| desk.seen()).filter(|call| call.id == id).collect();
-        assert_eq!(seen.len(), 1);
-        assert_eq!((seen[0].organisation.as_str(), seen[0].keyed), ("rose", false));
-        assert_eq!((seen[0].path.as_str(), seen[0].body.as_slice()), ("/quote/roses", &b"how much"[..]));
+        let calls: Vec<_> = site.desks.iter().flat_map(|desk| desk.seen()).filter(|call| call.id == id).collect();
+        assert_eq!(calls.len(), 1);
+        assert_eq!((calls[0].organisation.as_str(), calls[0].keyed), ("rose", false));
+        assert_eq!((calls[0].path.as_str(), calls[0].body.as_slice()), ("/quote/roses", &b"how much"[..]));
         assert!(
-            seen[0].deadline_ms <= 1_500,
+            calls[0].deadline_ms <= 1_500,
             "the deadline is the route's timeout, which is shorter than the caller's"
         );
     }
--- a/crates/cli/tests/processes/requests.rs
+++ b/crates/cli/tests/processes/requests.rs
@@ -45,8 +45,8 @@
     number: usize,
     idempotency_key: Option<&str>,
 ) -> HttpAnswer {
-    let header: Vec<(&str, &str)> = idempotency_key.map(|key| ("idempotency-key", key)).into_iter().collect();
-    site.send(daemon, "POST", ORDERS_PATH, key, &header, &serde_json::json!({ "order": number })).await
+    let headers: Vec<(&str, &str)> = idempotency_key.map(|key| ("idempotency-key", key)).into_iter().collect();
+    site.send(daemon, "POST", ORDERS_PATH, key, &headers, &serde_json::json!({ "order": number })).await
 }
 
 /// Sends order 1 to daemon 0 with the idempotency key `order-1`, in a task of its own.
--- a/crates/cli/tests/processes/samples.rs
+++ b/crates/cli/tests/processes/samples.rs
@@ -128,18 +128,18 @@
     let key = site.create_key(0, 1).await;
     let mut trainer = Trainer::new(1);
     let home = home_index(&site, 1);
-    let (entry, other) = ((home + 1) % 3, (home + 2) % 3);
+    let (entry, other_daemon) = ((home + 1) % 3, (home + 2) % 3);
     open_step(&site, entry, &key, 1).await;
     while trainer.samples.len() < SAMPLES / 4 {
         trainer.fetch(&site, entry, &key, 5).await;
     }
     site.daemons[home].process.freeze();
     while trainer.samples.len() < SAMPLES / 2 {
-        trainer.fetch(&site, other, &key, 3).await;
+        trainer.fetch(&site, other_daemon, &key, 3).await;
     }
     // The first home resumes and still holds its samples.
     site.daemons[home].process.resume();
-    trainer.fetch_all(&site, &[home, entry, other], &key, 3).await;
+    trainer.fetch_all(&site, &[home, entry, other_daemon], &key, 3).await;
     assert_eq!(trainer.samples.len(), SAMPLES);
 }
 
@@ -213,9 +213,9 @@
 async fn samples_without_a_version_and_cut_samples_are_discarded_and_run_again() {
     let site = DaemonSite::start(SiteOptions::default()).await;
     let key = site.create_key(0, 1).await;
-    let no_version = EngineFault { omit_version: true, ..EngineFault::default() };
-    site.set_engine_fault(0, no_version.clone()).await;
-    site.set_engine_fault(1, no_version).await;
+    let omit_version = EngineFault { omit_version: true, ..EngineFault::default() };
+    site.set_engine_fault(0, omit_version.clone()).await;
+    site.set_engine_fault(1, omit_version).await;
     let mut trainer = Trainer::new(1);
     open_step(&site, 0, &key, 1).await;
     wait_for("discarded samples are logged", || async {
--- a/crates/cli/tests/processes/support/daemon_site.rs
+++ b/crates/cli/tests/processes/support/daemon_site.rs
@@ -203,7 +203,7 @@
         .map(|(flag, value)| (flag.to_owned(), value.to_owned()))
         .to_vec();
         for flag in self.options.daemon_flags.iter().chain(extra_flags) {
-            let (flag, value) = flag.trim_start_matches("--").split_once('=').expect("a flag of the form --flag=value");
+            let (flag, value) = flag.trim_start_matches("--").split_once('=').expect("--flag=value");
             args.retain(|(default_flag, _)| default_flag != flag);
             args.push((flag.to_owned(), value.to_owned()));
         }
--- a/crates/cli/tests/processes/support/edge_site.rs
+++ b/crates/cli/tests/processes/support/edge_site.rs
@@ -119,8 +119,8 @@
             keys.iter().map(|(name, key)| json!({ "name": name, "apiKeys": [key], "priority": 1 })).collect();
         let route = |name: &str, prefix: &str, kind: &str, service: &str| {
             json!({
-                "name": name, "host": HOST, "pathPrefix": prefix, "type": kind, "timeoutMs": 1_500, "targetLatencyMs": 400,
-                "priority": 1, "service": service, "maxAttempts": 2, "public": name == "score",
+                "name": name, "host": HOST, "pathPrefix": prefix, "type": kind, "timeoutMs": 1_500,
+                "targetLatencyMs": 400, "priority": 1, "service": service, "maxAttempts": 2, "public": name == "score",
                 "runTargetMs": 7_500, "retentionS": 60,
             })
         };
@@ -132,10 +132,12 @@
             ],
             "services": [
                 { "name": "desk", "healthPath": "/health", "maxConnections": 100 },
-                { "name": "engine", "healthPath": "/health", "maxConnections": 100, "engine": { "models": [{ "name": "verse" }] },
+                { "name": "engine", "healthPath": "/health", "maxConnections": 100,
+                  "engine": { "models": [{ "name": "verse" }] },
                   "scaling": { "min": 1, "max": 6, "startupS": 1, "spotPrice": 0.15, "zonePrices": { "north": 1.0 } } },
             ],
-            "limits": { "maxHeaderBytes": 16384, "maxBodyBytes": 1_000_000, "headerTimeoutMs": 3000, "idleTimeoutMs": 15000 },
+            "limits": { "maxHeaderBytes": 16384, "maxBodyBytes": 1_000_000,
+                "headerTimeoutMs": 3000, "idleTimeoutMs": 15000 },
             "tenants": tenants,
         });
         self.store.put("op/config", &config);
