--- a/crates/edge/src/client_watch.rs
+++ b/crates/edge/src/client_watch.rs
@@ -31,7 +31,7 @@
     }
 
     /// Waits until the client has closed its connection.
-    pub async fn closed(&self) {
+    pub async fn wait_for_close(&self) {
         while self.is_open() {
             actix_rt::time::sleep(CHECK_INTERVAL).await;
         }
--- a/crates/edge/src/duty/duty_task.rs
+++ b/crates/edge/src/duty/duty_task.rs
@@ -60,7 +60,7 @@
 
 /// How long this daemon waits before it acquires a vacant duty, in milliseconds.
 fn acquire_delay_ms(state: &EdgeState) -> u64 {
-    match &state.lease().last_holder {
+    match &state.lease_view().last_holder {
         Some(last_holder) if *last_holder == state.settings.vm => 0,
         Some(_) => PREVIOUS_HOLDER_WAIT_MS + fingerprint(&[state.settings.vm.as_bytes()]) % ACQUIRE_SPREAD_MS,
         None => fingerprint(&[state.settings.vm.as_bytes()]) % ACQUIRE_SPREAD_MS,
@@ -70,7 +70,7 @@
 /// Updates the term from the current lease. Returns whether this process still holds the duty.
 fn refresh_term(state: &EdgeState, term: &SharedTerm) -> bool {
     let standing = {
-        let view = state.lease();
+        let view = state.lease_view();
         let recorded = view.duty.as_ref().map(|(revision, _)| *revision);
         LeaseStatus { lease: view.lease, expires_at: view.ends_at, duty_revision: recorded }
     };
@@ -90,7 +90,7 @@
 /// yet.
 fn replaceable_revision(state: &EdgeState) -> Option<u64> {
     state.config()?;
-    let view = state.lease();
+    let view = state.lease_view();
     match &view.duty {
         None => Some(0),
         Some((revision, holder)) => {
@@ -104,7 +104,7 @@
 /// starts a term.
 async fn acquire(state: &EdgeState, store: &StoreAccess, term: &SharedTerm, replaces: u64) {
     let (lease, ends_at) = {
-        let view = state.lease();
+        let view = state.lease_view();
         (view.lease, view.ends_at)
     };
     let (Some(lease), Ok(entry)) = (lease, encode(&state.daemon_entry())) else { return };
@@ -154,7 +154,7 @@
         .info();
     EdgeMetrics::global().duty_held.set(1);
     *term.borrow_mut() = Some(DutyTerm::start(revision, lease, now, ends_at, wait_ms));
-    state.lease().duty_observed(revision, state.daemon_entry());
+    state.lease_view().duty_observed(revision, state.daemon_entry());
 }
 
 /// Reads the previous holders of the duty from the store.
--- a/crates/edge/src/duty/load_duty.rs
+++ b/crates/edge/src/duty/load_duty.rs
@@ -51,7 +51,7 @@
         let Some(config) = self.state.config().filter(|_| may_act) else { return };
         let runs = {
             let own_runs = self.state.upstreams().model_requests();
-            let mut board = self.state.run_board();
+            let mut board = self.state.run_reports();
             board.runs_reported(self.state.settings.vm.clone(), own_runs, now);
             board.runs_by_upstream(now)
         };
--- a/crates/edge/src/duty/run_report_task.rs
+++ b/crates/edge/src/duty/run_report_task.rs
@@ -34,6 +34,6 @@
 
 /// Control address of the duty's holder, if the holder is present.
 fn holder_control(state: &EdgeState) -> Option<SharedName> {
-    let holder = state.lease().duty.as_ref().map(|(_, holder)| holder.daemon.clone())?;
+    let holder = state.lease_view().duty.as_ref().map(|(_, holder)| holder.daemon.clone())?;
     Some(state.ownership().daemon(&holder)?.control.clone())
 }
--- a/crates/edge/src/duty/usage_collector.rs
+++ b/crates/edge/src/duty/usage_collector.rs
@@ -75,7 +75,7 @@
         let mut all_written = true;
         let windows: Vec<(u64, Vec<UsageBatchEntry>)> = windows.into_iter().collect();
         for window_group in windows.chunks(WINDOWS_PER_COMMIT_MAX) {
-            all_written &= write_parts(&self.state, &self.store, window_group).await;
+            all_written &= write_batches(&self.state, &self.store, window_group).await;
         }
         for entry in pending {
             // A daemon whose call has timed out writes its counts itself, so a closed channel is ignored.
@@ -85,7 +85,7 @@
 }
 
 /// Stores the counts of the windows in one commit. Returns false if they may not be stored.
-pub async fn write_parts(state: &EdgeState, store: &StoreAccess, windows: &[(u64, Vec<UsageBatchEntry>)]) -> bool {
+pub async fn write_batches(state: &EdgeState, store: &StoreAccess, windows: &[(u64, Vec<UsageBatchEntry>)]) -> bool {
     let mut commit = StoreCommit::default();
     for (window, parts) in windows {
         let value = match encode(&UsageBatchesEntry { batches: parts.clone() }) {
--- a/crates/edge/src/duty/usage_count_task.rs
+++ b/crates/edge/src/duty/usage_count_task.rs
@@ -1,6 +1,6 @@
 //! Stores this daemon's request counts of each usage window, through the collector of its region.
 
-use super::usage_collector::{USAGE_PATH, write_parts};
+use super::usage_collector::{USAGE_PATH, write_batches};
 use crate::{edge_state::EdgeState, peer_client::PeerClient, store::StoreAccess};
 use pimentoslip_kernel::UsageBatch;
 use pimentoslip_telemetry::LogLine;
@@ -40,7 +40,8 @@
     let UsageBatch { number, window, counts } = batch;
     let part = UsageBatchEntry { daemon: state.settings.vm.clone(), incarnation: state.incarnation, number, counts };
     let push = UsagePush { window, batch: part };
-    if send_to_collector(state, peers, &push).await || write_parts(state, store, &[(window, vec![push.batch])]).await {
+    if send_to_collector(state, peers, &push).await || write_batches(state, store, &[(window, vec![push.batch])]).await
+    {
         state.usage().batch_stored(number);
     }
 }
--- a/crates/edge/src/edge_state.rs
+++ b/crates/edge/src/edge_state.rs
@@ -47,11 +47,11 @@
     ownership: Mutex<OwnershipTable>,
     jobs: Mutex<JobIndex>,
     usage: Mutex<UsageTally>,
-    lease: Mutex<LeaseView>,
-    store_path: Mutex<PathSelector>,
+    lease_view: Mutex<LeaseView>,
+    path_selector: Mutex<PathSelector>,
     store_reconnected_at: Mutex<Option<TimePoint>>,
     usage_write_count: AtomicU64,
-    run_board: Mutex<RunReports>,
+    run_reports: Mutex<RunReports>,
     pending_duty_calls: AtomicUsize,
 }
 
@@ -122,11 +122,11 @@
             ownership: Mutex::new(OwnershipTable::new(settings.vm.clone(), incarnation)),
             jobs: Mutex::new(JobIndex::new(settings.memory_limit_bytes / RESULTS_MEMORY_DIVISOR)),
             usage: Mutex::new(UsageTally::new(settings.usage_window_ms)),
-            lease: Mutex::default(),
-            store_path: Mutex::new(PathSelector::new(fingerprint(&[settings.vm.as_bytes()]))),
+            lease_view: Mutex::default(),
+            path_selector: Mutex::new(PathSelector::new(fingerprint(&[settings.vm.as_bytes()]))),
             store_reconnected_at: Mutex::default(),
             usage_write_count: AtomicU64::new(0),
-            run_board: Mutex::default(),
+            run_reports: Mutex::default(),
             pending_duty_calls: AtomicUsize::new(0),
             settings,
             clock,
@@ -193,13 +193,13 @@
     }
 
     /// Locks the state of this daemon's lease and of the duty.
-    pub fn lease(&self) -> MutexGuard<'_, LeaseView> {
-        lock(&self.lease)
+    pub fn lease_view(&self) -> MutexGuard<'_, LeaseView> {
+        lock(&self.lease_view)
     }
 
     /// Locks the choice of the path to the store: direct or relayed through a peer.
-    pub fn store_path(&self) -> MutexGuard<'_, PathSelector> {
-        lock(&self.store_path)
+    pub fn path_selector(&self) -> MutexGuard<'_, PathSelector> {
+        lock(&self.path_selector)
     }
 
     /// Records that the direct path to the store works again since `at`.
@@ -214,8 +214,8 @@
     }
 
     /// Locks the numbers of batch items that other daemons run at each upstream.
-    pub fn run_board(&self) -> MutexGuard<'_, RunReports> {
-        lock(&self.run_board)
+    pub fn run_reports(&self) -> MutexGuard<'_, RunReports> {
+        lock(&self.run_reports)
     }
 
     /// Counts a call made under the duty as pending until the guard is dropped.
@@ -241,7 +241,7 @@
     /// while draining.
     #[must_use]
     pub fn is_lease_valid(&self) -> bool {
-        !self.is_draining() && self.lease().ends_at > self.now()
+        !self.is_draining() && self.lease_view().ends_at > self.now()
     }
 
     /// Whether this daemon is draining before it stops.
--- a/crates/edge/src/http/peer_api.rs
+++ b/crates/edge/src/http/peer_api.rs
@@ -1,7 +1,7 @@
 //! Control API through which daemons call each other.
 
 use crate::{
-    job::{ResultsQuery, SubmittedJob, accept_pushed_job, local_item, local_results},
+    job::{ResultsQuery, SubmittedJob, accept_job, local_item, local_results},
     store::RELAY_PATH,
     worker_parts::WorkerParts,
 };
@@ -24,7 +24,7 @@
 pub async fn relay_store_call(parts: web::Data<WorkerParts>, request: HttpRequest, body: web::Bytes) -> HttpResponse {
     let path = request.uri().path_and_query().map(ToString::to_string).unwrap_or_default();
     let Some(store_path) = path.strip_prefix(RELAY_PATH) else { return HttpResponse::NotFound().finish() };
-    if !parts.state.store_path().is_direct_available() {
+    if !parts.state.path_selector().is_direct_available() {
         return HttpResponse::ServiceUnavailable().finish();
     }
     match parts.relay_client.relay_call(request.method().clone(), store_path, body).await {
@@ -40,7 +40,7 @@
 /// Responds to a peer with changes of the store.
 pub async fn read_changes(parts: web::Data<WorkerParts>, body: web::Bytes) -> HttpResponse {
     match decode::<ChangesRequest>(&body) {
-        Ok(request) => message_response(&parts.change_hub.answer(request).await),
+        Ok(request) => message_response(&parts.change_hub.changes_response(request).await),
         Err(error) => malformed_response(&error),
     }
 }
@@ -69,7 +69,7 @@
     match decode::<RunReport>(&body) {
         Ok(report) => {
             let now = parts.state.now();
-            parts.state.run_board().runs_reported(report.daemon, report.runs, now);
+            parts.state.run_reports().runs_reported(report.daemon, report.runs, now);
             message_response(&true)
         }
         Err(error) => malformed_response(&error),
@@ -126,6 +126,6 @@
     };
     let job =
         SubmittedJob { id: push.job, entry: push.entry, placement_key: "".into(), body: push.body.into(), submission };
-    accept_pushed_job(state, &job, Some(owner), push.ledger_state);
+    accept_job(state, &job, Some(owner), push.ledger_state);
     HttpResponse::Ok().finish()
 }
--- a/crates/edge/src/http/proxy.rs
+++ b/crates/edge/src/http/proxy.rs
@@ -81,7 +81,7 @@
         Some(client_watch) if rule.kind == RouteKind::Idempotent => {
             tokio::select! {
                 upstream_response = attempts => upstream_response?,
-                () = client_watch.closed() => {
+                () = client_watch.wait_for_close() => {
                     LogLine::new("client_left").field("request_id", &context.id).info();
                     EdgeMetrics::increment(&EdgeMetrics::global().answers, "client_left");
                     return Err(ApiRefusal::ResponseTimeout);
--- a/crates/edge/src/job/claim_task.rs
+++ b/crates/edge/src/job/claim_task.rs
@@ -22,7 +22,7 @@
             let jobs = state.jobs();
             state.ownership().due_claims(now, reconnected_at, |job| jobs.has_state(job))
         };
-        let lease = state.lease().lease;
+        let lease = state.lease_view().lease;
         if let Some(lease) = lease {
             for claim in claims {
                 claim_job(&state, &store, &claim, lease).await;
--- a/crates/edge/src/job/item_run.rs
+++ b/crates/edge/src/job/item_run.rs
@@ -84,7 +84,7 @@
     }
     drop(guard);
     job.ledger.borrow_mut().run_ended(work.index, run.end, state.now());
-    job.changed.notify_one();
+    job.ledger_changed.notify_one();
 }
 
 /// Version of the item's model at the upstream according to the platform's list of upstreams; 0 if it lists none.
@@ -131,7 +131,7 @@
     let now = state.now();
     let call = item_call(job, work, priority, give_up_at.min(now.plus_ms(RUN_MS_MAX)));
     let response =
-        actix_rt::time::timeout(RESPONSE_HEADER_TIMEOUT, start_attempt(&job.upstreams, &call, guard, now)).await;
+        actix_rt::time::timeout(RESPONSE_HEADER_TIMEOUT, start_attempt(&job.upstream_client, &call, guard, now)).await;
     let mut response = match response {
         Ok(Ok(response)) => response,
         Ok(Err(error)) => return FinishedRun::from_failure(error.failure),
--- a/crates/edge/src/job/job_runner.rs
+++ b/crates/edge/src/job/job_runner.rs
@@ -36,8 +36,8 @@
 
 /// Runs the owned job `id` until it is settled or ended, another daemon owns it, or this daemon drains. In the last
 /// case an unfinished job is handed over.
-pub async fn run_job(state: Arc<EdgeState>, upstreams: Client, store: StoreAccess, id: SharedName) {
-    if let Some(job) = open_job(&state, upstreams, store, &id).await {
+pub async fn run_job(state: Arc<EdgeState>, upstream_client: Client, store: StoreAccess, id: SharedName) {
+    if let Some(job) = open_job(&state, upstream_client, store, &id).await {
         drive_job(&job).await;
         if state.is_draining() && !job.ledger.borrow().is_settled() {
             hand_over(&job).await;
@@ -74,14 +74,19 @@
 }
 
 /// Reads the job, and repeats failed reads. `None` if this process must stop running the job meanwhile.
-async fn open_job(state: &Arc<EdgeState>, upstreams: Client, store: StoreAccess, id: &SharedName) -> Option<OwnedJob> {
+async fn open_job(
+    state: &Arc<EdgeState>,
+    upstream_client: Client,
+    store: StoreAccess,
+    id: &SharedName,
+) -> Option<OwnedJob> {
     let pending = state.jobs().take_pending(id);
     loop {
         if should_stop(state, id) {
             return None;
         }
         match read_inputs(state, &store, id, pending.clone()).await {
-            Ok(inputs) => return build_job(state, upstreams, store, id, inputs),
+            Ok(inputs) => return build_job(state, upstream_client, store, id, inputs),
             Err(error) => {
                 LogLine::new("job_read_failed").field("job", id).field("reason", error).warn();
                 actix_rt::time::sleep(READ_RETRY_DELAY).await;
@@ -118,7 +123,7 @@
 /// the job or its owner is no longer recorded.
 fn build_job(
     state: &Arc<EdgeState>,
-    upstreams: Client,
+    upstream_client: Client,
     store: StoreAccess,
     id: &SharedName,
     inputs: JobInputs,
@@ -152,7 +157,7 @@
     state.jobs().job_opened(id, submission.clone(), results);
     Some(OwnedJob {
         state: state.clone(),
-        upstreams,
+        upstream_client,
         store,
         id: id.clone(),
         organisation: Some(entry.organisation.clone()).filter(|organisation| !organisation.is_empty()),
@@ -162,7 +167,7 @@
         submitted_at,
         owner_revision: Rc::new(Cell::new(revision)),
         ledger: Rc::new(RefCell::new(ledger)),
-        changed: Rc::new(Notify::new()),
+        ledger_changed: Rc::new(Notify::new()),
     })
 }
 
@@ -226,7 +231,7 @@
             state.results_listed.notify_waiters();
             return;
         }
-        let _ = actix_rt::time::timeout(PASS_PERIOD, job.changed.notified()).await;
+        let _ = actix_rt::time::timeout(PASS_PERIOD, job.ledger_changed.notified()).await;
     }
 }
 
--- a/crates/edge/src/job/job_writer.rs
+++ b/crates/edge/src/job/job_writer.rs
@@ -146,10 +146,10 @@
 /// Records a job that was stored at `revision`, and transfers it to its owner: at once if that is this process, or else
 /// with a message in the background.
 fn assign_stored_job(parts: &WorkerParts, job: &SubmittedJob, owner: Option<ChosenOwner>, revision: u64) {
-    let Some(owner) = owner else { return accept_pushed_job(&parts.state, job, None, None) };
+    let Some(owner) = owner else { return accept_job(&parts.state, job, None, None) };
     let owner_record = owner.signature.clone().into_owner(revision);
     if owner.signature == parts.state.daemon_entry() {
-        return accept_pushed_job(&parts.state, job, Some(owner_record), None);
+        return accept_job(&parts.state, job, Some(owner_record), None);
     }
     {
         let now = parts.state.now();
@@ -200,12 +200,7 @@
 
 /// Adds a stored job to the index, with its submission and, if it has run before, its `ledger`. Without an `owner`, any
 /// daemon may claim the job.
-pub fn accept_pushed_job(
-    state: &EdgeState,
-    job: &SubmittedJob,
-    owner: Option<OwnerRecord>,
-    ledger: Option<LedgerState>,
-) {
+pub fn accept_job(state: &EdgeState, job: &SubmittedJob, owner: Option<OwnerRecord>, ledger: Option<LedgerState>) {
     let now = state.now();
     {
         let mut jobs = state.jobs();
--- a/crates/edge/src/job/owned_job.rs
+++ b/crates/edge/src/job/owned_job.rs
@@ -19,7 +19,7 @@
     /// State of the daemon.
     pub state: Arc<EdgeState>,
     /// Client for upstreams.
-    pub upstreams: Client,
+    pub upstream_client: Client,
     /// Client for the store.
     pub store: StoreAccess,
     /// Id of the job.
@@ -39,7 +39,7 @@
     /// Progress of the items, and the results that are not stored yet.
     pub ledger: Rc<RefCell<BatchLedger>>,
     /// Wakes the job's main task after a run or a scoring has ended.
-    pub changed: Rc<Notify>,
+    pub ledger_changed: Rc<Notify>,
 }
 
 impl std::fmt::Debug for OwnedJob {
--- a/crates/edge/src/job/score_run.rs
+++ b/crates/edge/src/job/score_run.rs
@@ -30,7 +30,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlacementError {
     /// No upstream of the scorer has a spare slot.
-    NoRoom,
+    NoCapacity,
     /// The item has no scorer, or the current configuration has no route to it.
     NoRoute,
 }
@@ -49,7 +49,7 @@
         capacity: CapacityNeed::SpareSlot,
         affinity: &scorer.id,
     };
-    let guard = UpstreamGuard::pick(state, &query).ok_or(PlacementError::NoRoom)?;
+    let guard = UpstreamGuard::pick(state, &query).ok_or(PlacementError::NoCapacity)?;
     let call = UpstreamCall {
         id: scorer.id.clone(),
         method: Method::POST,
@@ -83,7 +83,7 @@
     }
     let now = job.state.now();
     job.ledger.borrow_mut().scoring_ended(index, end, failures_max(&job, index), now);
-    job.changed.notify_one();
+    job.ledger_changed.notify_one();
 }
 
 /// Scorer failures after which the item is given up: the larger of the attempts that the job's route and the scorer's
@@ -98,7 +98,7 @@
 async fn send_score_call(job: &OwnedJob, score_call: ScoreCall) -> (ScoreOutcome, &'static str) {
     let ScoreCall { call, mut guard } = score_call;
     let now = job.state.now();
-    let response = match fetch_complete(&job.upstreams, &call, &guard, now, RESPONSE_BYTES_MAX).await {
+    let response = match fetch_complete(&job.upstream_client, &call, &guard, now, RESPONSE_BYTES_MAX).await {
         Ok(response) => response,
         Err(failure) => {
             guard.set_outcome(failure.upstream_outcome());
--- a/crates/edge/src/lease_task.rs
+++ b/crates/edge/src/lease_task.rs
@@ -21,7 +21,7 @@
 pub async fn maintain_lease(state: Arc<EdgeState>, store: StoreAccess) {
     let lease_ms = LEASE_TTL_MS.max(state.settings.lease_ms_min);
     while !state.is_draining() {
-        let current_lease = state.lease().lease;
+        let current_lease = state.lease_view().lease;
         let requested_at = state.now();
         let delay = match current_lease {
             None => acquire_lease(&state, &store, lease_ms).await,
@@ -47,7 +47,7 @@
 
 /// Extends `lease` until `ends_at`, if it is still the current one.
 fn lease_renewed(state: &EdgeState, lease: u64, ends_at: TimePoint) {
-    let mut view = state.lease();
+    let mut view = state.lease_view();
     if view.lease == Some(lease) {
         view.ends_at = ends_at;
     }
@@ -55,7 +55,7 @@
 
 /// Clears the lease, so that a new one is acquired.
 fn lease_lost(state: &EdgeState) {
-    let mut view = state.lease();
+    let mut view = state.lease_view();
     view.lease = None;
     view.ends_at = TimePoint(0);
 }
@@ -91,7 +91,7 @@
         return RETRY_DELAY;
     }
     LogLine::new("lease_granted").field("lease", lease).info();
-    let mut view = state.lease();
+    let mut view = state.lease_view();
     view.lease = Some(lease);
     view.ends_at = requested_at.plus_ms(lease_ms);
     RENEW_INTERVAL
@@ -99,8 +99,8 @@
 
 /// Revokes the lease, so that other daemons can take over at once.
 pub async fn revoke_lease(state: &EdgeState, store: &StoreAccess) {
-    let current_lease = state.lease().lease.take();
-    state.lease().ends_at = TimePoint(0);
+    let current_lease = state.lease_view().lease.take();
+    state.lease_view().ends_at = TimePoint(0);
     let Some(lease) = current_lease else { return };
     match store.revoke_lease(lease).await {
         Ok(()) => LogLine::new("lease_ended").field("lease", lease).info(),
--- a/crates/edge/src/store/change_hub.rs
+++ b/crates/edge/src/store/change_hub.rs
@@ -38,7 +38,7 @@
     }
 
     /// Responds to another daemon: with changes as soon as there are any, or with none once its wait has passed.
-    pub async fn answer(&self, request: ChangesRequest) -> ChangesResponse {
+    pub async fn changes_response(&self, request: ChangesRequest) -> ChangesResponse {
         let key = (request.prefix, request.revision);
         let shared_watch = self.join_watch(&key);
         let batch = match actix_rt::time::timeout(Duration::from_millis(request.wait_ms), shared_watch).await {
--- a/crates/edge/src/store/coordination_keys.rs
+++ b/crates/edge/src/store/coordination_keys.rs
@@ -68,7 +68,7 @@
             self.state.ownership().owner_recorded(job.into(), entry.into_owner(item.revision), now);
         } else if item.key == KeyLayout::DUTY_HOLDER_KEY {
             LogLine::new("duty_holder").field("holder", &entry.daemon).field("fencing_token", item.revision).info();
-            self.state.lease().duty_observed(item.revision, entry);
+            self.state.lease_view().duty_observed(item.revision, entry);
         }
     }
 
@@ -84,7 +84,7 @@
             self.state.jobs().job_deleted(job);
             self.state.ownership().job_deleted(job);
         } else if key == KeyLayout::DUTY_HOLDER_KEY {
-            let mut lease = self.state.lease();
+            let mut lease = self.state.lease_view();
             if lease.duty.as_ref().is_some_and(|(written_revision, _)| *written_revision <= revision) {
                 lease.duty = None;
             }
--- a/crates/edge/src/store/store_access.rs
+++ b/crates/edge/src/store/store_access.rs
@@ -44,7 +44,7 @@
     /// The path and client of the next call; `None` while calls back off because the store is unreachable, or if the
     /// chosen peer has no usable address.
     fn next_path(&self) -> Option<(ServicePath, StoreClient)> {
-        let path = self.state.store_path().next_path(self.state.now(), || self.ranked_peers())?;
+        let path = self.state.path_selector().next_path(self.state.now(), || self.ranked_peers())?;
         match &path {
             ServicePath::Direct => Some((path, self.direct_client.clone())),
             ServicePath::Relay(peer) => {
@@ -76,7 +76,7 @@
     /// Updates the choice of path with the result of a call, and logs when the direct path stops or starts working.
     fn record_result<T>(&self, path: &ServicePath, started_at: TimePoint, result: &Result<T>) {
         let now = self.state.now();
-        let mut choice = self.state.store_path();
+        let mut choice = self.state.path_selector();
         match result {
             Err(error @ (StoreError::NotApplied { .. } | StoreError::OutcomeUnknown { .. })) => {
                 if choice.call_failed(path, started_at, now) {
--- a/crates/edge/src/store/upstream_keys.rs
+++ b/crates/edge/src/store/upstream_keys.rs
@@ -69,7 +69,7 @@
 impl UpstreamKeys {
     /// Time until which an entry that is missing now may be written again because of an outage of the store.
     fn relist_deadline(&self, now: TimePoint) -> TimePoint {
-        if !self.state.store_path().is_direct_available() {
+        if !self.state.path_selector().is_direct_available() {
             return now.plus_ms(RELIST_GRACE_MS);
         }
         self.state.store_reconnected_at().map_or(TimePoint(0), |at| at.plus_ms(RELIST_GRACE_MS))
