--- a/crates/cli/src/demo/scenes.rs
+++ b/crates/cli/src/demo/scenes.rs
@@ -5,7 +5,11 @@
 use awc::http::StatusCode;
 use pimentoslip_kernel::{ConfigFile, FetchCursor, KeySecret};
 use pimentoslip_standin::{RecordedOrder, RecordedRequest, RecordedUsageReport, SpareUpstream};
-use pimentoslip_wire::{IDEMPOTENCY_KEY_HEADER, REPLAYED_HEADER, admin::{ApplyRequest, ChangeResponse, KeyRequest, RecordBody, StatusResponse}, caller::{FetchRequest, FetchResponse, OpenRequest, PublishRequest, Refusal}};
+use pimentoslip_wire::{
+    IDEMPOTENCY_KEY_HEADER, REPLAYED_HEADER,
+    admin::{ApplyRequest, ChangeResponse, KeyRequest, RecordBody, StatusResponse},
+    caller::{FetchRequest, FetchResponse, OpenRequest, PublishRequest, Refusal},
+};
 use serde::{Serialize, de::DeserializeOwned};
 use std::{future::Future, time::Duration};
 
--- a/crates/cli/tests/processes/support/daemon_site.rs
+++ b/crates/cli/tests/processes/support/daemon_site.rs
@@ -3,7 +3,11 @@
 use super::{ChildProcess, HttpAnswer, HttpClient, Workdir, wait_for};
 use pimentoslip_kernel::KeySecret;
 use pimentoslip_standin::{EngineFault, KvFault, PlainFault, RecordedRequest};
-use pimentoslip_wire::{OPERATOR_KEY_HEADER, admin::{ChangeResponse, KeyRequest, StatusResponse}, provider::{VmEntry, VmRole, VmState}};
+use pimentoslip_wire::{
+    OPERATOR_KEY_HEADER,
+    admin::{ChangeResponse, KeyRequest, StatusResponse},
+    provider::{VmEntry, VmRole, VmState},
+};
 use serde::{Serialize, de::DeserializeOwned};
 
 /// Organisation that owns the API keys which tests create.
