--- a/crates/client/src/etcd_client.rs
+++ b/crates/client/src/etcd_client.rs
@@ -16,8 +16,10 @@
     time::Duration,
 };
 
+/// Maximum size of a response.
 const RESPONSE_BYTES_MAX: usize = 64 << 20;
 const MS_PER_SECOND: u64 = 1_000;
+/// Longest wait of a watch for the response, and for each chunk of it.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Client of one endpoint. Clones share its connections and its call counter.
@@ -25,6 +27,7 @@
 pub struct EtcdClient {
     client: Client,
     endpoint: Arc<str>,
+    /// Number of calls made, including watches.
     calls: Arc<AtomicU64>,
 }
 
@@ -92,7 +95,7 @@
     }
 
     async fn revoke_lease(&self, lease: u64) -> Result<()> {
-        let _: ResponseEnvelope = self.call("/v3/lease/revoke", &LeaseId { id: lease }).await?;
+        let _: HeaderOnlyResponse = self.call("/v3/lease/revoke", &LeaseId { id: lease }).await?;
         Ok(())
     }
 
@@ -113,9 +116,9 @@
             received.extend_from_slice(&chunk.map_err(|error| self.unreachable(&error))?);
             while let Some(line_end) = received.iter().position(|byte| *byte == b'\n') {
                 let complete_line: Vec<u8> = received.drain(..=line_end).collect();
-                let response: WatchResponse = self.parse(&complete_line)?;
-                if !response.result.events.is_empty() {
-                    return Ok(response.result.header.revision);
+                let watch_response: WatchResponse = self.parse(&complete_line)?;
+                if !watch_response.result.events.is_empty() {
+                    return Ok(watch_response.result.header.revision);
                 }
             }
         }
@@ -124,7 +127,7 @@
 
 /// Response of which only the header is checked.
 #[derive(serde::Deserialize)]
-struct ResponseEnvelope {
+struct HeaderOnlyResponse {
     #[serde(rename = "header", default)]
     _header: ResponseHeader,
 }
--- a/crates/client/src/http_client.rs
+++ b/crates/client/src/http_client.rs
@@ -10,7 +10,9 @@
 use std::time::Duration;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Maximum number of open connections of a client.
 const CONNECTIONS_MAX: usize = 4_096;
+/// Time after which an idle connection is closed.
 const IDLE_CONNECTION_TTL: Duration = Duration::from_secs(15);
 
 /// A client that reuses connections and reports a truncated response as an error.
--- a/crates/client/src/lease_clock.rs
+++ b/crates/client/src/lease_clock.rs
@@ -11,8 +11,11 @@
 /// so that the leases of a VM have expired when it resumes after a suspension. Never runs backwards.
 #[derive(Debug)]
 pub struct LeaseClock {
+    /// Boot time at which the clock was created.
     boot_origin_ms: u64,
+    /// Wall time at which the clock was created.
     wall_origin_ms: u64,
+    /// Latest time returned, below which the clock never falls.
     latest_ms: AtomicU64,
 }
 
--- a/crates/client/src/provider_client.rs
+++ b/crates/client/src/provider_client.rs
@@ -11,7 +11,9 @@
 use serde::{Serialize, de::DeserializeOwned};
 use std::sync::Arc;
 
+/// Maximum size of a response.
 const RESPONSE_BYTES_MAX: usize = 16 << 20;
+/// Header with the fencing number of the daemon that holds the duty.
 const FENCING_HEADER: &str = "x-fencing";
 const NOT_FOUND: u16 = 404;
 const CONFLICT: u16 = 409;
@@ -50,7 +52,7 @@
     }
 
     /// Reads the list of VMs.
-    pub async fn vms(&self) -> Result<VmList> {
+    pub async fn vm_list(&self) -> Result<VmList> {
         self.get(&self.vms_endpoint, "/v1/vms").await
     }
 
--- a/crates/client/tests/contract/provider.rs
+++ b/crates/client/tests/contract/provider.rs
@@ -104,5 +104,5 @@
 
 #[actix_rt::test]
 async fn the_vm_list_is_decoded() {
-    fixture(false).client.vms().await.expect("a list");
+    fixture(false).client.vm_list().await.expect("a list");
 }
--- a/crates/daemon/src/task/listing_task.rs
+++ b/crates/daemon/src/task/listing_task.rs
@@ -26,7 +26,7 @@
     }
 
     async fn read_list(&self) {
-        let list = match self.provider.vms().await {
+        let list = match self.provider.vm_list().await {
             Ok(list) => list,
             Err(error) => {
                 LogLine::new("vm_list_failed").field("error", error).warn();
--- a/crates/wire/src/admin/change.rs
+++ b/crates/wire/src/admin/change.rs
@@ -1,57 +1,57 @@
-//! `POST /admin/v1/apply` and `GET /admin/v1/config`.
+//! Messages of `POST /admin/v1/apply` and `GET /admin/v1/config`.
 
 use pimentoslip_kernel::{ConfigRecord, RecordName};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// One record.
+/// Configuration record of the site, of a service or of an organisation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordBody {
-    /// Name.
+    /// Name of the record.
     pub name: RecordName,
-    /// Revision that wrote it; zero in a request.
+    /// Store revision that wrote the record; 0 in a request.
     #[serde(default)]
     pub revision: u64,
-    /// Content.
+    /// Content of the record.
     pub record: ConfigRecord,
 }
 
-/// Brings the site to the given records. Services and organisations that are not named are removed.
+/// Requests that the site has exactly the given services and organisations; those that are not named are removed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ApplyRequest {
-    /// Chosen by the operator's tool; the same id again is the same change.
+    /// Id chosen by the operator's tool. A request with the id of an earlier change repeats that change.
     #[serde(rename = "change")]
     pub change_id: Arc<str>,
-    /// Wanted records.
+    /// Records that the site shall have.
     pub records: Vec<RecordBody>,
 }
 
-/// What became of a change. It is on record in any case; it is accepted once every daemon that may be
-/// running holds it.
+/// Outcome of a change. The change is stored in any case; it is accepted once every daemon that may be running has
+/// confirmed it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeResponse {
-    /// Whether every daemon that may be running has confirmed. Otherwise the change is pending.
+    /// Whether every daemon that may be running has confirmed the change. Otherwise it is pending.
     pub accepted: bool,
-    /// Highest revision written, or the one in force when nothing changed.
+    /// Highest revision written, or the current revision if nothing changed.
     pub revision: u64,
-    /// Records written.
+    /// Number of records written.
     #[serde(rename = "changed")]
     pub changed_count: usize,
     /// Daemons that confirmed the change.
     pub confirmed: Vec<Arc<str>>,
-    /// Daemons that did not answer in time; they refuse keyed calls until they have caught up.
+    /// Daemons that did not respond in time; they refuse requests with keys until they have received the change.
     pub unconfirmed: Vec<Arc<str>>,
 }
 
-/// The configuration in force in the daemon asked.
+/// Configuration that the responding daemon applies.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigResponse {
-    /// Daemon.
+    /// Name of the responding daemon.
     pub daemon: Arc<str>,
     /// Highest revision of any record.
     pub revision: u64,
-    /// Age of the daemon's knowledge in milliseconds.
+    /// Time in milliseconds since the daemon was last certain to have every accepted change; `None` if it never was.
     pub age_ms: Option<u64>,
-    /// Records without key hashes.
+    /// Records, without the hashes of keys.
     pub records: Vec<RecordBody>,
 }
--- a/crates/wire/src/admin/key_change.rs
+++ b/crates/wire/src/admin/key_change.rs
@@ -1,51 +1,51 @@
-//! `POST /admin/v1/keys/create`, `/withdraw` and `GET /admin/v1/keys`.
+//! Messages of `POST /admin/v1/keys/create`, `POST /admin/v1/keys/withdraw` and `GET /admin/v1/keys`.
 
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Creates or withdraws a key.
+/// Request to create or to withdraw a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyRequest {
-    /// Chosen by the operator's tool; the same id again is the same change.
+    /// Id chosen by the operator's tool. A request with the id of an earlier change repeats that change.
     #[serde(rename = "change")]
     pub change_id: Arc<str>,
-    /// Organisation.
+    /// Organisation that the key belongs to.
     pub organisation: Arc<str>,
-    /// Id of the key.
+    /// Id of the key; the part of the key that is not secret.
     #[serde(rename = "key")]
     pub key_id: Arc<str>,
-    /// Hash of a new key, absent when withdrawing.
+    /// Hash of the key to be created; `None` to withdraw a key.
     #[serde(default)]
     #[serde(rename = "hash")]
     pub key_hash: Option<String>,
 }
 
-/// A new key, shown once by the operator's tool.
+/// New key, printed once by the operator's tool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyCreateResponse {
-    /// Organisation.
+    /// Organisation that the key belongs to.
     pub organisation: Arc<str>,
-    /// The whole key.
+    /// Complete key, including its secret.
     pub key: String,
-    /// Revision that holds it.
+    /// Revision of the configuration that first contains the key.
     pub revision: u64,
 }
 
-/// One key without its secret.
+/// Listed key without its secret.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyBody {
-    /// Organisation.
+    /// Organisation that the key belongs to.
     pub organisation: Arc<str>,
-    /// Id.
+    /// Id of the key; the part of the key that is not secret.
     #[serde(rename = "key")]
     pub key_id: Arc<str>,
-    /// Whether it was withdrawn.
+    /// Whether the key was withdrawn.
     pub withdrawn: bool,
 }
 
-/// All keys.
+/// List of all keys of the site.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyListResponse {
-    /// Keys sorted by organisation and id.
+    /// Keys, sorted by organisation and id.
     pub keys: Vec<KeyBody>,
 }
--- a/crates/wire/src/admin/mod.rs
+++ b/crates/wire/src/admin/mod.rs
@@ -1,4 +1,4 @@
-//! The administration API.
+//! Messages of the administration API.
 
 mod change;
 mod key_change;
--- a/crates/wire/src/admin/status.rs
+++ b/crates/wire/src/admin/status.rs
@@ -1,96 +1,96 @@
-//! `GET /admin/v1/status`.
+//! Messages of `GET /admin/v1/status`.
 
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// One daemon as seen by the daemon asked.
+/// Daemon of the site as the responding daemon sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DaemonStatus {
-    /// Name.
+    /// Name of the daemon.
     pub name: Arc<str>,
-    /// Failure domain.
+    /// Failure domain of the daemon's VM.
     pub failure_domain: Arc<str>,
-    /// Standing.
+    /// Liveness of the daemon.
     pub state: String,
-    /// Incarnation of its process.
+    /// Incarnation of the daemon's process.
     pub incarnation: u64,
 }
 
-/// A duty that the daemon asked takes part in.
+/// Duty for which the responding daemon is a candidate.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DutyStatus {
-    /// Duty.
+    /// Name of the duty.
     pub duty: Arc<str>,
-    /// "idle", "settling" or "held".
+    /// State of the daemon's lease for the duty: "idle", "settling" or "held".
     pub state: String,
-    /// Fencing number while held.
+    /// Fencing number while the lease is held; `None` otherwise.
     pub fencing: Option<u64>,
 }
 
-/// One upstream.
+/// Upstream as the responding daemon sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamStatus {
-    /// VM.
+    /// Name of the upstream's VM.
     pub name: Arc<str>,
-    /// Service.
+    /// Service that the upstream runs.
     pub service: Arc<str>,
-    /// Failure domain.
+    /// Failure domain of the upstream's VM.
     pub failure_domain: Arc<str>,
     /// "live" or "leaving".
     pub state: String,
-    /// Whether it may be reclaimed.
+    /// Whether the platform may reclaim the VM at any time.
     pub reclaimable: bool,
-    /// Requests of the daemon asked.
+    /// Number of requests that the responding daemon has in flight on the upstream.
     pub inflight: u64,
-    /// Weight version last reported.
+    /// Weight version that the upstream last reported; `None` before its first report.
     pub version: Option<u64>,
 }
 
-/// One step whose home is the daemon asked.
+/// Step that the responding daemon runs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepStatus {
     /// `ORGANISATION/TRAINER/STEP`.
     pub step: Arc<str>,
-    /// Samples confirmed by the trainer.
+    /// Number of samples whose receipt the trainer confirmed.
     pub confirmed: usize,
-    /// Samples waiting for a fetch.
+    /// Number of finished samples that wait for a fetch.
     pub ready: usize,
-    /// Attempts running.
+    /// Number of running attempts.
     pub running: usize,
-    /// Samples in the step.
+    /// Number of samples in the step.
     pub total: usize,
-    /// Tokens generated in vain.
+    /// Number of generated tokens that are in no sample.
     pub wasted_tokens: u64,
 }
 
-/// The daemon asked, as it sees the site.
+/// State of the site as the responding daemon sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatusResponse {
-    /// Daemon.
+    /// Name of the responding daemon.
     pub daemon: Arc<str>,
-    /// Highest revision of any record.
+    /// Highest revision of any configuration record.
     pub revision: u64,
-    /// Whether keys are trusted.
+    /// Whether the daemon's configuration is recent enough to accept keys.
     #[serde(rename = "fresh")]
     pub keys_trusted: bool,
-    /// Whether it is leaving.
+    /// Whether the daemon is shutting down.
     pub draining: bool,
-    /// Daemons.
+    /// All daemons of the site that the responding daemon has seen, including itself.
     pub daemons: Vec<DaemonStatus>,
-    /// Duties.
+    /// Duties for which the responding daemon is a candidate.
     pub duties: Vec<DutyStatus>,
-    /// Upstreams.
+    /// Upstreams of all services.
     pub upstreams: Vec<UpstreamStatus>,
-    /// Steps at home here.
+    /// Steps that the responding daemon runs.
     pub steps: Vec<StepStatus>,
-    /// Staleness bound in versions.
+    /// Number of versions by which a delivered sample may trail the newest published weights.
     pub staleness_bound: u64,
-    /// Newest published version by service.
+    /// Newest published weight version by service.
     pub published: Vec<(Arc<str>, u64)>,
-    /// Spend of the listed upstreams, in hundredths of a currency unit an hour.
+    /// Spend on the listed upstreams, in hundredths of a currency unit per hour.
     pub spend_cents_per_hour: u64,
-    /// Committed floor.
+    /// Minimum spend owed, in hundredths of a currency unit per hour.
     pub floor_cents_per_hour: u64,
-    /// Ceiling.
+    /// Maximum spend, in hundredths of a currency unit per hour.
     pub ceiling_cents_per_hour: u64,
 }
--- a/crates/wire/src/caller/mod.rs
+++ b/crates/wire/src/caller/mod.rs
@@ -1,4 +1,4 @@
-//! What callers and trainers send and get.
+//! Requests of callers and trainers, and the responses to them.
 
 mod refusal;
 mod step;
--- a/crates/wire/src/caller/refusal.rs
+++ b/crates/wire/src/caller/refusal.rs
@@ -1,30 +1,30 @@
-//! The body of every refusal.
+//! Body of the response to a refused request.
 
 use pimentoslip_kernel::{RefusalReason, RunState};
 use serde::{Deserialize, Serialize};
 
-/// Why a request was refused, and whether it ran.
+/// Reason of a refusal, and whether the request ran.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RefusalBody {
-    /// Stable code.
+    /// Code of the reason, which stays the same across releases.
     pub code: String,
     /// "not run", "may have run" or "ran".
     pub run_state: String,
-    /// What the caller can do.
+    /// Advice to the caller on what to do.
     pub remedy: String,
-    /// Id of the request.
+    /// Id of the refused request.
     pub request_id: String,
 }
 
-/// Envelope of a refusal.
+/// JSON envelope of a refusal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// The refusal.
+    /// Reason of the refusal.
     pub error: RefusalBody,
 }
 
 impl Refusal {
-    /// Builds the body for `reason`.
+    /// Creates the body for `reason`.
     #[must_use]
     pub fn new(reason: RefusalReason, run_state: RunState, request_id: &str) -> Self {
         let error = RefusalBody {
--- a/crates/wire/src/caller/weights.rs
+++ b/crates/wire/src/caller/weights.rs
@@ -1,19 +1,19 @@
-//! `POST /v1/weights`: a trainer publishes a weight version.
+//! Messages of `POST /v1/weights`, by which a trainer publishes a weight version.
 
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// The publication.
+/// Request to publish a weight version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PublishRequest {
     /// Service whose engines load the weights.
     pub service: Arc<str>,
-    /// Version; each is higher than the one before.
+    /// Weight version, higher than all published before.
     pub version: u64,
 }
 
-/// The version is on record.
+/// Response to a published version, sent once it is stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PublishResponse {
     /// Newest published version.
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,27 +1,27 @@
-//! MessagePack between daemons.
+//! Encodes messages between daemons as MessagePack.
 
 use serde::{Serialize, de::DeserializeOwned};
 
-/// Result of encoding and decoding.
+/// Result of encoding or decoding a message.
 pub type Result<T> = std::result::Result<T, CodecError>;
 
-/// A message that could not be encoded or decoded.
+/// Reason why a message could not be encoded or decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum CodecError {
-    /// Encoding failed.
-    #[error("cannot encode a peer message: {0}; report this as a fault of the daemon")]
+    /// The message cannot be represented as MessagePack.
+    #[error("cannot encode a peer message: {0}; report this as a bug of the daemon")]
     Encode(#[from] rmp_serde::encode::Error),
-    /// Decoding failed.
+    /// The bytes are not a message of the expected type.
     #[error("cannot decode a peer message: {0}; run the same release on all daemons")]
     Decode(#[from] rmp_serde::decode::Error),
 }
 
-/// Encodes with field names, so that releases may add fields.
+/// Encodes a message with field names, so that later releases can add fields.
 pub fn encode<T: Serialize>(message: &T) -> Result<Vec<u8>> {
     Ok(rmp_serde::to_vec_named(message)?)
 }
 
-/// Decodes what [`encode`] made.
+/// Decodes a message that was encoded by [`encode`].
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T> {
     Ok(rmp_serde::from_slice(bytes)?)
 }
--- a/crates/wire/src/engine/load_order.rs
+++ b/crates/wire/src/engine/load_order.rs
@@ -1,12 +1,12 @@
-//! `POST /orders/load`: orders an engine to load a weight version.
+//! Messages of `POST /orders/load`, which orders an engine to load a weight version.
 
 use serde::{Deserialize, Serialize};
 
-/// The order.
+/// Order to load a weight version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadOrder {
-    /// Weight version.
+    /// Weight version to load.
     pub version: u64,
-    /// Fencing number of the orderer.
+    /// Fencing number of the daemon that holds the duty.
     pub fencing: u64,
 }
--- a/crates/wire/src/engine/load_report.rs
+++ b/crates/wire/src/engine/load_report.rs
@@ -1,18 +1,18 @@
-//! `GET /load`: an engine's lagging load report.
+//! Messages of `GET /load`, an engine's load report, which may be out of date.
 
 use serde::{Deserialize, Serialize};
 
-/// What the engine was doing when it made the report.
+/// State of the engine at the time of the report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests in the batch.
+    /// Number of requests that the engine is running.
     pub running: u64,
-    /// Requests waiting for a slot.
+    /// Number of requests that wait for a slot.
     pub waiting: u64,
-    /// Weight version loaded.
+    /// Loaded weight version; `None` if the engine does not report it.
     #[serde(default)]
     pub version: Option<u64>,
-    /// Whether it was told to leave and refuses new work.
+    /// Whether the engine is shutting down and refuses new requests.
     #[serde(default)]
     pub leaving: bool,
 }
--- a/crates/wire/src/engine/mod.rs
+++ b/crates/wire/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! Model engines: the OpenAI-compatible form, with weight versions in each chunk.
+//! Messages of model engines: the OpenAI-compatible API, with the weight version in each chunk.
 
 mod chunk;
 mod completion;
--- a/crates/wire/src/kv/base64_bytes.rs
+++ b/crates/wire/src/kv/base64_bytes.rs
@@ -1,4 +1,4 @@
-//! Serde form of bytes as base64 text.
+//! Serde functions for bytes as base64 text.
 
 use base64::{Engine, engine::general_purpose::STANDARD};
 use serde::{Deserialize, Deserializer, Serializer, de::Error};
--- a/crates/wire/src/kv/int_string.rs
+++ b/crates/wire/src/kv/int_string.rs
@@ -1,4 +1,4 @@
-//! Serde form of 64-bit integers as decimal strings.
+//! Serde functions for 64-bit integers as decimal strings.
 
 use serde::{Deserialize, Deserializer, Serializer, de::Error};
 
--- a/crates/wire/src/kv/key_value.rs
+++ b/crates/wire/src/kv/key_value.rs
@@ -1,22 +1,22 @@
-//! Stored entries and the header of every answer.
+//! Stored entries, and the header that every response contains.
 
 use serde::{Deserialize, Serialize};
 
-/// Carries the service's revision.
+/// Header of a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResponseHeader {
-    /// Revision of the whole store when the answer was made.
+    /// Revision of the store at the time of the response.
     #[serde(with = "super::int_string", default)]
     pub revision: u64,
 }
 
-/// One stored entry.
+/// Entry of the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyValue {
-    /// Key.
+    /// Key of the entry.
     #[serde(with = "super::base64_bytes")]
     pub key: Vec<u8>,
-    /// Value.
+    /// Value of the entry.
     #[serde(with = "super::base64_bytes", default)]
     pub value: Vec<u8>,
     /// Revision that created the key.
@@ -25,7 +25,7 @@
     /// Revision that last wrote the key.
     #[serde(with = "super::int_string", default)]
     pub mod_revision: u64,
-    /// Lease that the key ends with, zero for none.
+    /// Lease with which the key expires; 0 for none.
     #[serde(with = "super::int_string", default)]
     pub lease: u64,
 }
--- a/crates/wire/src/kv/lease.rs
+++ b/crates/wire/src/kv/lease.rs
@@ -1,33 +1,33 @@
-//! `POST /v3/lease/grant`, `/v3/lease/keepalive`, `/v3/lease/revoke`.
+//! Messages of `POST /v3/lease/grant`, `/v3/lease/keepalive` and `/v3/lease/revoke`.
 
 use super::ResponseHeader;
 use serde::{Deserialize, Serialize};
 
-/// Asks for a lease.
+/// Request for a new lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseGrantRequest {
-    /// Lifetime in seconds.
+    /// Time to live in seconds.
     #[serde(rename = "TTL", with = "super::int_string")]
     pub ttl_seconds: u64,
 }
 
-/// A granted lease.
+/// Response with the granted lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseGrantResponse {
-    /// Revision of the store.
+    /// Header with the revision of the store.
     pub header: ResponseHeader,
-    /// Lease.
+    /// Id of the lease.
     #[serde(rename = "ID", with = "super::int_string")]
     pub id: u64,
-    /// Lifetime in seconds.
+    /// Time to live in seconds.
     #[serde(rename = "TTL", with = "super::int_string")]
     pub ttl_seconds: u64,
 }
 
-/// Names a lease to renew or to revoke.
+/// Request to renew or to revoke a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseId {
-    /// Lease.
+    /// Id of the lease.
     #[serde(rename = "ID", with = "super::int_string")]
     pub id: u64,
 }
@@ -35,14 +35,14 @@
 /// Outcome of a renewal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeepAliveResult {
-    /// Remaining lifetime in seconds, zero when the lease is gone.
+    /// Remaining time to live in seconds; 0 if the lease has ended.
     #[serde(rename = "TTL", with = "super::int_string", default)]
     pub ttl_seconds: u64,
 }
 
-/// Answer to a renewal.
+/// Response to a renewal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeepAliveResponse {
-    /// Outcome.
+    /// Outcome of the renewal.
     pub result: KeepAliveResult,
 }
--- a/crates/wire/src/kv/mod.rs
+++ b/crates/wire/src/kv/mod.rs
@@ -1,5 +1,5 @@
-//! The key-value service, by the JSON form of the etcd v3 protocol: integers travel as strings,
-//! keys and values in base64.
+//! Messages of the key-value service, in the JSON form of the etcd v3 protocol: integers are decimal strings, keys and
+//! values are base64 text.
 
 mod base64_bytes;
 mod int_string;
--- a/crates/wire/src/kv/watch.rs
+++ b/crates/wire/src/kv/watch.rs
@@ -1,49 +1,49 @@
-//! `POST /v3/watch`: one JSON line for each batch of changes.
+//! Messages of `POST /v3/watch`, whose response has one JSON line for each batch of changes.
 
 use super::{KeyValue, ResponseHeader};
 use serde::{Deserialize, Serialize};
 
-/// What to watch.
+/// Range of keys and revisions to watch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchCreate {
-    /// First key.
+    /// First key of the range.
     #[serde(with = "super::base64_bytes")]
     pub key: Vec<u8>,
-    /// Key after the last one.
+    /// End of the range, exclusive.
     #[serde(with = "super::base64_bytes", default)]
     pub range_end: Vec<u8>,
-    /// First revision of interest.
+    /// First revision whose changes are sent.
     #[serde(with = "super::int_string", default)]
     pub start_revision: u64,
 }
 
-/// Question.
+/// Request to watch a range of keys.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchRequest {
-    /// What to watch.
+    /// Range to watch.
     pub create_request: WatchCreate,
 }
 
-/// One change.
+/// Change of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchEvent {
-    /// The entry as written.
+    /// Entry after the change.
     pub kv: KeyValue,
 }
 
-/// One batch of changes.
+/// Batch of changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchResult {
-    /// Revision of the batch.
+    /// Header with the revision of the batch.
     pub header: ResponseHeader,
-    /// Changes.
+    /// Changes in the order of their revisions.
     #[serde(default)]
     pub events: Vec<WatchEvent>,
 }
 
-/// One line of the answer.
+/// Line of the response.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchResponse {
-    /// Batch.
+    /// Batch of changes.
     pub result: WatchResult,
 }
--- a/crates/wire/src/peer/changes.rs
+++ b/crates/wire/src/peer/changes.rs
@@ -1,55 +1,55 @@
-//! Changes in the platform's store, passed from the daemon that watches it to those that follow.
+//! Changes of entries in the platform's store, sent by the daemon that watches the store to those that follow it.
 
 use serde::{Deserialize, Serialize};
 
-/// Asks for changes below a prefix after a revision.
+/// Request for the changes below a prefix after a revision.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ChangesRequest {
     /// Prefix of the keys.
     pub prefix: String,
-    /// Revision up to which the asker knows everything.
+    /// Revision up to which the requester has received all changes.
     pub revision: u64,
-    /// Time in milliseconds for which the call may be kept waiting.
+    /// Longest time in milliseconds to wait for the first change.
     pub wait_ms: u64,
 }
 
-/// The value of a written entry.
+/// Content of a written entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryBody {
-    /// Value.
+    /// Value of the entry.
     #[serde(with = "serde_bytes")]
     pub value: Vec<u8>,
-    /// Revision of its creation.
+    /// Store revision at which the entry was created.
     pub created_revision: u64,
-    /// Lease that it hangs on; 0 for none.
+    /// Lease with which the entry expires; 0 for none.
     pub lease: u64,
 }
 
-/// One change.
+/// Change of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeBody {
-    /// Key.
+    /// Key of the entry.
     pub key: String,
-    /// Revision of the change.
+    /// Store revision of the change.
     pub revision: u64,
-    /// What was written; none if the entry was removed.
+    /// Content that was written; `None` if the entry was removed.
     pub written: Option<EntryBody>,
 }
 
-/// What a watching daemon knows.
+/// Changes that the watching daemon has received from the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangesResponse {
-    /// Changes in order.
+    /// The changes after the requested revision; empty if there was none in time.
     Changes {
-        /// Changes.
+        /// Changes in the order of their revisions.
         changes: Vec<ChangeBody>,
-        /// Revision from which to go on.
+        /// Revision from which the next request continues.
         revision: u64,
     },
-    /// The store has dropped that part of its history.
+    /// The store has compacted its history beyond the requested revision.
     #[serde(rename = "HistoryGone")]
     HistoryCompacted,
-    /// The watching daemon does not reach the store.
+    /// The watching daemon cannot reach the store.
     #[serde(rename = "StoreAway")]
     StoreUnreachable,
 }
--- a/crates/wire/src/peer/claim.rs
+++ b/crates/wire/src/peer/claim.rs
@@ -1,74 +1,75 @@
-//! Idempotency claims, asked of the owner of their shard.
+//! Claims of idempotency keys, requested from the daemon that owns the key's shard.
 
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// An answer kept for repeats.
+/// Response that is stored for repeated requests with the same idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredResponse {
     /// HTTP status.
     pub status: u16,
-    /// Content type.
+    /// Content type of the body.
     pub content_type: Arc<str>,
-    /// Body.
+    /// Body of the response.
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
 }
 
-/// Asks for a claim.
+/// Request to claim an idempotency key for one run of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRequest {
     /// Organisation, service and idempotency key.
     pub key: Arc<str>,
-    /// Number drawn by the asker for this attempt; the same number again is the same attempt.
+    /// Number that the requester draws for this attempt. A claim request with the same number belongs to the same
+    /// attempt.
     #[serde(rename = "grant")]
     pub grant_id: u64,
-    /// Fingerprint of the request.
+    /// Fingerprint of the caller's request.
     pub fingerprint: u64,
-    /// Time within which the request will have ended, in milliseconds.
+    /// Time in milliseconds within which the caller's request will have ended.
     pub within_ms: u64,
 }
 
-/// The owner's answer.
+/// Response of the shard's owner to a claim request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimResponse {
-    /// The claim is on record; the asker may run the request once.
+    /// The claim is stored; the requester may run the request once.
     Granted,
     /// Another attempt may still be running.
     InProgress,
-    /// The request ran; this is its answer.
+    /// The request ran earlier; this is its response.
     Replay(StoredResponse),
     /// The request may have run.
     Unknown,
-    /// The key was used with a different request.
+    /// The key was used earlier with a different request.
     Reused,
-    /// The claim could not be put on record.
+    /// The claim could not be stored.
     Unavailable,
-    /// The daemon asked does not own the shard.
+    /// This daemon does not own the shard.
     NotOwner,
 }
 
-/// How the request of a grant ended.
+/// Outcome of a request that ran under a granted claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SettleState {
-    /// It ran to this answer.
+    /// The request ran and had this response.
     Ran(StoredResponse),
-    /// It may have run.
+    /// The request may have run.
     Lost,
-    /// It certainly did not run.
+    /// The request did not run.
     NotRun,
 }
 
-/// Settles a grant.
+/// Report of the outcome of a granted claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettleRequest {
     /// Organisation, service and idempotency key.
     pub key: Arc<str>,
-    /// Grant.
+    /// Number from the claim request.
     #[serde(rename = "grant")]
     pub grant_id: u64,
-    /// Outcome.
+    /// Outcome of the request.
     pub state: SettleState,
 }
--- a/crates/wire/src/peer/exchange.rs
+++ b/crates/wire/src/peer/exchange.rs
@@ -1,22 +1,23 @@
-//! Heartbeat and news in one: a daemon asks a peer for all that it lacks.
+//! Exchange between two daemons, which is a heartbeat and sends configuration records, suspects and members that the
+//! other one lacks.
 
 use pimentoslip_kernel::{MemberEntry, MemberState, RecordEntry, SuspectMark, TimePoint};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// A daemon as told to its peers.
+/// Daemon as described to its peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberBody {
-    /// Daemon name.
+    /// Name of the daemon.
     pub name: Arc<str>,
-    /// Grows with each start of the process.
+    /// Incarnation of the daemon's process; increases with each start.
     pub incarnation: u64,
-    /// Failure domain.
+    /// Failure domain of the daemon's VM.
     pub failure_domain: Arc<str>,
-    /// Address of the control listener.
+    /// Address of the daemon's control listener, for calls from peers.
     #[serde(rename = "control")]
     pub control_address: Arc<str>,
-    /// Standing, as the sender sees it.
+    /// Liveness as the sender sees it.
     pub state: MemberState,
 }
 
@@ -45,39 +46,40 @@
     }
 }
 
-/// The asking daemon's side.
+/// State of the requesting daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExchangeRequest {
-    /// Who asks.
+    /// The requesting daemon.
     #[serde(rename = "from")]
     pub sender: MemberBody,
-    /// Revision up to which the asker holds everything.
+    /// Revision up to which the requesting daemon has all configuration records.
     #[serde(rename = "complete")]
     pub complete_revision: u64,
-    /// Records that the asker thinks the peer lacks.
+    /// Records that the peer probably lacks.
     pub records: Vec<RecordEntry>,
-    /// Requests under suspicion.
+    /// Marks of requests that were in flight when an upstream crashed.
     pub suspects: Vec<SuspectMark>,
-    /// Fingerprint of the processes that the asker knows, itself included. The answer omits members when the
-    /// peer knows the same ones.
+    /// Digest of the processes that the requesting daemon has seen, including itself. The response omits members if the
+    /// peer has seen the same ones.
     pub members_digest: u64,
 }
 
-/// The peer's side.
+/// State of the responding daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExchangeResponse {
-    /// Who answers.
+    /// The responding daemon.
     #[serde(rename = "from")]
     pub sender: MemberBody,
-    /// Revision up to which the peer holds everything.
+    /// Revision up to which the responding daemon has all configuration records.
     #[serde(rename = "complete")]
     pub complete_revision: u64,
-    /// Records newer than the asker's revision.
+    /// Records newer than the revision in the request.
     pub records: Vec<RecordEntry>,
-    /// Age of the peer's knowledge in milliseconds.
+    /// Time in milliseconds since the responding daemon was last certain to have every accepted change; `None` if it
+    /// never was.
     pub age_ms: Option<u64>,
-    /// Requests under suspicion.
+    /// Marks of requests that were in flight when an upstream crashed.
     pub suspects: Vec<SuspectMark>,
-    /// Members that the peer knows, when the digests differ.
+    /// Members that the responding daemon has seen; empty if the digests are equal.
     pub members: Vec<MemberBody>,
 }
--- a/crates/wire/src/peer/forward.rs
+++ b/crates/wire/src/peer/forward.rs
@@ -1,41 +1,41 @@
-//! A trainer's call, passed on to the home of its step.
+//! Calls of trainers, forwarded to the daemon that runs the step.
 
 use crate::caller::{FetchRequest, FetchResponse, OpenRequest, OpenResponse, Refusal};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// The call, with the organisation whose key came with it.
+/// Forwarded call, with the organisation that the caller's key belongs to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ForwardRequest {
     /// Opens a step.
     Open {
-        /// Organisation.
+        /// Organisation of the trainer.
         organisation: Arc<str>,
         /// Id of the request.
         request_id: Arc<str>,
-        /// Body.
+        /// Body of the trainer's call.
         open: OpenRequest,
     },
-    /// Fetches samples.
+    /// Fetches samples of a step.
     Fetch {
-        /// Organisation.
+        /// Organisation of the trainer.
         organisation: Arc<str>,
         /// Id of the request.
         request_id: Arc<str>,
-        /// Body.
+        /// Body of the trainer's call.
         fetch: FetchRequest,
     },
 }
 
-/// The home's answer.
+/// Response of the daemon that runs the step.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ForwardResponse {
     /// The step is open.
     Opened(OpenResponse),
-    /// Samples.
+    /// Finished samples.
     Fetched(FetchResponse),
-    /// Refused, with its HTTP status.
+    /// The call was refused, with this HTTP status.
     Refused(u16, Refusal),
 }
--- a/crates/wire/src/peer/job_push.rs
+++ b/crates/wire/src/peer/job_push.rs
@@ -1,26 +1,26 @@
-//! A batch job on its way from the daemon that accepted it to the one that runs it.
+//! Transfer of a batch job from the daemon that accepted it, or that ran it before, to the daemon that runs it.
 
 use crate::stored::JobEntry;
 use pimentoslip_kernel::{LedgerState, SharedName};
 use serde::{Deserialize, Serialize};
 
-/// Saves the owner a read of the store; the store has all of it.
+/// Batch job for its owner. Saves the owner reads of the store, which contains the job too.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct JobPush {
-    /// Job.
+    /// Id of the job.
     pub job: SharedName,
-    /// Its record.
+    /// Stored entry of the job.
     pub entry: JobEntry,
-    /// Incarnation of the owner that is meant.
+    /// Incarnation of the owner for which the push is intended.
     #[serde(rename = "incarnation")]
     pub owner_incarnation: u64,
-    /// Revision of the ownership record.
+    /// Store revision of the ownership entry.
     #[serde(rename = "revision")]
     pub ownership_revision: u64,
-    /// What a former owner knows beyond the record, if the job has run before.
+    /// State that the previous owner has beyond the stored entries; `None` if the job has not run before.
     #[serde(rename = "state")]
     pub ledger_state: Option<LedgerState>,
-    /// The submission's body.
+    /// Body of the submission.
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
 }
--- a/crates/wire/src/peer/job_read.rs
+++ b/crates/wire/src/peer/job_read.rs
@@ -1,50 +1,51 @@
-//! Reads of a batch job at its owner, which saves calls to the store.
+//! Reads of a batch job from its owner, which save reads of the store.
 
 use crate::stored::ResultEntry;
 use pimentoslip_kernel::SharedName;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Asks for listed results.
+/// Request for listed results.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ResultsRequest {
-    /// Job.
+    /// Id of the job.
     pub job: SharedName,
-    /// Position of the first result asked for.
+    /// Position of the first requested result.
     pub position: usize,
-    /// Largest texts together, in bytes, unless the first alone is larger.
+    /// Maximum size of all texts in the response together, in bytes; exceeded only if the first result alone is larger.
     pub bytes_max: usize,
-    /// Time in milliseconds for which the call may be kept waiting until there is a result.
+    /// Longest time in milliseconds to wait for the first result.
     pub wait_ms: u64,
 }
 
-/// What the owner has.
+/// Results of a job that its owner holds in memory.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ResultsResponse {
-    /// Results from the position on. Empty only if there are none on record.
+    /// Results from the requested position. Empty only if none are stored.
     Listed(Vec<Arc<ResultEntry>>),
-    /// The asked daemon is not sure: the store tells.
+    /// The daemon cannot tell, because it does not own the job or has not cached these results; they must be read from
+    /// the store.
     #[serde(rename = "Unsure")]
     Unavailable,
 }
 
-/// Asks for the body of an item.
+/// Request for the body of an item.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ItemRequest {
-    /// Job.
+    /// Id of the job.
     pub job: SharedName,
-    /// Item.
+    /// Id of the item.
     pub item: SharedName,
 }
 
-/// What the owner has.
+/// Body of an item that the owner holds in memory.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ItemResponse {
-    /// The body.
+    /// Body of the item.
     Body(#[serde(with = "serde_bytes")] Vec<u8>),
     /// The job has no such item.
     Unknown,
-    /// The asked daemon does not have the job's items.
+    /// The daemon does not hold the items of the job; they must be read from the store.
     #[serde(rename = "Unsure")]
     Unavailable,
 }
--- a/crates/wire/src/peer/usage_totals.rs
+++ b/crates/wire/src/peer/usage_totals.rs
@@ -4,16 +4,16 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// One counter.
+/// Counter of one organisation and service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TotalsLine {
-    /// Organisation.
+    /// Organisation that sent the requests.
     pub organisation: Arc<str>,
-    /// Service.
+    /// Service that ran the requests.
     pub service: Arc<str>,
-    /// Requests answered.
+    /// Number of answered requests.
     pub requests: u64,
-    /// Tokens generated.
+    /// Number of generated tokens.
     pub tokens: u64,
 }
 
@@ -30,11 +30,11 @@
     }
 }
 
-/// All counters of a daemon incarnation.
+/// All counters of one process of a daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TotalsResponse {
-    /// `NAME/INCARNATION`.
+    /// `NAME/INCARNATION` of the process.
     pub incarnation: Arc<str>,
-    /// Counters.
+    /// Counters by organisation and service.
     pub lines: Vec<TotalsLine>,
 }
--- a/crates/wire/src/provider/mod.rs
+++ b/crates/wire/src/provider/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's interfaces for ordering upstreams, listing VMs, and taking usage reports.
+//! Messages of the platform's interfaces for orders of upstreams, for the VM list and for usage reports.
 
 mod order;
 mod usage_report;
--- a/crates/wire/src/provider/order.rs
+++ b/crates/wire/src/provider/order.rs
@@ -1,59 +1,61 @@
-//! `PUT /v1/orders/ID` starts or stops an upstream; `GET /v1/orders/ID` tells what became of it.
+//! Messages of `PUT /v1/orders/ID`, which starts or stops an upstream, and `GET /v1/orders/ID`, which returns the
+//! outcome.
 
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// What to do.
+/// Action that an order requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderAction {
     /// Start one upstream.
     Start,
-    /// Stop the named upstream.
+    /// Stop the upstream on the named VM.
     Stop,
 }
 
-/// One order. Its id makes a repeated order the same order.
+/// Order to start or to stop an upstream. An order that is sent again with the same id is carried out once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderRequest {
-    /// Id, unique for ever.
+    /// Id of the order; never used again.
     #[serde(rename = "order")]
     pub order_id: Arc<str>,
-    /// What to do.
+    /// Requested action.
     pub action: OrderAction,
-    /// Failure domain.
+    /// Failure domain of the upstream.
     pub failure_domain: Arc<str>,
-    /// Service.
+    /// Service that the upstream runs.
     pub service: Arc<str>,
-    /// Whether the upstream may be reclaimed.
+    /// Whether the platform may reclaim the upstream's VM at any time.
     pub reclaimable: bool,
-    /// VM to stop.
+    /// VM to stop; `None` for a start.
     pub vm: Option<Arc<str>>,
-    /// Fencing number of the orderer; receivers that check it refuse older ones.
+    /// Fencing number of the daemon that holds the duty. A receiver that checks it refuses lower ones than the highest
+    /// it received.
     pub fencing: u64,
 }
 
-/// What became of an order.
+/// Outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderState {
-    /// Carried out.
+    /// The order was carried out.
     Done,
-    /// Refused, since the kind is not to be had.
+    /// The order was refused because no upstream of this kind is available.
     Unavailable,
-    /// Refused for an old fencing number.
+    /// The order was refused for its fencing number.
     Fenced,
 }
 
-/// Answer.
+/// Response to an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderResponse {
-    /// Id.
+    /// Id of the order.
     #[serde(rename = "order")]
     pub order_id: Arc<str>,
-    /// Outcome.
+    /// Outcome of the order.
     pub state: OrderState,
-    /// VM that was started.
+    /// VM that was started; `None` for a stop or a refusal.
     #[serde(default)]
     pub vm: Option<Arc<str>>,
 }
--- a/crates/wire/src/provider/usage_report.rs
+++ b/crates/wire/src/provider/usage_report.rs
@@ -1,35 +1,35 @@
-//! `PUT /v1/usage/SITE/WINDOW`: bills one window.
+//! Messages of `PUT /v1/usage/SITE/WINDOW`, which bills one usage window.
 
 use pimentoslip_kernel::UsageWindow;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// One billed line.
+/// Usage of one organisation and service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageReportLine {
-    /// Organisation.
+    /// Organisation that is billed.
     pub organisation: Arc<str>,
-    /// Service.
+    /// Service that ran the requests.
     pub service: Arc<str>,
-    /// Requests answered.
+    /// Number of answered requests.
     pub requests: u64,
-    /// Tokens generated.
+    /// Number of generated tokens.
     pub tokens: u64,
 }
 
-/// The figures of one window.
+/// Usage of all organisations in one window.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageReport {
-    /// Site.
+    /// Name of the site.
     pub site: Arc<str>,
-    /// Number of the window since the Unix epoch.
+    /// Number of the usage window since the Unix epoch.
     pub window: u64,
-    /// Lines sorted by organisation and service.
+    /// Lines, sorted by organisation and service.
     pub lines: Vec<UsageReportLine>,
 }
 
 impl UsageReport {
-    /// The report of a sealed window.
+    /// Creates the report of the sealed window `sealed`.
     #[must_use]
     pub fn from_window(site: &Arc<str>, sealed: &UsageWindow) -> Self {
         let lines = sealed
--- a/crates/wire/src/provider/vm_list.rs
+++ b/crates/wire/src/provider/vm_list.rs
@@ -1,52 +1,52 @@
-//! `GET /v1/vms`: the lagging list of live and leaving VMs.
+//! Messages of `GET /v1/vms`, the list of live and leaving VMs, which may be out of date.
 
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// What runs on a VM.
+/// Process that runs on a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmRole {
-    /// A daemon of this service; the address is its control listener.
+    /// A daemon of this service; the VM's address is that of its control listener.
     Entry,
     /// An upstream.
     Upstream,
 }
 
-/// Standing of a VM.
+/// State of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmState {
-    /// Running.
+    /// The VM runs.
     Live,
-    /// Told to stop, or about to be reclaimed.
+    /// The VM was ordered to stop, or is about to be reclaimed.
     Leaving,
 }
 
-/// One VM.
+/// Listed VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmEntry {
-    /// Name; for an entry VM, the daemon's name.
+    /// Name of the VM; on an entry VM also the name of its daemon.
     pub name: Arc<str>,
-    /// What runs on it.
+    /// Process that runs on the VM.
     pub role: VmRole,
-    /// Failure domain.
+    /// Failure domain of the VM.
     pub failure_domain: Arc<str>,
-    /// `ip:port`.
+    /// Address of the process, `ip:port`.
     pub address: Arc<str>,
-    /// Service, for an upstream.
+    /// Service of an upstream; `None` for a daemon.
     #[serde(default)]
     pub service: Option<Arc<str>>,
-    /// Whether it may be reclaimed.
+    /// Whether the platform may reclaim the VM at any time.
     #[serde(default)]
     pub reclaimable: bool,
-    /// Standing.
+    /// State of the VM.
     pub state: VmState,
 }
 
-/// The list.
+/// List of VMs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmList {
-    /// Entries, sorted by name.
+    /// Listed VMs, sorted by name.
     pub vms: Vec<VmEntry>,
 }
--- a/crates/wire/src/stored/daemon_entry.rs
+++ b/crates/wire/src/stored/daemon_entry.rs
@@ -1,37 +1,37 @@
-//! A daemon as it signs what it owns.
+//! Entries by which a daemon shows its presence and marks what it owns.
 
 use pimentoslip_kernel::{OwnerRecord, SharedName};
 use serde::{Deserialize, Serialize};
 
-/// Stands under presence, ownership and duty keys, all of which hang on the daemon's lease.
+/// Owner of a job or of the duty. All entries of this type are attached to the owner's lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DaemonEntry {
-    /// Daemon.
+    /// Name of the daemon.
     pub daemon: SharedName,
-    /// Start of its process in milliseconds since the Unix epoch.
+    /// Start of the daemon's process in milliseconds since the Unix epoch.
     pub incarnation: u64,
 }
 
 impl DaemonEntry {
-    /// The owner, as written at `revision`.
+    /// Owner record of an entry that was written at `revision`.
     #[must_use]
     pub fn into_owner(self, revision: u64) -> OwnerRecord {
         OwnerRecord { daemon: self.daemon, incarnation: self.incarnation, revision }
     }
 }
 
-/// A daemon's presence. Others may hang an ownership record on its lease.
+/// Presence of a daemon. Other daemons may attach an ownership entry to its lease, to make it the owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PresenceEntry {
-    /// Start of its process in milliseconds since the Unix epoch.
+    /// Start of the daemon's process in milliseconds since the Unix epoch.
     pub incarnation: u64,
-    /// Its lease.
+    /// Id of the daemon's lease.
     pub lease: u64,
-    /// Address for other daemons, `ip:port`.
+    /// Address for calls from other daemons, `ip:port`.
     #[serde(rename = "control")]
     pub control_address: SharedName,
-    /// Failure domain of its VM.
+    /// Failure domain of the daemon's VM.
     pub failure_domain: SharedName,
-    /// Region of its VM.
+    /// Region of the daemon's VM.
     pub region: SharedName,
 }
--- a/crates/wire/src/stored/duty_history_entry.rs
+++ b/crates/wire/src/stored/duty_history_entry.rs
@@ -1,36 +1,40 @@
-//! Who held the duty.
+//! History of the duty's holders.
 
 use pimentoslip_kernel::{DutyAcquisition, DutyHistory, SharedName};
 use serde::{Deserialize, Serialize};
 
+/// Acquisition of the duty by a daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct AcquisitionEntry {
-    /// Daemon.
     daemon: SharedName,
-    /// When it took the duty, in milliseconds since the Unix epoch.
-    taken_unix_ms: u64,
+    /// Time of the acquisition by the daemon's wall clock, in milliseconds since the Unix epoch.
+    #[serde(rename = "taken_unix_ms")]
+    acquired_unix_ms: u64,
 }
 
-/// Former holders, newest last; outlives their leases.
+/// Latest acquisitions of the duty, newest last. Not attached to a lease, so that it outlives the holders' leases.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DutyHistoryEntry {
-    takers: Vec<AcquisitionEntry>,
+    #[serde(rename = "takers")]
+    acquisitions: Vec<AcquisitionEntry>,
 }
 
 impl From<&DutyHistory> for DutyHistoryEntry {
     fn from(history: &DutyHistory) -> Self {
-        let entry = |taker: &DutyAcquisition| AcquisitionEntry {
-            daemon: taker.daemon.clone(),
-            taken_unix_ms: taker.acquired_unix_ms,
+        let entry = |acquisition: &DutyAcquisition| AcquisitionEntry {
+            daemon: acquisition.daemon.clone(),
+            acquired_unix_ms: acquisition.acquired_unix_ms,
         };
-        Self { takers: history.acquisitions.iter().map(entry).collect() }
+        Self { acquisitions: history.acquisitions.iter().map(entry).collect() }
     }
 }
 
 impl From<DutyHistoryEntry> for DutyHistory {
     fn from(stored: DutyHistoryEntry) -> Self {
-        let taker =
-            |entry: AcquisitionEntry| DutyAcquisition { daemon: entry.daemon, acquired_unix_ms: entry.taken_unix_ms };
-        Self { acquisitions: stored.takers.into_iter().map(taker).collect() }
+        let acquisition = |entry: AcquisitionEntry| DutyAcquisition {
+            daemon: entry.daemon,
+            acquired_unix_ms: entry.acquired_unix_ms,
+        };
+        Self { acquisitions: stored.acquisitions.into_iter().map(acquisition).collect() }
     }
 }
--- a/crates/wire/src/stored/floor_entry.rs
+++ b/crates/wire/src/stored/floor_entry.rs
@@ -1,12 +1,12 @@
-//! The committed floor of a service.
+//! Number of a service's upstreams that are always kept.
 
 use pimentoslip_kernel::SharedName;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Standing upstreams that ran when the service first had work.
+/// Standing upstreams that ran when the service first had demand; that many are always kept.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FloorEntry {
-    /// Number in each failure domain.
+    /// Number of standing upstreams by failure domain.
     pub standing: BTreeMap<SharedName, u64>,
 }
--- a/crates/wire/src/stored/job_entry.rs
+++ b/crates/wire/src/stored/job_entry.rs
@@ -1,12 +1,12 @@
-//! A batch job on record.
+//! Stored entry of a batch job.
 
 use pimentoslip_kernel::SharedName;
 use serde::{Deserialize, Serialize};
 
-/// What every daemon knows of a batch job. Its items stand in parts of their own.
+/// Properties of a batch job that every daemon caches. Its items are stored apart, in the parts of the submission.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobEntry {
-    /// Organisation that submitted it; empty where there are none.
+    /// Organisation that submitted the job; empty if no organisations are configured.
     pub organisation: SharedName,
     /// Host of the submission, which selects the route.
     pub host: SharedName,
@@ -15,16 +15,16 @@
     /// Number of items.
     #[serde(rename = "items")]
     pub item_count: usize,
-    /// Model that it is for, if it names one.
+    /// Model that the job is for; `None` if the submission names none.
     #[serde(default)]
     pub model: Option<SharedName>,
-    /// Oldest version of the model that may generate its texts.
+    /// Oldest weights version of the model that may generate the texts.
     #[serde(default)]
     pub oldest_version: u64,
-    /// Tokens that its texts are expected to have together.
+    /// Expected number of tokens of all texts together.
     #[serde(default)]
     #[serde(rename = "tokens")]
     pub expected_tokens: u64,
-    /// First submission in milliseconds since the Unix epoch.
+    /// Time of the first submission in milliseconds since the Unix epoch.
     pub submitted_unix_ms: u64,
 }
--- a/crates/wire/src/stored/mod.rs
+++ b/crates/wire/src/stored/mod.rs
@@ -1,4 +1,4 @@
-//! What the service keeps in the platform's store.
+//! Keys and values of this service's entries in the platform's store.
 
 mod daemon_entry;
 mod duty_history_entry;
--- a/crates/wire/src/stored/result_entry.rs
+++ b/crates/wire/src/stored/result_entry.rs
@@ -1,43 +1,43 @@
-//! Results that take positions together.
+//! Stored results of batch jobs. Results at consecutive positions share an entry.
 
 use pimentoslip_kernel::{ItemResult, ItemState, ResultChunk, SharedName};
 use serde::{Deserialize, Serialize};
 
-/// One stored result.
+/// Stored result of an item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResultEntry {
-    /// Item.
+    /// Id of the item.
     #[serde(rename = "id")]
     pub item_id: SharedName,
     /// Index of the item in its batch job.
     #[serde(rename = "index")]
     pub item_index: usize,
-    /// Whether its text is whole.
+    /// Whether the text is complete; otherwise the item was terminated.
     pub completed: bool,
-    /// Text.
+    /// Generated text.
     pub text: String,
-    /// Versions that generated it.
+    /// Versions of the weights that generated the text.
     pub versions: Vec<u64>,
-    /// The scorer's signature.
+    /// Signature of the scorer; `None` if the text was not scored.
     pub score: Option<String>,
 }
 
-/// Stored results in order.
+/// Stored results at consecutive positions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResultsEntry {
-    /// Position of the first one.
+    /// Position of the first result.
     #[serde(rename = "first")]
     pub first_position: usize,
-    /// Results.
+    /// Results in list order.
     pub results: Vec<ResultEntry>,
 }
 
 impl ResultsEntry {
-    /// The stored form of `chunk`; `id` names an item by its index.
+    /// Creates the entry for `chunk`; `item_id` returns the id of the item with an index.
     #[must_use]
-    pub fn from_chunk(chunk: &ResultChunk, id: impl Fn(usize) -> SharedName) -> Self {
+    pub fn from_chunk(chunk: &ResultChunk, item_id: impl Fn(usize) -> SharedName) -> Self {
         let entry = |result: &ItemResult| ResultEntry {
-            item_id: id(result.index),
+            item_id: item_id(result.index),
             item_index: result.index,
             completed: result.state == ItemState::Completed,
             text: result.text.clone(),
--- a/crates/wire/src/stored/usage_entry.rs
+++ b/crates/wire/src/stored/usage_entry.rs
@@ -1,33 +1,33 @@
-//! Requests by organisation in one window.
+//! Stored numbers of requests by organisation in a usage window.
 
 use pimentoslip_kernel::SharedName;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The sealed counts of all daemons.
+/// Sums over all daemons in a sealed usage window.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SealedUsageEntry {
-    /// Requests begun, by organisation.
+    /// Number of requests started, by organisation.
     pub counts: BTreeMap<SharedName, u64>,
 }
 
-/// One batch of counts of one process. The same one may stand in several entries, and counts once.
+/// Batch of counts of one process. A batch may be stored in several entries and counts once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageBatchEntry {
-    /// Daemon.
+    /// Name of the daemon.
     pub daemon: SharedName,
-    /// Start of its process in milliseconds since the Unix epoch.
+    /// Start of the daemon's process in milliseconds since the Unix epoch.
     pub incarnation: u64,
-    /// Number of the batch in that process.
+    /// Sequence number of the batch within its process.
     pub number: u64,
-    /// Requests begun, by organisation.
+    /// Number of requests started, by organisation.
     pub counts: BTreeMap<SharedName, u64>,
 }
 
-/// Counts of several processes, as put on record together.
+/// Batches of counts of several processes that were stored in one write.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageBatchesEntry {
-    /// Parts.
+    /// Batches of counts.
     #[serde(rename = "parts")]
     pub batches: Vec<UsageBatchEntry>,
 }
