--- a/crates/edge/src/duty/size_duty.rs
+++ b/crates/edge/src/duty/size_duty.rs
@@ -144,6 +144,6 @@
     match outcome {
         DutyCallOutcome::Accepted => ScalingOutcome::Accepted,
         DutyCallOutcome::Refused(NONE_AVAILABLE_STATUS) => ScalingOutcome::Unavailable,
-        DutyCallOutcome::Refused(_) | DutyCallOutcome::NoResponse => ScalingOutcome::Failed,
+        DutyCallOutcome::Refused(_) | DutyCallOutcome::Unanswered => ScalingOutcome::Failed,
     }
 }
--- a/crates/edge/src/duty/usage_duty.rs
+++ b/crates/edge/src/duty/usage_duty.rs
@@ -168,7 +168,7 @@
                     let window = *window;
                     self.unreported.remove(&window);
                 }
-                DutyCallOutcome::Refused(_) | DutyCallOutcome::NoResponse => return,
+                DutyCallOutcome::Refused(_) | DutyCallOutcome::Unanswered => return,
             }
         }
     }
