--- a/crates/daemon/src/task/discovery_task.rs
+++ b/crates/daemon/src/task/discovery_task.rs
@@ -27,7 +27,7 @@
 
     /// Reads the VM list and applies it.
     async fn read_vm_list(&self) {
-        let list = match self.provider.vms().await {
+        let list = match self.provider.vm_list().await {
             Ok(list) => list,
             Err(error) => {
                 LogLine::new("vm_list_failed").field("error", error).warn();
