--- a/crates/kernel/src/batch/batch_ledger.rs
+++ b/crates/kernel/src/batch/batch_ledger.rs
@@ -9,8 +9,8 @@
 
 /// Backoff before an item is run or scored again after a failed attempt.
 const RETRY_BACKOFF_MS: u64 = 50;
-/// Fewest events that are worth writing to a checkpoint. Generating fewer events again takes less time than moving the
-/// job to another owner.
+/// Minimum number of unsaved events of a text for which it is written to a checkpoint. Generating fewer events again
+/// takes less time than moving the job to another owner.
 const CHECKPOINT_EVENTS_MIN: u64 = 8;
 
 /// Progress of an item.
@@ -198,8 +198,8 @@
         }
     }
 
-    /// Handles a write of the checkpoint `number` that found another checkpoint stored under that number. Which texts
-    /// are stored is uncertain then, so the following checkpoints write every text again from its first event.
+    /// Handles a write of the checkpoint `number` that found a different checkpoint stored under that number. It is
+    /// then uncertain which texts are stored, so the following checkpoints write every text again from its first event.
     pub fn checkpoint_conflicted(&mut self, number: usize) {
         if self.checkpoint_count != number {
             return;
@@ -367,11 +367,11 @@
         }
         if self.pending_chunk.is_none() && !self.unlisted.is_empty() {
             let mut bytes = 0;
-            let fits = self.unlisted.iter().take_while(|result| {
+            let fitting = self.unlisted.iter().take_while(|result| {
                 bytes += result.stored_bytes();
                 bytes <= bytes_max
             });
-            let count = fits.count().max(1);
+            let count = fitting.count().max(1);
             let results = self.unlisted.drain(..count).collect();
             self.listing_urgent &= !self.unlisted.is_empty();
             self.pending_chunk = Some(ResultChunk { first_position: self.listed_count, results });
@@ -401,7 +401,8 @@
         self.items.get(index).map_or(0, |item| item.text.event_count())
     }
 
-    /// Queues an item that [`Self::start_next_run`] returned again, because no upstream has capacity for it.
+    /// Puts an item that [`Self::start_next_run`] returned back into the queue, because no upstream has capacity for
+    /// it.
     pub fn requeue_run(&mut self, index: usize) {
         let Some(item) = self.items.get_mut(index) else { return };
         if item.phase == ItemPhase::Running {
@@ -410,7 +411,8 @@
         }
     }
 
-    /// Queues an item that [`Self::start_next_scoring`] returned again, because no upstream has capacity to score it.
+    /// Puts an item that [`Self::start_next_scoring`] returned back into the queue, because no upstream has capacity to
+    /// score it.
     pub fn requeue_scoring(&mut self, index: usize) {
         let Some(item) = self.items.get_mut(index) else { return };
         if item.phase == ItemPhase::Scoring {
--- a/crates/kernel/src/batch/run_monitor.rs
+++ b/crates/kernel/src/batch/run_monitor.rs
@@ -4,14 +4,14 @@
 
 /// Reciprocal of the weight of a new interval in the moving average.
 const AVERAGE_DIVISOR: u64 = 8;
-/// Number of events from which on the average interval is meaningful.
+/// Minimum number of events for a meaningful average interval.
 const EVENTS_MIN: u64 = 6;
-/// A run is moved if its interval exceeds that of another upstream by more than this factor. Resuming the text there
-/// takes about as long as one event.
+/// A run is moved if its interval is more than this many times that of another upstream. Resuming the text there costs
+/// about the time of one event.
 const SLOW_FACTOR: u64 = 2;
 /// A run is unresponsive after this many event intervals of another upstream without an event.
 const TIMEOUT_INTERVALS: u64 = 12;
-/// Lower limit of the timeout. An upstream needs less to read the text of a preempted run again.
+/// Lower limit of the timeout. An upstream that preempted a run takes less time than this to process its text again.
 const TIMEOUT_MIN_MS: u64 = 600;
 /// Upper limit of the timeout, also used while the interval of other upstreams is unknown.
 const TIMEOUT_MAX_MS: u64 = 2_500;
@@ -50,24 +50,24 @@
         self.event_count += count;
     }
 
-    /// Moving average of the interval between two events in milliseconds; `None` for the first events.
+    /// Moving average of the interval between two events in milliseconds; `None` before [`EVENTS_MIN`] events.
     #[must_use]
     pub fn event_interval_ms(&self) -> Option<u64> {
         (self.event_count >= EVENTS_MIN).then_some(self.interval_us / 1_000)
     }
 
-    /// Whether the run is so slow that it should move to an upstream with an event interval of `other_ms`.
+    /// Whether the run is so slow that it should be moved to an upstream with an event interval of `other_interval_ms`.
     #[must_use]
-    pub fn is_slower_than(&self, other_ms: u64) -> bool {
-        self.event_interval_ms().is_some_and(|interval_ms| interval_ms > other_ms.max(1) * SLOW_FACTOR)
+    pub fn is_slower_than(&self, other_interval_ms: u64) -> bool {
+        self.event_interval_ms().is_some_and(|interval_ms| interval_ms > other_interval_ms.max(1) * SLOW_FACTOR)
     }
 
-    /// Time at which the run counts as unresponsive unless an event arrives before. `other_ms` is the event interval of
-    /// the fastest other upstream, if known.
+    /// Time at which the run counts as unresponsive unless an event arrives before. `other_interval_ms` is the event
+    /// interval of the fastest other upstream, if known.
     #[must_use]
-    pub fn unresponsive_at(&self, other_ms: Option<u64>) -> TimePoint {
-        let timeout_ms =
-            other_ms.map_or(TIMEOUT_MAX_MS, |ms| (ms * TIMEOUT_INTERVALS).clamp(TIMEOUT_MIN_MS, TIMEOUT_MAX_MS));
+    pub fn unresponsive_at(&self, other_interval_ms: Option<u64>) -> TimePoint {
+        let timeout_ms = other_interval_ms
+            .map_or(TIMEOUT_MAX_MS, |ms| (ms * TIMEOUT_INTERVALS).clamp(TIMEOUT_MIN_MS, TIMEOUT_MAX_MS));
         self.last_event_at.plus_ms(timeout_ms)
     }
 }
--- a/crates/kernel/src/batch/sample_text.rs
+++ b/crates/kernel/src/batch/sample_text.rs
@@ -16,7 +16,7 @@
     last_event: Option<u64>,
     /// Versions of the weights that generated the events, ascending.
     versions: Vec<u64>,
-    /// Portion that is in a checkpoint, whether its write is confirmed or not.
+    /// Length of the portion that is in checkpoints, including one whose write is not confirmed.
     #[serde(skip)]
     saved: SavedLength,
 }
@@ -63,16 +63,16 @@
         true
     }
 
-    /// Returns the events that are in no checkpoint and marks them as saved; `None` if there are none. `index` is that
-    /// of the item.
+    /// Returns the events that are in no checkpoint and marks them as saved; `None` if there are none. `index` is the
+    /// index of the item.
     pub fn take_unsaved_part(&mut self, index: usize) -> Option<TextPart> {
         let last_event = self.last_event?;
         if self.unsaved_count() == 0 {
             return None;
         }
         let first_event = FIRST_EVENT_NUMBER + self.saved.events;
-        let separator = usize::from(self.saved.events > 0);
-        let text = self.text[self.saved.bytes + separator..].to_owned();
+        let separator_bytes = usize::from(self.saved.events > 0);
+        let text = self.text[self.saved.bytes + separator_bytes..].to_owned();
         self.saved = SavedLength { events: self.event_count(), bytes: self.text.len() };
         Some(TextPart { index, first_event, last_event, text, versions: self.versions.clone() })
     }
--- a/crates/kernel/src/claim_table.rs
+++ b/crates/kernel/src/claim_table.rs
@@ -32,6 +32,7 @@
     Reused,
 }
 
+/// Progress of a claim.
 #[derive(Clone, Debug)]
 enum ClaimState<A> {
     /// Waits for the group commit.
@@ -44,6 +45,7 @@
     Unknown,
 }
 
+/// A claim with the request that it was made for.
 #[derive(Clone, Debug)]
 struct ClaimEntry<A> {
     /// Fingerprint of the caller's request.
@@ -51,7 +53,7 @@
     state: ClaimState<A>,
 }
 
-/// The claims of one shard, on the daemon that owns it.
+/// The claims of one shard, on the daemon that owns it. `A` is the type of the answers of claimed requests.
 ///
 /// A claim is granted only after its batch was committed to the platform's key-value service. The commit compares the
 /// revision of the shard's owner record, so that a replaced owner cannot grant claims.
@@ -71,8 +73,8 @@
 }
 
 impl<A: Clone> ClaimTable<A> {
-    /// Takes the shard over at owner record revision `epoch`, with the stored claims and the fingerprints of their
-    /// requests. Each of these requests may have run.
+    /// Takes over the shard at the owner record revision `epoch`. `stored` holds the keys of the stored claims and the
+    /// fingerprints of their requests; each of these requests may have run.
     pub fn load(&mut self, epoch: u64, stored: impl IntoIterator<Item = (ClaimKey, u64)>) {
         self.epoch = Some(epoch);
         self.queue.clear();
@@ -152,8 +154,8 @@
         }
     }
 
-    /// Removes the claim of a batch whose commit failed or whose outcome is unknown. It was not granted, so that this
-    /// daemon may claim the key again.
+    /// Removes the claim of `grant`, because the commit of its batch failed or has an unknown outcome. The claim was
+    /// not granted, so this daemon may grant the key to a later attempt.
     pub fn commit_failed(&mut self, key: &ClaimKey, grant: u64) {
         if self.grant_of(key) == Some(grant) {
             self.entries.remove(key);
@@ -199,12 +201,14 @@
         self.entries.is_empty()
     }
 
+    /// Adds a claim that is to be committed with the next batch.
     fn enqueue(&mut self, key: &ClaimKey, grant: u64, fingerprint: u64, deadline: TimePoint) {
         let state = ClaimState::Queued { grant, deadline };
         self.entries.insert(key.clone(), ClaimEntry { fingerprint, state });
         self.queue.push((key.clone(), grant));
     }
 
+    /// Grant number of the claim of `key`; `None` unless it is queued or running.
     fn grant_of(&self, key: &ClaimKey) -> Option<u64> {
         match self.entries.get(key)?.state {
             ClaimState::Queued { grant, .. } | ClaimState::Running { grant, .. } => Some(grant),
--- a/crates/kernel/src/config/config_file.rs
+++ b/crates/kernel/src/config/config_file.rs
@@ -13,7 +13,7 @@
 const SECTIONS: [&str; 3] = ["site", "services", "organisations"];
 /// Longest name of a site, service or organisation.
 const NAME_CHARS_MAX: usize = 64;
-/// Accepted lengths of a billing window: up to one day.
+/// Accepted lengths of a usage window: up to one day.
 const USAGE_WINDOW_SECONDS: std::ops::RangeInclusive<u64> = 1..=86_400;
 
 /// A valid configuration, merged from its files.
@@ -57,15 +57,18 @@
     }
 }
 
-/// Finds the file that a value was read from.
+/// Files of a configuration, used to report the file that set a faulty value.
 struct FileOrigin<'a> {
+    /// Name of the base file.
     base: &'a str,
+    /// Name of the overlay, if there is one.
     overlay: Option<&'a str>,
+    /// Content of the overlay; empty if there is none.
     overlay_table: Table,
 }
 
 impl FileOrigin<'_> {
-    /// Creates a fault of `key`, in the overlay if that sets the key and in the base file otherwise.
+    /// Creates a fault of `key`. It names the overlay if the overlay sets the key, and the base file otherwise.
     fn fault(&self, key: &str, problem: impl Into<String>, remedy: impl Into<String>) -> ConfigFault {
         let mut value = self.overlay.map(|_| Value::Table(self.overlay_table.clone()));
         for segment in key.split('.') {
@@ -79,6 +82,7 @@
     }
 }
 
+/// Parses a file, given as name and text. Returns a single fault if it is not valid TOML.
 fn parse_table((name, text): (&str, &str)) -> Result<Table> {
     text.parse::<Table>().map_err(|error| {
         vec![ConfigFault {
@@ -183,6 +187,7 @@
     !name.is_empty() && name.len() <= NAME_CHARS_MAX && name.chars().all(is_allowed)
 }
 
+/// Adds a fault for each invalid setting of the site.
 fn check_site(site: &SiteConfig, origin: &FileOrigin<'_>, faults: &mut Vec<ConfigFault>) {
     if !is_valid_name(&site.name) {
         faults.push(origin.fault("site.name", "invalid name", "use 1 to 64 of a-z, 0-9 and -"));
@@ -203,6 +208,7 @@
     }
 }
 
+/// Adds a fault for each invalid setting of a service.
 fn check_services(
     services: &BTreeMap<SharedName, ServiceConfig>,
     origin: &FileOrigin<'_>,
@@ -240,6 +246,8 @@
     }
 }
 
+/// Adds a fault for each invalid setting of an organisation. A service whose own table is invalid counts as known,
+/// since that table has a fault already.
 fn check_organisations(
     organisations: &BTreeMap<SharedName, OrganisationConfig>,
     services: &BTreeMap<SharedName, ServiceConfig>,
@@ -247,13 +255,13 @@
     origin: &FileOrigin<'_>,
     faults: &mut Vec<ConfigFault>,
 ) {
-    let is_named = |service: &str| merged.get("services").and_then(|table| table.get(service)).is_some();
+    let has_table = |service: &str| merged.get("services").and_then(|table| table.get(service)).is_some();
     for (name, organisation) in organisations {
         if organisation.weight == 0 {
             faults.push(origin.fault(&format!("organisations.{name}.weight"), "zero", "use 1 or more"));
         }
         for service in
-            organisation.services.iter().filter(|service| !services.contains_key(*service) && !is_named(service))
+            organisation.services.iter().filter(|service| !services.contains_key(*service) && !has_table(service))
         {
             let key = format!("organisations.{name}.services");
             faults.push(origin.fault(
--- a/crates/kernel/src/config/config_record.rs
+++ b/crates/kernel/src/config/config_record.rs
@@ -39,9 +39,9 @@
         if path == "site" {
             return Some(Self::Site);
         }
-        let (family, name) = path.split_once('/')?;
+        let (record_type, name) = path.split_once('/')?;
         let name = SharedName::from(name);
-        match family {
+        match record_type {
             "service" => Some(Self::Service(name)),
             "organisation" => Some(Self::Organisation(name)),
             "keys" => Some(Self::Keys(name)),
@@ -65,6 +65,6 @@
     Keys(KeySet),
     /// Newest published weight version of a service.
     Weights(u64),
-    /// Marks a removed record. It stays stored, so that the removal supersedes older copies held by daemons.
+    /// Marks a removed record. The mark stays stored, so that it supersedes older copies of the record on daemons.
     Removed,
 }
--- a/crates/kernel/src/config/config_view.rs
+++ b/crates/kernel/src/config/config_view.rs
@@ -20,14 +20,14 @@
 #[derive(Clone, Debug, Default)]
 pub struct ConfigView {
     records: BTreeMap<RecordName, RecordEntry>,
-    /// Every change up to this revision has been applied.
+    /// Revision up to which every change has been applied.
     complete_revision: u64,
     /// Organisations by the IDs of their keys.
     key_owners: BTreeMap<SharedName, SharedName>,
 }
 
 impl ConfigView {
-    /// Applies a record unless the cached one is as new. Returns true if the record was applied.
+    /// Applies a record unless the cached one has the same or a higher revision. Returns true if it was applied.
     pub fn apply(&mut self, entry: RecordEntry) -> bool {
         let is_newer = self.records.get(&entry.name).is_none_or(|old| old.revision < entry.revision);
         if !is_newer {
@@ -153,6 +153,7 @@
         self.key_owners.contains_key(id)
     }
 
+    /// Records the owner of each key in `entry`, if it holds keys.
     fn index_keys(&mut self, entry: &RecordEntry) {
         let (RecordName::Keys(owner), ConfigRecord::Keys(keys)) = (&entry.name, &*entry.record) else { return };
         for id in keys.keys.keys() {
--- a/crates/kernel/src/config/key_secret.rs
+++ b/crates/kernel/src/config/key_secret.rs
@@ -4,7 +4,7 @@
 use rand::Rng;
 use sha2::{Digest, Sha256};
 
-/// Start of every key, by which keys are found in other text.
+/// Prefix of every key, by which keys are found in other text.
 const KEY_PREFIX: &str = "psk-";
 const ID_CHARS: usize = 12;
 const SECRET_CHARS: usize = 40;
@@ -39,12 +39,12 @@
         Some(Self { id: id.into(), token: token.to_owned() })
     }
 
-    /// IDs of all keys, or texts in the form of a key, in `text`.
+    /// IDs of all parts of `text` that have the form of a key.
     #[must_use]
     pub fn find_ids(text: &[u8]) -> Vec<SharedName> {
         let key_chars = KEY_PREFIX.len() + ID_CHARS + 1 + SECRET_CHARS;
         memchr::memmem::find_iter(text, KEY_PREFIX.as_bytes())
-            .filter_map(|at| std::str::from_utf8(text.get(at..at + key_chars)?).ok())
+            .filter_map(|start| std::str::from_utf8(text.get(start..start + key_chars)?).ok())
             .filter_map(|token| Some(Self::parse(token)?.id))
             .collect()
     }
--- a/crates/kernel/src/config/site_config.rs
+++ b/crates/kernel/src/config/site_config.rs
@@ -18,7 +18,7 @@
     pub spend_floor_cents_per_hour: u64,
     /// Largest permitted spend, in hundredths of a currency unit per hour.
     pub spend_ceiling_cents_per_hour: u64,
-    /// Length of a billing window in seconds, from 1 to 86400.
+    /// Length of a usage window in seconds, from 1 to 86400.
     #[serde(default = "default_usage_window_seconds")]
     pub usage_window_seconds: u64,
     /// Whether the ordering interface refuses requests with an outdated fencing number.
--- a/crates/kernel/src/duty/duty_term.rs
+++ b/crates/kernel/src/duty/duty_term.rs
@@ -18,20 +18,21 @@
 pub struct DutyTerm {
     /// Revision at which the duty's entry was stored; increases with each change of holder.
     pub fencing_token: u64,
-    /// Lease that the duty's entry depends on. The term doesn't continue under a later lease of the same process.
+    /// Id of the lease that the duty's entry depends on. The term doesn't continue under a later lease of the same
+    /// process.
     lease: u64,
-    /// Start of the range: acting earlier could alternate with actions of the previous holder.
+    /// Earliest time to act. Earlier actions could alternate with those of the previous holder.
     acts_from: TimePoint,
-    /// End of the range: from then on another daemon may hold the duty.
+    /// End of the lease, from which on another daemon may hold the duty.
     ends_at: TimePoint,
 }
 
 impl DutyTerm {
-    /// Starts a term under `lease`, which was granted at `granted_at` and ends at `ends_at`. The holder waits for
-    /// `wait_ms` before it acts.
+    /// Starts the term of a duty that was acquired at `acquired_at` under `lease`, which ends at `ends_at` unless it is
+    /// renewed. The holder waits for `wait_ms` before it acts.
     #[must_use]
-    pub fn start(fencing_token: u64, lease: u64, granted_at: TimePoint, ends_at: TimePoint, wait_ms: u64) -> Self {
-        Self { fencing_token, lease, acts_from: granted_at.plus_ms(wait_ms), ends_at }
+    pub fn start(fencing_token: u64, lease: u64, acquired_at: TimePoint, ends_at: TimePoint, wait_ms: u64) -> Self {
+        Self { fencing_token, lease, acts_from: acquired_at.plus_ms(wait_ms), ends_at }
     }
 
     /// Updates the term and returns whether it continues; false means that it is over for good. A late renewal of the
--- a/crates/kernel/src/duty/scaling_planner.rs
+++ b/crates/kernel/src/duty/scaling_planner.rs
@@ -8,15 +8,15 @@
 use crate::{SamplerRecord, SamplerState, ScalingRule, SharedName, TimePoint};
 use std::collections::BTreeMap;
 
-/// Window over which the largest demand is used. It spans several training steps, and upstreams are released only after
-/// it, since starting them costs time and money.
+/// Length of the window whose largest demand determines the number of upstreams. It spans several training steps;
+/// upstreams are released only after it, since starting them costs time and money.
 const DEMAND_WINDOW_MS: u64 = 60_000;
 /// Added to the startup time of ordered upstreams before they count as missing.
 const STARTUP_SLACK_MS: u64 = 4_000;
 /// Backoff after an order that was refused because no such upstreams are available.
 const UNAVAILABLE_BACKOFF_MS: u64 = 10_000;
-/// Shortest time between two orders for the same failure domain and type of upstream; a failed order is repeated after
-/// it.
+/// Shortest time between two orders for the same failure domain and type of upstream, and so the backoff after a failed
+/// order.
 const ORDER_INTERVAL_MS: u64 = 2_000;
 
 /// Outcome of an order.
--- a/crates/kernel/src/duty/usage_tally.rs
+++ b/crates/kernel/src/duty/usage_tally.rs
@@ -62,8 +62,8 @@
     /// Turns the counts of all windows before the one that contains `unix_ms` into batches, and returns the batches
     /// that are not confirmed as stored. Batches never change, so a repeated write doesn't count requests twice.
     pub fn close_ended_windows(&mut self, unix_ms: u64) -> Vec<UsageBatch> {
-        let current = self.counts.split_off(&self.window_at(unix_ms));
-        for (window, counts) in std::mem::replace(&mut self.counts, current) {
+        let current_counts = self.counts.split_off(&self.window_at(unix_ms));
+        for (window, counts) in std::mem::replace(&mut self.counts, current_counts) {
             let number = self.next_number;
             self.next_number += 1;
             self.unstored.insert(number, UsageBatch { number, window, counts });
--- a/crates/kernel/src/duty/version_planner.rs
+++ b/crates/kernel/src/duty/version_planner.rs
@@ -13,8 +13,8 @@
 const LOADING_DIVISOR: usize = 5;
 /// Time after which an accepted load is considered lost if the list of upstreams doesn't show the new version.
 const LOAD_TIMEOUT_MS: u64 = 6_000;
-/// Delay after a new version before upstreams load it that can serve the newest step with their current version. A
-/// trainer submits a step when it announces the version, and the delay lets the items of that step start first.
+/// Time for which upstreams that can serve the newest step with their current version wait before they load a new one.
+/// A trainer submits a step when it announces the version, and the delay lets the items of that step start first.
 const LOAD_DELAY_MS: u64 = 700;
 /// Backoff after an order that was not accepted.
 const RETRY_BACKOFF_MS: u64 = 400;
@@ -93,7 +93,8 @@
     next_order_at: TimePoint,
 }
 
-/// Category of an upstream by how much a load would disrupt the newest step. The first categories load first.
+/// Priority of an upstream for loading, by how little a load would disrupt the newest step. Upstreams of an earlier
+/// variant load first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum LoadPriority {
     /// Its version is too old to serve the newest step.
@@ -119,21 +120,21 @@
     /// Orders to be sent now.
     pub fn plan(&mut self, service: &ServiceSnapshot<'_>, now: TimePoint) -> Vec<LoadOrder> {
         self.sync_upstreams(service.upstreams);
-        self.record_versions(service.models, now);
+        self.update_newest_seen(service.models, now);
         let ready: Vec<&SamplerRecord> =
             service.upstreams.iter().filter(|record| record.state == SamplerState::Ready).collect();
         self.assign_models(&ready, service.models);
         let standing = ready.iter().filter(|record| !record.reclaimable).count();
         let loading = self.plans.values().filter(|plan| plan.loading_until > now).count();
-        let mut remaining = standing.div_ceil(LOADING_DIVISOR).max(1).saturating_sub(loading);
+        let mut allowed_loads = standing.div_ceil(LOADING_DIVISOR).max(1).saturating_sub(loading);
         let mut orders = Vec::new();
         for model in self.models_by_need(&ready, service.models, now) {
             for record in self.load_candidates(&ready, &model, service, now) {
-                if remaining == 0 {
+                if allowed_loads == 0 {
                     return orders;
                 }
                 orders.push(self.create_order(record, &model, service.models[&model].newest_version, now));
-                remaining -= 1;
+                allowed_loads -= 1;
             }
         }
         orders
@@ -184,7 +185,7 @@
     }
 
     /// Records the time at which a new version of a model is first seen.
-    fn record_versions(&mut self, models: &BTreeMap<SharedName, ModelDemand>, now: TimePoint) {
+    fn update_newest_seen(&mut self, models: &BTreeMap<SharedName, ModelDemand>, now: TimePoint) {
         for (model, demand) in models {
             let seen = self.newest_seen.entry(model.clone()).or_insert((demand.newest_version, now));
             if seen.0 < demand.newest_version {
@@ -275,9 +276,11 @@
         now: TimePoint,
     ) -> Vec<&'a SamplerRecord> {
         let demand = service.models[model];
-        let delay_over = self.newest_seen.get(model).is_some_and(|(_, since)| now >= since.plus_ms(LOAD_DELAY_MS));
+        let is_delay_over = self.newest_seen.get(model).is_some_and(|(_, since)| now >= since.plus_ms(LOAD_DELAY_MS));
         let assigned: Vec<&&SamplerRecord> =
             ready.iter().filter(|record| self.assigned_model(&record.id) == Some(model)).collect();
+        // Number of upstreams that still lack the newest version for half of the model's upstreams to have it. Busy
+        // upstreams load only while it is above 0.
         let mut missing =
             assigned.len().div_ceil(2).saturating_sub(self.count_at_version(ready, model, demand.newest_version, now));
         let mut candidates: Vec<(LoadPriority, u64, &'a SamplerRecord)> = Vec::new();
@@ -294,7 +297,7 @@
                 (false, 0) => LoadPriority::Idle,
                 (false, _) => LoadPriority::Busy,
             };
-            if priority == LoadPriority::Unusable || delay_over {
+            if priority == LoadPriority::Unusable || is_delay_over {
                 candidates.push((priority, runs, record));
             }
         }
--- a/crates/kernel/src/fair_queue.rs
+++ b/crates/kernel/src/fair_queue.rs
@@ -56,13 +56,13 @@
         Some(ticket)
     }
 
-    /// Corrects the organisation's virtual finish time once the actual cost of a request, in tokens, is known. Affects
-    /// only requests that are enqueued afterwards.
-    pub fn adjust_cost(&mut self, organisation: &str, weight: u64, expected: u64, actual: u64) {
+    /// Corrects the organisation's virtual finish time once the actual cost of a request is known. Affects only
+    /// requests that are enqueued afterwards.
+    pub fn adjust_cost(&mut self, organisation: &str, weight: u64, expected_tokens: u64, actual_tokens: u64) {
         let Some(finish) = self.finish_times.get_mut(organisation) else { return };
         let weight = weight.max(1);
-        *finish = (*finish + actual * VIRTUAL_UNITS_PER_TOKEN / weight)
-            .saturating_sub(expected * VIRTUAL_UNITS_PER_TOKEN / weight);
+        *finish = (*finish + actual_tokens * VIRTUAL_UNITS_PER_TOKEN / weight)
+            .saturating_sub(expected_tokens * VIRTUAL_UNITS_PER_TOKEN / weight);
     }
 
     /// Admits the next waiting request. Returns `None` if `running_max` requests are running or none is waiting.
@@ -103,6 +103,7 @@
         self.waiting.is_empty()
     }
 
+    /// Removes the owner of a request that no longer waits.
     fn remove_owner(&mut self, ticket: QueueTicket) {
         let Some((organisation, _)) = self.owners.remove(&ticket) else { return };
         if let Some(depth) = self.depths.get_mut(&organisation) {
--- a/crates/kernel/src/fingerprint.rs
+++ b/crates/kernel/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Stable 64-bit hashes, the same in every process and version.
+//! Stable 64-bit hashes, on which all daemons agree.
 
 use sha2::{Digest, Sha256};
 
--- a/crates/kernel/src/freshness_table.rs
+++ b/crates/kernel/src/freshness_table.rs
@@ -13,7 +13,8 @@
 /// look fresher than it is.
 #[derive(Debug, Default)]
 pub struct FreshnessTable {
-    /// All changes accepted before this time have been received.
+    /// Time before which every accepted change has been received; `None` before a complete configuration has been
+    /// received.
     complete_at: Option<TimePoint>,
     /// When the last answered request to each peer was sent.
     answered_requests: HashMap<SharedName, TimePoint>,
@@ -37,7 +38,7 @@
 
     /// Raises the freshness to the oldest of the last answered requests to `peers`, which must be all daemons that may
     /// be alive. Changes are only accepted by daemons, so a daemon with answers from all others holds every change that
-    /// one of them accepted before its request. Does nothing if a peer has not answered yet.
+    /// one of them accepted before the request to it was sent. Does nothing if a peer has not answered yet.
     pub fn update_from_peers<'a>(&mut self, peers: impl IntoIterator<Item = &'a SharedName>, now: TimePoint) {
         let mut oldest = now;
         for peer in peers {
@@ -47,7 +48,7 @@
         self.raise(oldest);
     }
 
-    /// Age of the cached configuration in milliseconds; `None` before the first complete read.
+    /// Age of the cached configuration in milliseconds; `None` before a complete one has been received.
     #[must_use]
     pub fn age_ms(&self, now: TimePoint) -> Option<u64> {
         self.complete_at.map(|complete_at| now.since_ms(complete_at))
@@ -56,9 +57,10 @@
     /// Whether the cached configuration, and with it the keys, may be used at `now`.
     #[must_use]
     pub fn is_fresh(&self, now: TimePoint) -> bool {
-        self.age_ms(now).is_some_and(|age| age <= MAX_AGE_MS)
+        self.age_ms(now).is_some_and(|age_ms| age_ms <= MAX_AGE_MS)
     }
 
+    /// Records that all changes accepted before `complete_at` have been received.
     fn raise(&mut self, complete_at: TimePoint) {
         self.complete_at = Some(self.complete_at.map_or(complete_at, |old| old.max(complete_at)));
     }
--- a/crates/kernel/src/lease_holder.rs
+++ b/crates/kernel/src/lease_holder.rs
@@ -61,15 +61,17 @@
 #[derive(Debug)]
 pub struct LeaseHolder {
     state: LeaseState,
+    /// Whether the receiver of the duty's orders refuses outdated fencing numbers.
     receiver_checks_fencing: bool,
+    /// When the next renewal is due.
     renew_at: TimePoint,
     /// Highest fencing number granted to this process so far.
     highest_fencing: u64,
 }
 
 impl LeaseHolder {
-    /// Creates an idle holder. `receiver_checks_fencing` says whether the receiver of the duty's orders refuses lower
-    /// fencing numbers; such a receiver needs no wait for previous holders.
+    /// Creates a holder without a lease. If `receiver_checks_fencing` is set, the receiver of the duty's orders refuses
+    /// outdated fencing numbers, and the holder need not wait for previous ones.
     #[must_use]
     pub fn new(receiver_checks_fencing: bool) -> Self {
         Self { state: LeaseState::Idle, receiver_checks_fencing, renew_at: TimePoint(0), highest_fencing: 0 }
@@ -126,13 +128,15 @@
         self.state != LeaseState::Idle && now >= self.renew_at
     }
 
-    /// Records a confirmed renewal, sent at `requested_at`, of the lease with the fencing number `grant`. Must not be
-    /// called when the answer was lost.
-    pub fn lease_renewed(&mut self, grant: u64, requested_at: TimePoint) {
+    /// Records a confirmed renewal, sent at `requested_at`, of the lease with the fencing number `renewed`. Must
+    /// not be called when the answer was lost.
+    pub fn lease_renewed(&mut self, renewed: u64, requested_at: TimePoint) {
         let renewed_deadline = requested_at.plus_ms(LEASE_TTL_MS - GUARD_MS);
         match &mut self.state {
             LeaseState::Idle => return,
-            LeaseState::Held { fencing, .. } | LeaseState::Settling { fencing, .. } if *fencing != grant => return,
+            LeaseState::Held { fencing, .. } | LeaseState::Settling { fencing, .. } if *fencing != renewed => {
+                return;
+            }
             LeaseState::Held { deadline, .. } | LeaseState::Settling { deadline, .. } => {
                 *deadline = (*deadline).max(renewed_deadline);
             }
--- a/crates/kernel/src/member_table.rs
+++ b/crates/kernel/src/member_table.rs
@@ -1,4 +1,5 @@
-//! Tracks which daemons are alive, from heartbeats, reports of other daemons, and ends of processes observed elsewhere.
+//! Tracks which daemons are alive, from direct exchanges, reports of other daemons, refused connections, and the
+//! platform's VM list, which lags behind.
 
 use crate::{SharedName, TimePoint, fingerprint, rank};
 use serde::{Deserialize, Serialize};
@@ -6,11 +7,11 @@
 
 /// Time without an answer after which a member is suspected.
 const SUSPECT_AFTER_MS: u64 = 3_000;
-/// Further time without an answer after which a suspect counts as failed.
+/// Further time without an answer after which a suspect or leaving member counts as failed.
 const FAIL_AFTER_MS: u64 = 3_000;
 /// Largest number of members that receive an exchange request in each round.
 const EXCHANGE_PEERS_MAX: usize = 4;
-/// Time since the last message after which a member whose process has ended is removed.
+/// Time since the last exchange after which a member whose process has ended is removed.
 const REMOVE_AFTER_MS: u64 = 600_000;
 
 /// Liveness of a member.
@@ -42,7 +43,7 @@
     pub control: SharedName,
     /// Liveness as this daemon sees it.
     pub state: MemberState,
-    /// Time of the last message exchanged with the member, by this daemon's clock.
+    /// Time of the last exchange with the member, or of the report that added it, by this daemon's clock.
     #[serde(skip)]
     pub heard_at: TimePoint,
 }
@@ -53,6 +54,7 @@
     own_name: SharedName,
     failure_domain: SharedName,
     members: BTreeMap<SharedName, MemberEntry>,
+    /// Position of the next exchange peer in the rotation.
     next_peer: usize,
 }
 
@@ -89,7 +91,7 @@
         }
     }
 
-    /// Records that the process of daemon `name` has ended.
+    /// Records that the process of daemon `name` has ended. Adds the daemon if it has not been seen.
     pub fn process_ended(&mut self, name: &SharedName, now: TimePoint) {
         let member = self.members.entry(name.clone()).or_insert_with(|| MemberEntry {
             name: name.clone(),
--- a/crates/kernel/src/ownership_table.rs
+++ b/crates/kernel/src/ownership_table.rs
@@ -54,12 +54,14 @@
     pub replaced_revision: u64,
 }
 
+/// A job with its owner.
 #[derive(Clone, Debug, Default)]
 struct OwnershipEntry {
     /// Whether the job is stored.
     accepted: bool,
     /// Whether the job needs no owner any more.
     closed: bool,
+    /// Cached ownership record; `None` if the job has no owner.
     owner: Option<OwnerRecord>,
     /// When this process received an ownership record that names it as the owner, unless it claimed the job itself.
     handed_over_at: Option<TimePoint>,
@@ -70,9 +72,13 @@
 /// Jobs, their owners, and the daemons that may own them.
 #[derive(Debug)]
 pub struct OwnershipTable {
+    /// Name of this daemon.
     daemon: SharedName,
+    /// Incarnation of this daemon's process.
     incarnation: u64,
+    /// Jobs by id.
     entries: BTreeMap<SharedName, OwnershipEntry>,
+    /// Running daemons by name; this one is included once its presence has been received.
     daemons: BTreeMap<SharedName, DaemonPresence>,
 }
 
@@ -121,7 +127,7 @@
         self.entries.remove(job);
     }
 
-    /// Applies a job's stored ownership record, unless the cached one is as new.
+    /// Applies a job's stored ownership record unless the cached one has the same or a higher revision.
     pub fn owner_recorded(&mut self, job: SharedName, owner: OwnerRecord, now: TimePoint) {
         let is_own = owner.daemon == self.daemon && owner.incarnation == self.incarnation;
         let entry = self.entry(job, now);
@@ -139,6 +145,7 @@
         entry.handed_over_at = None;
     }
 
+    /// The entry of `job`, which is added without an owner if the job has not been observed.
     fn entry(&mut self, job: SharedName, now: TimePoint) -> &mut OwnershipEntry {
         self.entries.entry(job).or_insert_with(|| OwnershipEntry { vacant_since: now, ..Default::default() })
     }
@@ -175,8 +182,8 @@
 
     /// The daemon that should own the jobs of `route`, without the `excluded` one; `None` if no daemon is running.
     ///
-    /// All jobs of a route get the same owner: it has the best data on what runs on the route's upstreams, and keeps
-    /// connections to them.
+    /// All jobs of a route get the same owner: it has the most accurate count of what runs on the route's upstreams,
+    /// and keeps connections to them.
     #[must_use]
     pub fn preferred_daemon(&self, route: &str, excluded: Option<&str>) -> Option<(&SharedName, &DaemonPresence)> {
         let daemons: Vec<&SharedName> = self.daemons.keys().filter(|daemon| Some(&***daemon) != excluded).collect();
--- a/crates/kernel/src/path_selector.rs
+++ b/crates/kernel/src/path_selector.rs
@@ -18,7 +18,8 @@
 const PEER_BACKOFF_MS: u64 = 2_000;
 /// Peers that are tried one after the other before the service counts as unreachable.
 const PEERS_MAX: u32 = 2;
-/// The seed shortens backoffs by up to one part in this many, so that daemons don't retry at the same time.
+/// Backoffs are shortened by up to one part in this many, depending on the daemon's seed, so that daemons don't retry
+/// at the same time.
 const JITTER_DIVISOR: u64 = 4;
 
 /// A path to the service.
@@ -42,8 +43,11 @@
 /// Selects a path for each call, from the outcomes of earlier calls.
 #[derive(Debug, Default)]
 pub struct PathSelector {
+    /// Number that varies the backoffs between daemons.
     seed: u64,
+    /// Consecutive failures of the direct path; calls that were in flight together count as one.
     direct_failures: u32,
+    /// When a call on the direct path succeeded last.
     direct_succeeded_at: Option<TimePoint>,
     /// When the direct path is probed although a peer reaches the service.
     direct_retry_at: TimePoint,
@@ -72,8 +76,8 @@
         self.direct_failures == 0
     }
 
-    /// Selects the path of the next call. `None` means that the service is unreachable and backed off. `peers` returns
-    /// the peers that may relay, in the order of preference.
+    /// Selects the path of the next call. `None` means that the service is unreachable and calls back off. `peers`
+    /// returns the peers that may relay, in the order of preference.
     pub fn next_path(&mut self, now: TimePoint, peers: impl FnOnce() -> Vec<SharedName>) -> Option<ServicePath> {
         if self.direct_failures == 0 {
             return Some(ServicePath::Direct);
@@ -103,12 +107,12 @@
         is_reconnected
     }
 
-    /// Records a call, started at `started`, that did not reach the service. Returns true if the direct path was
+    /// Records a call, started at `started_at`, that did not reach the service. Returns true if the direct path was
     /// available before.
-    pub fn call_failed(&mut self, path: &ServicePath, started: TimePoint, now: TimePoint) -> bool {
+    pub fn call_failed(&mut self, path: &ServicePath, started_at: TimePoint, now: TimePoint) -> bool {
         match path {
-            // The direct path has worked since the call started, so that only this call was lost.
-            ServicePath::Direct if self.direct_succeeded_at.is_some_and(|at| at > started) => false,
+            // Another call on the direct path has succeeded since this one started, so only this call was lost.
+            ServicePath::Direct if self.direct_succeeded_at.is_some_and(|at| at > started_at) => false,
             ServicePath::Direct => self.direct_failed(now),
             ServicePath::Relay(peer) => {
                 self.failed_peers.insert(peer.clone(), now.plus_ms(PEER_BACKOFF_MS));
--- a/crates/kernel/src/retry_policy.rs
+++ b/crates/kernel/src/retry_policy.rs
@@ -7,6 +7,7 @@
 const ATTEMPTS_MAX: u32 = 3;
 /// Base of the exponential backoff: the upper limit of the delay after attempt `n` is `BACKOFF_BASE_MS << n`.
 const BACKOFF_BASE_MS: u64 = 20;
+/// Largest upper limit of the delay after an attempt.
 const BACKOFF_MAX_MS: u64 = 500;
 
 /// Reason for a retry; used as a label of the retry counter.
--- a/crates/kernel/src/route_table.rs
+++ b/crates/kernel/src/route_table.rs
@@ -6,7 +6,7 @@
 
 /// Consecutive failed requests, or missed load reports, after which an upstream is ejected.
 const EJECT_AFTER_FAILURES: u32 = 3;
-/// How long an ejected or unreachable upstream gets no requests.
+/// Time for which an ejected or unreachable upstream gets no requests.
 const EJECTION_MS: u64 = 5_000;
 /// Ejections are ignored while they would leave less than one in this many upstreams to pick from.
 const ELIGIBLE_MIN_DIVISOR: usize = 2;
@@ -69,7 +69,7 @@
     missed_reports: u32,
     /// Moving average of the request duration; `None` before the first completed request.
     mean_duration_ms: Option<u64>,
-    /// End of the time in which the upstream is avoided because its address refused a connection.
+    /// End of the time in which the upstream is avoided because no connection to it could be opened.
     avoided_until: TimePoint,
 }
 
@@ -119,7 +119,8 @@
     }
 
     /// Load in load units: this daemon's own requests, which are counted exactly, plus the moving average of the
-    /// load from other daemons, whose reports lag. During the slow start up to four own requests count twice.
+    /// load from other daemons, whose reports lag. At the beginning of the slow start up to four own requests
+    /// count twice; this number falls to zero by its end.
     fn load(&self, now: TimePoint) -> u64 {
         let load = self.inflight * LOAD_UNITS_PER_REQUEST + self.remote_load;
         let slow_start_penalty = self.slow_start_end.since_ms(now) * 4 / SLOW_START_MS;
@@ -149,6 +150,7 @@
 pub struct RouteTable {
     policy: RoutePolicy,
     entries: BTreeMap<SharedName, UpstreamEntry>,
+    /// Number of picks so far, from which round robin derives the next upstream.
     round_robin_index: usize,
 }
 
@@ -242,7 +244,7 @@
     }
 
     /// Records that a picked request ended, and ejects the upstream after several failures in a row. `failed` is set
-    /// when the upstream was lost, unreachable or refused the request.
+    /// when the upstream was lost or unreachable, refused the request, or answered late or with another response.
     pub fn request_ended(&mut self, name: &str, failed: bool, now: TimePoint) {
         let Some(entry) = self.entries.get_mut(name) else { return };
         entry.inflight = entry.inflight.saturating_sub(1);
@@ -258,7 +260,8 @@
         }
     }
 
-    /// Number of requests that the upstreams of `service` can run at the same time.
+    /// Number of requests of this daemon that the upstreams of `service` can run at the same time, with at most
+    /// `inflight_max` on each.
     #[must_use]
     pub fn capacity(&self, service: &str, inflight_max: u64) -> usize {
         let live = self.iter().filter(|entry| &*entry.service == service && entry.accepts_requests()).count();
@@ -275,7 +278,7 @@
         }
     }
 
-    /// Records that an upstream's address refused a connection, which means that its process has ended. The
+    /// Records that no connection to an upstream could be opened, for example because its process has ended. The
     /// upstream is then avoided for a while.
     pub fn connection_refused(&mut self, name: &str, now: TimePoint) {
         if let Some(entry) = self.entries.get_mut(name) {
--- a/crates/kernel/src/sampler/sampler_table.rs
+++ b/crates/kernel/src/sampler/sampler_table.rs
@@ -197,6 +197,7 @@
         Some(entry.record.clone())
     }
 
+    /// Id of the upstream with the shortest expected wait; `None` if no upstream meets the query.
     fn select(&self, query: &SamplerQuery<'_>, now: TimePoint) -> Option<SharedName> {
         let serving = || self.entries.values().filter(|entry| entry.serves(query));
         let fastest_ms = serving().filter_map(|entry| entry.latency_ms).min().unwrap_or(1).max(1);
--- a/crates/kernel/src/step_ledger.rs
+++ b/crates/kernel/src/step_ledger.rs
@@ -78,6 +78,7 @@
     spec: StepSpec,
     /// Number of versions by which a sample may lag behind the published version.
     staleness_bound: u64,
+    /// Newest published weight version that was observed.
     published_version: u64,
     /// Samples that the trainer confirmed.
     confirmed: FetchCursor,
@@ -91,15 +92,15 @@
 }
 
 impl StepLedger {
-    /// Creates the ledger of a step that has not started. `bound` is the number of versions by which a sample may lag
-    /// behind the newest one; `published` is the newest version observed so far.
+    /// Creates the ledger of a step that has not started. `staleness_bound` is the number of versions by which a sample
+    /// may lag behind the newest one; `published_version` is the newest version observed so far.
     #[must_use]
-    pub fn new(spec: StepSpec, bound: u64, published: u64) -> Self {
+    pub fn new(spec: StepSpec, staleness_bound: u64, published_version: u64) -> Self {
         let samples = vec![SampleEntry::default(); spec.sample_count()];
         Self {
             spec,
-            staleness_bound: bound,
-            published_version: published,
+            staleness_bound,
+            published_version,
             confirmed: FetchCursor::default(),
             samples,
             attempt_count: 0,
@@ -115,7 +116,7 @@
     }
 
     /// Records that a weight version was published, and drops unconfirmed results that are now too old, so that their
-    /// samples run again. An older version than the recorded one is ignored.
+    /// samples run again. Ignored unless `version` is newer than the recorded one.
     pub fn version_published(&mut self, version: u64) {
         if version <= self.published_version {
             return;
@@ -130,9 +131,9 @@
         }
     }
 
-    /// Starts the next attempt: at the first sample without a running one, otherwise a hedge of the sample that has
-    /// been running longest, if all its attempts started at least `hedge_after_ms` ago. Returns `None` if there is
-    /// nothing to start.
+    /// Starts the next attempt: at the first unfinished sample without a running attempt, otherwise a hedge of the
+    /// unfinished sample that has been running longest, among those whose attempts all started at least
+    /// `hedge_after_ms` ago. Returns `None` if there is nothing to start.
     pub fn dispatch(&mut self, now: TimePoint, hedge_after_ms: Option<u64>) -> Option<DispatchOrder> {
         let unstarted = (0..self.samples.len())
             .find(|&sample| self.is_unfinished(sample) && self.samples[sample].attempts.is_empty());
@@ -180,9 +181,9 @@
 
     /// Returns up to `max` complete samples that are missing from `cursor`, and records the samples in it as confirmed.
     /// Fetches with the same cursor return the same samples until the trainer confirms them or they become too old.
-    /// `published` is the newest version that the trainer published.
-    pub fn fetch(&mut self, cursor: &FetchCursor, published: u64, max: usize) -> Vec<SampleResult> {
-        self.version_published(published);
+    /// `published_version` is the newest version that the trainer published.
+    pub fn fetch(&mut self, cursor: &FetchCursor, published_version: u64, max: usize) -> Vec<SampleResult> {
+        self.version_published(published_version);
         self.confirmed.merge(cursor);
         for (sample, entry) in self.samples.iter_mut().enumerate() {
             if self.confirmed.contains(sample) {
@@ -242,6 +243,7 @@
         None
     }
 
+    /// Oldest weight version that a returned sample may have.
     fn oldest_allowed_version(&self) -> u64 {
         self.published_version.saturating_sub(self.staleness_bound)
     }
--- a/crates/kernel/src/stream_scanner.rs
+++ b/crates/kernel/src/stream_scanner.rs
@@ -20,22 +20,22 @@
     /// Scans the next chunk and calls `on_data` with the payload of each complete `data:` line, except the terminal
     /// marker.
     pub fn feed(&mut self, chunk: &[u8], mut on_data: impl FnMut(&[u8])) {
-        let mut rest = chunk;
-        while let Some(end) = memchr(b'\n', rest) {
+        let mut remaining = chunk;
+        while let Some(end) = memchr(b'\n', remaining) {
             if self.partial_line.is_empty() {
-                self.scan_line(&rest[..end], &mut on_data);
+                self.scan_line(&remaining[..end], &mut on_data);
             } else {
-                self.partial_line.extend_from_slice(&rest[..end]);
+                self.partial_line.extend_from_slice(&remaining[..end]);
                 let line = std::mem::take(&mut self.partial_line);
                 self.scan_line(&line, &mut on_data);
             }
-            rest = &rest[end + 1..];
+            remaining = &remaining[end + 1..];
         }
-        if self.partial_line.len() + rest.len() > LINE_BYTES_MAX {
+        if self.partial_line.len() + remaining.len() > LINE_BYTES_MAX {
             self.overlong = true;
             return;
         }
-        self.partial_line.extend_from_slice(rest);
+        self.partial_line.extend_from_slice(remaining);
     }
 
     /// Whether the terminal marker was seen, which means that the response is complete.
--- a/crates/kernel/src/traffic/route_rule.rs
+++ b/crates/kernel/src/traffic/route_rule.rs
@@ -1,4 +1,4 @@
-//! Routes: match requests to services and define timeouts, priorities and repetition.
+//! Rules of routes: which requests match, which services receive them, and their timeouts, priorities and retries.
 
 use crate::SharedName;
 
--- a/crates/kernel/src/traffic/traffic_config.rs
+++ b/crates/kernel/src/traffic/traffic_config.rs
@@ -51,8 +51,8 @@
             rules.sort_by_key(|rule| std::cmp::Reverse(rule.path_prefix.len()));
         }
         let services = services.into_iter().map(|service| (service.name.clone(), service)).collect();
-        let keyed = keys.is_some();
-        Self { version, routes, services, keys: keys.unwrap_or_default(), limits, requires_key: keyed }
+        let requires_key = keys.is_some();
+        Self { version, routes, services, keys: keys.unwrap_or_default(), limits, requires_key }
     }
 
     /// Route for a request: that with the longest prefix of `path` among the routes of `host`; `None` if no route
--- a/crates/kernel/tests/machines/batches.rs
+++ b/crates/kernel/tests/machines/batches.rs
@@ -1,5 +1,5 @@
 //! Batch jobs: each item is listed exactly once, either with its complete text and the versions that generated it, or
-//! as terminated for a valid reason, also if writes to the store are lost or the owner changes.
+//! as terminated for a valid reason, even if writes to the store are lost or the owner changes.
 
 use crate::sequence;
 use pimentoslip_kernel::{
@@ -41,16 +41,16 @@
 
 impl Arbitrary for Command {
     fn arbitrary(rng: &mut Gen) -> Self {
-        let (a, b) = (u8::arbitrary(rng), u8::arbitrary(rng));
+        let (first, second) = (u8::arbitrary(rng), u8::arbitrary(rng));
         match u8::arbitrary(rng) % 20 {
             0..=3 => Self::StartRuns,
-            4..=9 => Self::SendEvent { run: a, skip: b % 16 == 0 },
-            10..=13 => Self::EndRun { run: a, selector: b },
-            14..=15 => Self::Score { selector: a },
-            16 if a % 2 == 0 => Self::StoreResults { answer_lost: a % 3 == 0 },
-            16 => Self::StoreCheckpoint { written: b % 4 > 0, answered: b % 3 > 0 },
-            17 if a % 2 == 0 => Self::ChangeVersion,
-            18 if a % 3 == 0 => Self::ChangeOwner { handed_over: b % 2 == 0 },
+            4..=9 => Self::SendEvent { run: first, skip: second % 16 == 0 },
+            10..=13 => Self::EndRun { run: first, selector: second },
+            14..=15 => Self::Score { selector: first },
+            16 if first % 2 == 0 => Self::StoreResults { answer_lost: first % 3 == 0 },
+            16 => Self::StoreCheckpoint { written: second % 4 > 0, answered: second % 3 > 0 },
+            17 if first % 2 == 0 => Self::ChangeVersion,
+            18 if first % 3 == 0 => Self::ChangeOwner { handed_over: second % 2 == 0 },
             _ => Self::Wait { ms: u16::arbitrary(rng) % 600 },
         }
     }
@@ -282,8 +282,10 @@
         };
         let created = match &self.oracle.last_written {
             // A repeated write: the items may have received events or restarted since the first attempt.
-            Some((written_number, texts)) if *written_number == number && texts.checkpoint == checkpoint => {
-                texts.clone()
+            Some((written_number, last_written))
+                if *written_number == number && last_written.checkpoint == checkpoint =>
+            {
+                last_written.clone()
             }
             _ => StoredCheckpoint { versions: checkpoint.parts.iter().map(versions).collect(), checkpoint },
         };
--- a/crates/kernel/tests/machines/claims.rs
+++ b/crates/kernel/tests/machines/claims.rs
@@ -71,20 +71,20 @@
 
 impl Arbitrary for Command {
     fn arbitrary(rng: &mut Gen) -> Self {
-        let (a, b) = (u8::arbitrary(rng), u8::arbitrary(rng));
+        let (first, second) = (u8::arbitrary(rng), u8::arbitrary(rng));
         match u8::arbitrary(rng) % 20 {
-            16 | 17 => Self::Grant { owner: a % DAEMONS, key: b % KEYS },
+            16 | 17 => Self::Grant { owner: first % DAEMONS, key: second % KEYS },
             18 => Self::RunLatest,
-            0..=2 => Self::Request { owner: a % DAEMONS, key: b % KEYS },
-            3 => Self::RequestAgain { attempt: a, owner: b % DAEMONS },
-            4 | 5 => Self::TakeBatch { owner: a % DAEMONS },
-            6 | 7 => Self::ReceiveCommit { commit: a },
-            8 | 9 => Self::AnswerCommit { commit: a, lost: b % 4 == 0 },
-            10 => Self::TakeOver { owner: a % DAEMONS },
-            11 => Self::Crash { owner: a % DAEMONS },
-            12 => Self::Run { attempt: a },
-            13 => Self::Settle { attempt: a },
-            14 => Self::Deliver { message: a, owner: b % DAEMONS },
+            0..=2 => Self::Request { owner: first % DAEMONS, key: second % KEYS },
+            3 => Self::RequestAgain { attempt: first, owner: second % DAEMONS },
+            4 | 5 => Self::TakeBatch { owner: first % DAEMONS },
+            6 | 7 => Self::ReceiveCommit { commit: first },
+            8 | 9 => Self::AnswerCommit { commit: first, lost: second % 4 == 0 },
+            10 => Self::TakeOver { owner: first % DAEMONS },
+            11 => Self::Crash { owner: first % DAEMONS },
+            12 => Self::Run { attempt: first },
+            13 => Self::Settle { attempt: first },
+            14 => Self::Deliver { message: first, owner: second % DAEMONS },
             _ => Self::Wait { ms: u16::arbitrary(rng) % 2_000 },
         }
     }
--- a/crates/kernel/tests/machines/configuration.rs
+++ b/crates/kernel/tests/machines/configuration.rs
@@ -1,5 +1,5 @@
-//! Configuration: an accepted change is in effect on every daemon within seconds and is never reverted, which includes
-//! the withdrawal of a key.
+//! Configuration: an accepted change, such as the withdrawal of a key, is in effect on every daemon within seconds and
+//! is never reverted.
 
 use crate::sequence;
 use pimentoslip_kernel::{ConfigRecord, ConfigView, FreshnessTable, RecordEntry, RecordName, SharedName, TimePoint};
@@ -45,11 +45,11 @@
     },
     /// Two daemons become unreachable or reachable again for each other.
     CutPeers {
-        a: u8,
-        b: u8,
+        first: u8,
+        second: u8,
         cut: bool,
     },
-    /// A process ends, and its peers find its port closed. It restarts without any records.
+    /// A process ends, and its port refuses the connections of its peers. It restarts without any records.
     Crash {
         daemon: u8,
     },
@@ -60,17 +60,17 @@
 
 impl Arbitrary for Command {
     fn arbitrary(rng: &mut Gen) -> Self {
-        let (a, b) = (u8::arbitrary(rng) % DAEMONS, u8::arbitrary(rng));
+        let (first, second) = (u8::arbitrary(rng) % DAEMONS, u8::arbitrary(rng));
         let flag = bool::arbitrary(rng);
         match u8::arbitrary(rng) % 22 {
-            16..=21 => Self::Exchange { daemon: a, service: flag },
-            0 | 1 => Self::Change { daemon: a, record: b % 2, lost: b % 8 > 5 },
-            2..=4 => Self::RequestService { daemon: a },
-            5..=8 => Self::RequestPeer { daemon: a, peer: b % DAEMONS },
-            9..=11 => Self::DeliverAnswer { answer: b, lost: b % 16 == 0 },
-            12 => Self::CutService { daemon: a, cut: flag },
-            13 => Self::CutPeers { a, b: b % DAEMONS, cut: flag },
-            14 if b % 4 == 0 => Self::Crash { daemon: a },
+            16..=21 => Self::Exchange { daemon: first, service: flag },
+            0 | 1 => Self::Change { daemon: first, record: second % 2, lost: second % 8 > 5 },
+            2..=4 => Self::RequestService { daemon: first },
+            5..=8 => Self::RequestPeer { daemon: first, peer: second % DAEMONS },
+            9..=11 => Self::DeliverAnswer { answer: second, lost: second % 16 == 0 },
+            12 => Self::CutService { daemon: first, cut: flag },
+            13 => Self::CutPeers { first, second: second % DAEMONS, cut: flag },
+            14 if second % 4 == 0 => Self::Crash { daemon: first },
             _ => Self::Wait { ms: u16::arbitrary(rng) % 2_500 },
         }
     }
@@ -116,11 +116,13 @@
     revision: u64,
     stored: Vec<RecordEntry>,
     daemons: Vec<Daemon>,
+    /// Pairs of daemons that are unreachable for each other, the lower index first.
     cut_pairs: BTreeSet<(usize, usize)>,
+    /// Answers in flight.
     answers: Vec<Answer>,
     accepted: AcceptedChanges,
-    /// Stored changes that some daemon has not confirmed. Fresh daemons must have them too, as long as no process has
-    /// ended since.
+    /// Stored changes that did not reach every daemon at once. Fresh daemons must have them too, as long as no process
+    /// has ended since.
     pending: AcceptedChanges,
     /// Highest revisions observed on each daemon, by record.
     seen: Vec<[u64; 2]>,
@@ -134,13 +136,13 @@
     RecordName::Weights(format!("r{record}").into())
 }
 
-fn sorted_pair(a: usize, b: usize) -> (usize, usize) {
-    (a.min(b), a.max(b))
+fn sorted_pair(first: usize, second: usize) -> (usize, usize) {
+    (first.min(second), first.max(second))
 }
 
 impl Simulation {
-    fn is_reachable(&self, a: usize, b: usize) -> bool {
-        !self.cut_pairs.contains(&sorted_pair(a, b))
+    fn is_reachable(&self, first: usize, second: usize) -> bool {
+        !self.cut_pairs.contains(&sorted_pair(first, second))
     }
 
     fn change(&mut self, daemon: usize, record: u8, lost: bool) {
@@ -265,11 +267,11 @@
             }
             Command::DeliverAnswer { .. } => {}
             Command::CutService { daemon, cut } => self.daemons[usize::from(daemon)].cut = cut,
-            Command::CutPeers { a, b, cut: true } => {
-                self.cut_pairs.insert(sorted_pair(a.into(), b.into()));
+            Command::CutPeers { first, second, cut: true } => {
+                self.cut_pairs.insert(sorted_pair(first.into(), second.into()));
             }
-            Command::CutPeers { a, b, cut: false } => {
-                self.cut_pairs.remove(&sorted_pair(a.into(), b.into()));
+            Command::CutPeers { first, second, cut: false } => {
+                self.cut_pairs.remove(&sorted_pair(first.into(), second.into()));
             }
             Command::Crash { daemon } => {
                 self.pending.clear();
@@ -349,7 +351,7 @@
         }
         assert!(simulation.daemons.iter().all(|daemon| daemon.freshness.is_fresh(simulation.now)));
     }
-    simulation.apply(&Command::CutPeers { a: 0, b: 1, cut: true });
+    simulation.apply(&Command::CutPeers { first: 0, second: 1, cut: true });
     for _ in 0..5 {
         simulation.apply(&Command::Wait { ms: 1_000 });
         simulation.apply(&Command::RequestPeer { daemon: 0, peer: 2 });
--- a/crates/kernel/tests/machines/duties.rs
+++ b/crates/kernel/tests/machines/duties.rs
@@ -54,17 +54,17 @@
 
 impl Arbitrary for Command {
     fn arbitrary(rng: &mut Gen) -> Self {
-        let (a, b) = (u8::arbitrary(rng) % DAEMONS, u8::arbitrary(rng));
+        let (first, second) = (u8::arbitrary(rng) % DAEMONS, u8::arbitrary(rng));
         match u8::arbitrary(rng) % 20 {
-            16 | 17 => Self::AcquireAtOnce { daemon: a },
-            18 | 19 => Self::SendAtOnce { daemon: a },
-            0..=2 => Self::Acquire { daemon: a },
-            3 | 4 => Self::Renew { daemon: a },
-            5..=7 => Self::DeliverAnswer { answer: b, lost: b % 8 == 0 },
-            8 | 9 => Self::Check { daemon: a },
-            10 | 11 => Self::Send { daemon: a },
-            12 => Self::UpdateEvidence { daemon: a },
-            13 if b % 3 == 0 => Self::Crash { daemon: a },
+            16 | 17 => Self::AcquireAtOnce { daemon: first },
+            18 | 19 => Self::SendAtOnce { daemon: first },
+            0..=2 => Self::Acquire { daemon: first },
+            3 | 4 => Self::Renew { daemon: first },
+            5..=7 => Self::DeliverAnswer { answer: second, lost: second % 8 == 0 },
+            8 | 9 => Self::Check { daemon: first },
+            10 | 11 => Self::Send { daemon: first },
+            12 => Self::UpdateEvidence { daemon: first },
+            13 if second % 3 == 0 => Self::Crash { daemon: first },
             _ => Self::Wait { ms: u16::arbitrary(rng) % 4_000 },
         }
     }
@@ -91,7 +91,7 @@
 /// Model of the service, the daemons and the receiver of their orders.
 struct Simulation {
     /// Whether the receiver checks fencing numbers.
-    checks: bool,
+    checks_fencing: bool,
     now: TimePoint,
     revision: u64,
     lease: Option<Lease>,
@@ -108,10 +108,10 @@
 }
 
 impl Simulation {
-    fn new(checks: bool) -> Self {
-        let daemon = || Daemon { process: 0, holder: LeaseHolder::new(checks), checked: None };
+    fn new(checks_fencing: bool) -> Self {
+        let daemon = || Daemon { process: 0, holder: LeaseHolder::new(checks_fencing), checked: None };
         Self {
-            checks,
+            checks_fencing,
             now: TimePoint(1_000),
             revision: 0,
             lease: None,
@@ -124,7 +124,7 @@
         }
     }
 
-    /// The evidence that `daemon` can have on the holders `previous`.
+    /// Evidence of `daemon` on whether the holders `previous` have ended.
     fn evidence(&self, daemon: usize, previous: &[(usize, u32)]) -> HolderEvidence {
         let evidence_of = |(other, process): &(usize, u32)| match self.daemons[*other].process {
             current if *other == daemon && current == *process => HolderEvidence::Clear,
@@ -196,7 +196,7 @@
     fn receive_order(&mut self, fencing: u64, delayed: bool) -> Result<(), String> {
         let newest = self.received.iter().copied().max().unwrap_or(0);
         if fencing < newest {
-            if self.checks && delayed {
+            if self.checks_fencing && delayed {
                 return Ok(());
             }
             return Err(format!("an order with fencing number {fencing} arrived after one with {newest}"));
@@ -256,7 +256,8 @@
                 if let Some(fencing) = ended.checked.take() {
                     self.in_flight.push((fencing, self.now.plus_ms(GUARD_MS)));
                 }
-                *ended = Daemon { process: ended.process + 1, holder: LeaseHolder::new(self.checks), checked: None };
+                *ended =
+                    Daemon { process: ended.process + 1, holder: LeaseHolder::new(self.checks_fencing), checked: None };
             }
             Command::Wait { ms } => {
                 self.now = self.now.plus_ms(u64::from(ms));
@@ -272,27 +273,27 @@
     }
 }
 
-/// Runs `commands`. Fails if orders arrive from two holders in turn.
-fn run(checks: bool, commands: &[Command]) -> Result<(), String> {
-    let mut simulation = Simulation::new(checks);
+/// Applies `commands`. Fails if orders of two holders arrive in alternation.
+fn check_commands(checks_fencing: bool, commands: &[Command]) -> Result<(), String> {
+    let mut simulation = Simulation::new(checks_fencing);
     commands.iter().try_for_each(|command| simulation.apply(command))
 }
 
 #[test]
 fn receivers_without_fencing_checks_get_orders_from_one_holder_at_a_time() {
-    sequence::check(0xd071, 100, |commands| run(false, &commands));
+    sequence::check(0xd071, 100, |commands| check_commands(false, &commands));
 }
 
 #[test]
 fn receivers_with_fencing_checks_get_orders_from_one_holder_at_a_time() {
-    sequence::check(0xd072, 100, |commands| run(true, &commands));
+    sequence::check(0xd072, 100, |commands| check_commands(true, &commands));
 }
 
 /// Without failures of the key-value service, both the first holder and its successor can send orders.
 #[test]
 fn a_successor_sends_orders_once_its_predecessor_has_ended() {
-    for checks in [false, true] {
-        let mut simulation = Simulation::new(checks);
+    for checks_fencing in [false, true] {
+        let mut simulation = Simulation::new(checks_fencing);
         let commands = [
             Command::Acquire { daemon: 0 },
             Command::DeliverAnswer { answer: 0, lost: false },
@@ -308,11 +309,11 @@
             Command::Send { daemon: 1 },
         ];
         commands.iter().try_for_each(|command| simulation.apply(command)).expect("one holder at a time");
-        assert_eq!(simulation.received.len(), 2, "checks {checks}");
+        assert_eq!(simulation.received.len(), 2, "receiver checks fencing numbers: {checks_fencing}");
     }
 }
 
-/// A holder stops answering but is not proved to have ended, so that it may still send orders. If the receiver doesn't
+/// A holder stops answering but is not proved to have ended, so it may still send orders. If the receiver doesn't
 /// check fencing numbers, no successor may act.
 #[test]
 fn an_unresponsive_predecessor_without_fencing_checks_blocks_its_successor() {
@@ -332,7 +333,7 @@
 }
 
 /// A holder checks its authority, is frozen past the end of its lease, sends the order when it resumes, and dies. The
-/// order may arrive within the guard, so that the successor must wait that long after the proof of the holder's end.
+/// order may arrive within the guard, so the successor must wait that long after the proof of the holder's end.
 #[test]
 fn a_successor_waits_for_the_last_order_of_a_predecessor_that_was_frozen() {
     let commands = [
--- a/crates/kernel/tests/machines/fleet_laws.rs
+++ b/crates/kernel/tests/machines/fleet_laws.rs
@@ -109,8 +109,8 @@
 #[test]
 fn a_faster_upstream_is_picked_first_while_it_has_free_slots() {
     let mut table = table(&[record("fast", "a", 2), record("slow", "a", 2)]);
-    for (id, pace_ms) in [("fast", 10), ("slow", 50)] {
-        table.request_ended(id, SamplerOutcome::Answered(Some(pace_ms)), TimePoint(0));
+    for (id, latency_ms) in [("fast", 10), ("slow", 50)] {
+        table.request_ended(id, SamplerOutcome::Answered(Some(latency_ms)), TimePoint(0));
     }
     assert_eq!(pick(&mut table, 0).as_deref(), Some("fast"));
     assert_eq!(pick(&mut table, 0).as_deref(), Some("fast"));
@@ -124,23 +124,25 @@
 }
 
 #[test]
-fn a_run_is_slow_when_its_event_gaps_clearly_exceed_the_pace_of_other_upstreams() {
-    // gap between events in ms, number of events, pace of other upstreams in ms, whether the run is slow
+fn a_run_is_slow_if_its_event_interval_is_more_than_twice_that_of_another_upstream() {
+    // event interval in ms, number of events, event interval of another upstream in ms, whether the run is slow
     let cases =
         [(40, 20, 38, false), (140, 20, 38, true), (140, 3, 38, false), (77, 20, 38, true), (76, 20, 38, false)];
-    for (gap_ms, events, best_ms, slow) in cases {
-        let mut pace = RunMonitor::new(TimePoint(0));
-        (1..=events).for_each(|event| pace.events_received(1, TimePoint(event * gap_ms)));
-        assert_eq!(pace.is_slower_than(best_ms), slow, "{gap_ms} ms, {events} events");
+    for (interval_ms, events, other_interval_ms, slow) in cases {
+        let mut monitor = RunMonitor::new(TimePoint(0));
+        (1..=events).for_each(|event| monitor.events_received(1, TimePoint(event * interval_ms)));
+        assert_eq!(monitor.is_slower_than(other_interval_ms), slow, "{interval_ms} ms, {events} events");
     }
 }
 
 #[test]
-fn the_wait_for_an_unresponsive_run_grows_with_the_pace_of_events() {
-    let pace = RunMonitor::new(TimePoint(100));
-    // pace of other upstreams in ms, time in ms at which the run counts as unresponsive
-    for (best_ms, unresponsive_at) in [(None, 2_600), (Some(1), 700), (Some(100), 1_300), (Some(1_000), 2_600)] {
-        assert_eq!(pace.unresponsive_at(best_ms), TimePoint(unresponsive_at), "{best_ms:?}");
+fn the_timeout_of_a_run_grows_with_the_event_interval_of_other_upstreams_within_limits() {
+    let monitor = RunMonitor::new(TimePoint(100));
+    // event interval of the fastest other upstream in ms, time in ms at which the run counts as unresponsive
+    for (other_interval_ms, unresponsive_at) in
+        [(None, 2_600), (Some(1), 700), (Some(100), 1_300), (Some(1_000), 2_600)]
+    {
+        assert_eq!(monitor.unresponsive_at(other_interval_ms), TimePoint(unresponsive_at), "{other_interval_ms:?}");
     }
 }
 
@@ -241,23 +243,23 @@
     for (organisation, unix_ms) in [(&a, 4_999), (&a, 5_000), (&b, 9_999), (&a, 10_000)] {
         tally.count_request(organisation, unix_ms);
     }
-    let closed = tally.close_ended_windows(10_500);
-    assert_eq!(closed.len(), 2);
-    assert_eq!((closed[0].window, &closed[0].counts), (0, &BTreeMap::from([(a.clone(), 1)])));
-    assert_eq!((closed[1].window, &closed[1].counts), (1, &BTreeMap::from([(a.clone(), 1), (b.clone(), 1)])));
+    let batches = tally.close_ended_windows(10_500);
+    assert_eq!(batches.len(), 2);
+    assert_eq!((batches[0].window, &batches[0].counts), (0, &BTreeMap::from([(a.clone(), 1)])));
+    assert_eq!((batches[1].window, &batches[1].counts), (1, &BTreeMap::from([(a.clone(), 1), (b.clone(), 1)])));
     tally.count_request(&b, 9_000);
-    let late = tally.close_ended_windows(10_500);
-    assert_eq!(late[..2], closed, "batches that are not stored yet are returned again unchanged");
+    let later_batches = tally.close_ended_windows(10_500);
+    assert_eq!(later_batches[..2], batches, "batches that are not stored yet are returned again unchanged");
     assert_eq!(
-        (late[2].window, &late[2].counts),
+        (later_batches[2].window, &later_batches[2].counts),
         (1, &BTreeMap::from([(b.clone(), 1)])),
         "a late count is in another batch"
     );
-    assert_ne!(late[2].number, closed[1].number);
-    late.iter().for_each(|batch| tally.batch_stored(batch.number));
+    assert_ne!(later_batches[2].number, batches[1].number);
+    later_batches.iter().for_each(|batch| tally.batch_stored(batch.number));
     assert!(tally.close_ended_windows(10_500).is_empty());
     assert_eq!(tally.close_ended_windows(15_000).len(), 1);
-    let total = UsageTally::sum_counts(late.into_iter().map(|batch| batch.counts));
+    let total = UsageTally::sum_counts(later_batches.into_iter().map(|batch| batch.counts));
     assert_eq!(total, BTreeMap::from([(a, 2), (b, 2)]));
 }
 
--- a/crates/kernel/tests/machines/ownership.rs
+++ b/crates/kernel/tests/machines/ownership.rs
@@ -39,13 +39,13 @@
 
 impl Arbitrary for Command {
     fn arbitrary(rng: &mut Gen) -> Self {
-        let (a, b) = (u8::arbitrary(rng), u8::arbitrary(rng));
+        let (first, second) = (u8::arbitrary(rng), u8::arbitrary(rng));
         match u8::arbitrary(rng) % 16 {
-            0..=4 => Self::Claim { daemon: a, lost: b % 4 == 0 },
-            5..=9 => Self::Receive { daemon: a, count: b % 4 + 1 },
-            10 if b % 2 == 0 => Self::Restart { daemon: a },
-            11 if b % 2 == 0 => Self::EndLease { daemon: a },
-            12 if b % 6 == 0 => Self::CloseJob { job: a },
+            0..=4 => Self::Claim { daemon: first, lost: second % 4 == 0 },
+            5..=9 => Self::Receive { daemon: first, count: second % 4 + 1 },
+            10 if second % 2 == 0 => Self::Restart { daemon: first },
+            11 if second % 2 == 0 => Self::EndLease { daemon: first },
+            12 if second % 6 == 0 => Self::CloseJob { job: first },
             _ => Self::Wait { ms: u16::arbitrary(rng) % 900 },
         }
     }
@@ -146,7 +146,7 @@
         Self { store, daemons, now: TimePoint(0) }
     }
 
-    /// Writes the claims that are due on `daemon`. Fails if one replaces the entry of a running owner.
+    /// Writes the claims that are due on `daemon`. Fails if one of them replaces the record of a running owner.
     fn claim(&mut self, daemon: usize, lost: bool) -> Result<(), String> {
         let held: Vec<SharedName> = self.daemons[daemon].held.iter().map(|job| job_id(*job)).collect();
         let claims =
@@ -196,7 +196,7 @@
         self.store.history.push(Change::DaemonJoined(daemon));
     }
 
-    fn step(&mut self, command: &Command) -> Result<(), String> {
+    fn apply(&mut self, command: &Command) -> Result<(), String> {
         match *command {
             Command::Claim { daemon, lost } => self.claim(usize::from(daemon) % DAEMONS, lost)?,
             Command::Receive { daemon, count } => {
@@ -221,13 +221,14 @@
     }
 }
 
-/// Runs `commands`. Fails if a running owner loses its job, or an open job doesn't end up with exactly one owner.
+/// Applies `commands`. Fails if another daemon claims the job of a running owner, or if an open job doesn't have
+/// exactly one owner at the end.
 fn each_open_job_has_one_owner(commands: Vec<Command>) -> Result<(), String> {
     let mut simulation = Simulation::new();
     for command in &commands {
-        simulation.step(command)?;
+        simulation.apply(command)?;
     }
-    // Once all daemons have received all changes, exactly one daemon's table says that it owns an open job.
+    // Once all daemons have received all changes, exactly one of them must consider itself the owner of an open job.
     for _ in 0..6 {
         simulation.now = simulation.now.plus_ms(600);
         for daemon in 0..DAEMONS {
--- a/crates/kernel/tests/machines/routes.rs
+++ b/crates/kernel/tests/machines/routes.rs
@@ -76,8 +76,8 @@
     }
 }
 
-/// The VM list lags behind an upstream's own report of draining, which must stay in force. An upstream missing from one
-/// list gets requests again when the next list contains it.
+/// The VM list lags behind an upstream's own report of draining, which must stay in effect. An upstream missing from
+/// one list gets requests again when the next list contains it.
 #[test]
 fn a_draining_report_outlasts_a_stale_list_and_a_relisted_upstream_gets_requests_again() {
     let mut table = table(&[("one", "a"), ("two", "a")]);
@@ -138,7 +138,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let suspect = RouteQuery { exclusive: true, ..query() };
     table.pick(&suspect, LATER, &mut rng).expect("idle");
-    assert!(table.pick(&query(), LATER, &mut rng).is_none(), "no request may run beside a suspect");
+    assert!(table.pick(&query(), LATER, &mut rng).is_none(), "no request may run together with a suspect");
     table.request_ended("one", false, LATER);
     table.pick(&query(), LATER, &mut rng).expect("idle again");
     assert!(table.pick(&suspect, LATER, &mut rng).is_none(), "a suspect must wait for an idle upstream");
--- a/crates/kernel/tests/machines/scaling.rs
+++ b/crates/kernel/tests/machines/scaling.rs
@@ -39,13 +39,13 @@
 
 impl Arbitrary for Command {
     fn arbitrary(rng: &mut Gen) -> Self {
-        let (a, b) = (u8::arbitrary(rng), u8::arbitrary(rng));
+        let (first, second) = (u8::arbitrary(rng), u8::arbitrary(rng));
         match u8::arbitrary(rng) % 12 {
-            0..=6 => Self::RunPlanner { count: a % 8, orders_fail: b % 5 == 0 },
-            7..=8 => Self::SetDemand { requests: a % 80 },
-            9 => Self::Reclaim { domain: a },
+            0..=6 => Self::RunPlanner { count: first % 8, orders_fail: second % 5 == 0 },
+            7..=8 => Self::SetDemand { requests: first % 80 },
+            9 => Self::Reclaim { domain: first },
             10 => Self::RestoreCapacity,
-            _ => Self::Crash { domain: a, reclaimable: b % 2 == 0 },
+            _ => Self::Crash { domain: first, reclaimable: second % 2 == 0 },
         }
     }
 }
--- a/crates/kernel/tests/machines/small_machines.rs
+++ b/crates/kernel/tests/machines/small_machines.rs
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_request_that_crashes_upstreams_is_quarantined_and_requests_beside_it_are_not() {
+fn a_request_that_crashes_upstreams_is_quarantined_and_concurrent_ones_are_not() {
     let now = TimePoint(0);
     let mut suspects = SuspectTable::default();
     suspects.upstream_crashed(&[1, 2, 3], now);
@@ -210,13 +210,13 @@
 #[test]
 fn rendezvous_owners_match_the_ranking_and_move_only_from_a_removed_member() {
     let members: Vec<String> = (0..10).map(|member| format!("entry-{member}")).collect();
-    let fewer: Vec<String> = members[1..].to_vec();
+    let remaining: Vec<String> = members[1..].to_vec();
     let mut moved = 0;
     for key in 0..1_000 {
         let key = format!("key-{key}");
         let before = highest_ranked(&key, &members).expect("an owner");
         assert_eq!(rank(&key, &members)[0], before);
-        let after = highest_ranked(&key, &fewer).expect("an owner");
+        let after = highest_ranked(&key, &remaining).expect("an owner");
         moved += usize::from(before != after);
         assert!(before == after || *before == "entry-0");
     }
--- a/crates/kernel/tests/machines/steps.rs
+++ b/crates/kernel/tests/machines/steps.rs
@@ -47,7 +47,7 @@
 }
 
 /// A trainer, the daemons that own its step (several may do so at the same time), and the engines.
-struct World {
+struct Simulation {
     now: TimePoint,
     /// Process number and ledger of each owner.
     owners: Vec<(u32, StepLedger)>,
@@ -71,7 +71,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let published = 5;
         let owner = || (0, StepLedger::new(spec(), STALENESS_BOUND, published));
@@ -179,9 +179,9 @@
 }
 
 fn check_exactly_once(commands: Vec<Command>) -> Result<(), String> {
-    let mut world = World::new();
-    commands.iter().try_for_each(|command| world.apply(command))?;
-    world.complete()
+    let mut simulation = Simulation::new();
+    commands.iter().try_for_each(|command| simulation.apply(command))?;
+    simulation.complete()
 }
 
 #[test]
@@ -191,38 +191,39 @@
 
 #[test]
 fn a_repeated_fetch_returns_the_same_samples() {
-    let mut world = World::new();
-    while let Some(order) = world.owners[0].1.dispatch(world.now, None) {
-        let sample = world.generate(order.sample, 0, 0);
-        world.owners[0].1.attempt_finished(order, sample, world.now);
+    let mut simulation = Simulation::new();
+    while let Some(order) = simulation.owners[0].1.dispatch(simulation.now, None) {
+        let sample = simulation.generate(order.sample, 0, 0);
+        simulation.owners[0].1.attempt_finished(order, sample, simulation.now);
     }
-    let first = world.owners[0].1.fetch(&world.cursor, 5, 4);
-    let repeated = world.owners[0].1.fetch(&world.cursor, 5, 4);
+    let first = simulation.owners[0].1.fetch(&simulation.cursor, 5, 4);
+    let repeated = simulation.owners[0].1.fetch(&simulation.cursor, 5, 4);
     assert_eq!(first, repeated);
     assert_eq!(first.len(), 4);
 }
 
 #[test]
 fn only_the_first_result_of_hedged_attempts_is_accepted() {
-    let mut world = World::new();
-    let orders: Vec<DispatchOrder> = std::iter::from_fn(|| world.owners[0].1.dispatch(TimePoint(0), None)).collect();
-    let hedge = world.owners[0].1.dispatch(TimePoint(1_000), Some(100)).expect("a hedge");
+    let mut simulation = Simulation::new();
+    let orders: Vec<DispatchOrder> =
+        std::iter::from_fn(|| simulation.owners[0].1.dispatch(TimePoint(0), None)).collect();
+    let hedge = simulation.owners[0].1.dispatch(TimePoint(1_000), Some(100)).expect("a hedge");
     assert!(hedge.hedge);
-    let first = world.generate(hedge.sample, 0, 0);
-    let second = world.generate(hedge.sample, 0, 0);
-    let outcome = world.owners[0].1.attempt_finished(hedge, first.clone(), TimePoint(1_001));
+    let first = simulation.generate(hedge.sample, 0, 0);
+    let second = simulation.generate(hedge.sample, 0, 0);
+    let outcome = simulation.owners[0].1.attempt_finished(hedge, first.clone(), TimePoint(1_001));
     assert!(outcome.accepted);
     assert_eq!(outcome.superseded_attempts, [orders[hedge.sample].attempt]);
-    assert!(!world.owners[0].1.attempt_finished(orders[hedge.sample], second, TimePoint(1_002)).accepted);
-    assert_eq!(world.owners[0].1.fetch(&world.cursor, 5, 9), [first]);
-    assert_eq!(world.owners[0].1.wasted_tokens(), 2);
+    assert!(!simulation.owners[0].1.attempt_finished(orders[hedge.sample], second, TimePoint(1_002)).accepted);
+    assert_eq!(simulation.owners[0].1.fetch(&simulation.cursor, 5, 9), [first]);
+    assert_eq!(simulation.owners[0].1.wasted_tokens(), 2);
 }
 
 #[test]
 fn a_result_without_versions_is_rejected() {
-    let mut world = World::new();
-    let order = world.owners[0].1.dispatch(TimePoint(0), None).expect("a sample");
+    let mut simulation = Simulation::new();
+    let order = simulation.owners[0].1.dispatch(TimePoint(0), None).expect("a sample");
     let unversioned = SampleResult { sample: order.sample, text: "x".to_owned(), segments: Vec::new() };
-    assert!(!world.owners[0].1.attempt_finished(order, unversioned, TimePoint(1)).accepted);
-    assert_eq!(world.owners[0].1.dispatch(TimePoint(1), None).map(|order| order.sample), Some(order.sample));
+    assert!(!simulation.owners[0].1.attempt_finished(order, unversioned, TimePoint(1)).accepted);
+    assert_eq!(simulation.owners[0].1.dispatch(TimePoint(1), None).map(|order| order.sample), Some(order.sample));
 }
--- a/crates/kernel/tests/machines/terms.rs
+++ b/crates/kernel/tests/machines/terms.rs
@@ -32,13 +32,13 @@
 
 impl Arbitrary for Command {
     fn arbitrary(rng: &mut Gen) -> Self {
-        let (a, b) = (u8::arbitrary(rng), u8::arbitrary(rng));
+        let (first, second) = (u8::arbitrary(rng), u8::arbitrary(rng));
         match u8::arbitrary(rng) % 16 {
-            0..=3 => Self::RenewLease { daemon: a, answer_lost: b % 4 == 0 },
-            4..=5 => Self::GrantLease { daemon: a },
-            6..=7 => Self::ObserveEntry { daemon: a },
-            8..=9 => Self::AcquireDuty { daemon: a },
-            10..=12 => Self::Act { daemon: a, refreshed: b % 3 > 0 },
+            0..=3 => Self::RenewLease { daemon: first, answer_lost: second % 4 == 0 },
+            4..=5 => Self::GrantLease { daemon: first },
+            6..=7 => Self::ObserveEntry { daemon: first },
+            8..=9 => Self::AcquireDuty { daemon: first },
+            10..=12 => Self::Act { daemon: first, refreshed: second % 3 > 0 },
             _ => Self::Wait { ms: u16::arbitrary(rng) % 1_500 },
         }
     }
--- a/crates/kernel/tests/machines/versions.rs
+++ b/crates/kernel/tests/machines/versions.rs
@@ -17,7 +17,8 @@
 /// Input to the simulation of a service with several models.
 #[derive(Clone, Debug)]
 enum Command {
-    /// The planner runs once. With `answers_lost` its orders get no answer, and with `delayed` too they arrive later.
+    /// The planner runs once. If `answers_lost`, its orders get no answer; if `delayed` as well, they also arrive only
+    /// after [`Command::DeliverDelayed`].
     RunPlanner { answers_lost: bool, delayed: bool },
     /// A trainer announces its next version.
     AnnounceVersion { model: u8 },
@@ -39,16 +40,16 @@
 
 impl Arbitrary for Command {
     fn arbitrary(rng: &mut Gen) -> Self {
-        let (a, b) = (u8::arbitrary(rng), u8::arbitrary(rng));
+        let (first, second) = (u8::arbitrary(rng), u8::arbitrary(rng));
         match u8::arbitrary(rng) % 16 {
-            0..=4 => Self::RunPlanner { answers_lost: a % 5 == 0, delayed: b % 2 == 0 },
-            5 => Self::AnnounceVersion { model: a },
+            0..=4 => Self::RunPlanner { answers_lost: first % 5 == 0, delayed: second % 2 == 0 },
+            5 => Self::AnnounceVersion { model: first },
             6..=9 => Self::CompleteLoads,
             10 => Self::DeliverDelayed,
-            11 if b % 3 == 0 => Self::Leave { upstream: a },
-            12 if b % 3 == 0 => Self::Join,
-            13 if b % 4 == 0 => Self::ChangeHolder,
-            13 => Self::SetRuns { upstream: a, runs: b % 4 },
+            11 if second % 3 == 0 => Self::Leave { upstream: first },
+            12 if second % 3 == 0 => Self::Join,
+            13 if second % 4 == 0 => Self::ChangeHolder,
+            13 => Self::SetRuns { upstream: first, runs: second % 4 },
             _ => Self::Wait { ms: u16::arbitrary(rng) % 1_000 },
         }
     }
@@ -183,7 +184,7 @@
         Ok(())
     }
 
-    /// Checks that all models have the same number of upstreams, give or take one.
+    /// Checks that the models' numbers of upstreams differ by at most one.
     fn check_assignment(&self) -> Result<(), String> {
         let assigned_count = |model: &SharedName| {
             self.upstreams
