--- a/crates/kernel/src/batch/batch_ledger.rs
+++ b/crates/kernel/src/batch/batch_ledger.rs
@@ -167,9 +167,9 @@
         }
     }
 
-    /// The checkpoint to be stored next and its number. It takes further texts until their data reaches `bytes_max`, so
-    /// the last text may exceed it. The same checkpoint is returned until its write succeeds or conflicts; `None` if
-    /// too few events are new or the job has ended.
+    /// The checkpoint to be stored next and its number. Texts are added until their data reaches `bytes_max`, so the
+    /// last one may exceed it. The same checkpoint is returned until its write succeeds or conflicts; `None` if too few
+    /// events are new or the job has ended.
     pub fn next_checkpoint(&mut self, bytes_max: usize) -> Option<(usize, &TextCheckpoint)> {
         if self.ended {
             return None;
@@ -389,7 +389,7 @@
         }
     }
 
-    /// Whether every item has a result, so that no further result will be added to the next chunk.
+    /// Whether every item has a result, and no further result will be added to the next chunk.
     #[must_use]
     pub fn all_items_finished(&self) -> bool {
         self.items.iter().all(|item| item.phase == ItemPhase::Finished)
--- a/crates/kernel/src/config/config_fault.rs
+++ b/crates/kernel/src/config/config_fault.rs
@@ -10,8 +10,8 @@
     pub file: String,
     /// Dotted key of the value, such as `services.desk.queue_depth`; `(file)` if the file is not valid TOML.
     pub key: String,
-    /// What is wrong with the value.
+    /// Description of the error.
     pub problem: String,
-    /// How to correct the value.
+    /// Instruction for correcting the value.
     pub remedy: String,
 }
--- a/crates/kernel/src/duty/scaling_planner.rs
+++ b/crates/kernel/src/duty/scaling_planner.rs
@@ -8,9 +8,9 @@
 use crate::{SamplerRecord, SamplerState, ScalingRule, SharedName, TimePoint};
 use std::collections::BTreeMap;
 
-/// Length of the window whose largest demand determines the number of upstreams. It spans several training steps;
-/// upstreams are released only after it, since starting them costs time and money.
-const DEMAND_WINDOW_MS: u64 = 60_000;
+/// Time for which the largest demand is used after it was last reached. It spans several training steps; upstreams are
+/// released only after it, since starting them costs time and money.
+const PEAK_HOLD_MS: u64 = 60_000;
 /// Added to the startup time of ordered upstreams before they count as missing.
 const STARTUP_SLACK_MS: u64 = 4_000;
 /// Backoff after an order that was refused because no such upstreams are available.
@@ -71,9 +71,9 @@
 pub struct ScalingPlanner {
     /// State of the orders by failure domain.
     domains: BTreeMap<SharedName, DomainPlan>,
-    /// Largest demand within [`DEMAND_WINDOW_MS`].
+    /// Largest demand, which is used for [`PEAK_HOLD_MS`] after it was last reached.
     peak_demand: u64,
-    /// Time at which the peak was reached last.
+    /// Time at which the largest demand was last reached.
     peak_at: TimePoint,
 }
 
@@ -88,7 +88,7 @@
         demand: u64,
         now: TimePoint,
     ) -> Vec<ScalingOrder> {
-        if demand >= self.peak_demand || now >= self.peak_at.plus_ms(DEMAND_WINDOW_MS) {
+        if demand >= self.peak_demand || now >= self.peak_at.plus_ms(PEAK_HOLD_MS) {
             self.peak_demand = demand;
             self.peak_at = now;
         }
@@ -169,15 +169,15 @@
     counts
 }
 
-/// Target number of upstreams by failure domain for `wanted` in total. They are spread as evenly as possible; the
+/// Target number of upstreams by failure domain for `total` upstreams. They are spread as evenly as possible; the
 /// cheapest failure domains get the remainder.
-fn domain_targets(rule: &ScalingRule, wanted: u64) -> BTreeMap<SharedName, u64> {
+fn domain_targets(rule: &ScalingRule, total: u64) -> BTreeMap<SharedName, u64> {
     let mut targets: BTreeMap<SharedName, u64> =
         rule.domain_prices.keys().map(|domain| (domain.clone(), rule.upstreams_min)).collect();
     let mut by_price: Vec<(&u64, &SharedName)> =
         rule.domain_prices.iter().map(|(domain, price)| (price, domain)).collect();
     by_price.sort();
-    let mut remaining = wanted.saturating_sub(targets.values().sum());
+    let mut remaining = total.saturating_sub(targets.values().sum());
     while remaining > 0 {
         let before_pass = remaining;
         let lowest = targets.values().copied().min().unwrap_or(rule.upstreams_max);
--- a/crates/kernel/src/duty/version_planner.rs
+++ b/crates/kernel/src/duty/version_planner.rs
@@ -20,7 +20,7 @@
 const RETRY_BACKOFF_MS: u64 = 400;
 /// Time for which an upstream counts as loading while its order has not been answered.
 const ORDER_TIMEOUT_MS: u64 = 1_500;
-/// Fixed-point scale of a model's share: this value stands for one upstream.
+/// Fixed-point scale of a model's share: this value represents one upstream.
 const SHARE_SCALE: u64 = 1_000;
 
 /// Order to an upstream to load a version of a model's weights.
--- a/crates/kernel/src/lease_holder.rs
+++ b/crates/kernel/src/lease_holder.rs
@@ -134,9 +134,7 @@
         let renewed_deadline = requested_at.plus_ms(LEASE_TTL_MS - GUARD_MS);
         match &mut self.state {
             LeaseState::Idle => return,
-            LeaseState::Held { fencing, .. } | LeaseState::Settling { fencing, .. } if *fencing != renewed => {
-                return;
-            }
+            LeaseState::Held { fencing, .. } | LeaseState::Settling { fencing, .. } if *fencing != renewed => return,
             LeaseState::Held { deadline, .. } | LeaseState::Settling { deadline, .. } => {
                 *deadline = (*deadline).max(renewed_deadline);
             }
@@ -153,7 +151,7 @@
         }
     }
 
-    /// Gives the lease up if its deadline has passed. Returns true if it was given up.
+    /// Drops the lease if its deadline has passed. Returns true if it was dropped.
     pub fn expire(&mut self, now: TimePoint) -> bool {
         let is_expired = match self.state {
             LeaseState::Idle => false,
@@ -165,7 +163,7 @@
         is_expired
     }
 
-    /// Gives the lease up.
+    /// Drops the lease, so that the daemon no longer acts.
     pub fn step_down(&mut self) {
         self.state = LeaseState::Idle;
     }
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -1,7 +1,7 @@
 //! Pure state machines that make the decisions of the rollout service.
 //!
-//! Every type takes events and the current [`TimePoint`], and returns the actions to perform. Nothing in this crate
-//! performs I/O, reads a clock, or draws unseeded random numbers.
+//! Each state machine takes events and the current [`TimePoint`], and returns the actions to perform. Nothing in this
+//! crate performs I/O, reads a clock, or draws unseeded random numbers.
 
 mod admission_policy;
 mod batch;
--- a/crates/kernel/src/member_table.rs
+++ b/crates/kernel/src/member_table.rs
@@ -9,7 +9,7 @@
 const SUSPECT_AFTER_MS: u64 = 3_000;
 /// Further time without an answer after which a suspect or leaving member counts as failed.
 const FAIL_AFTER_MS: u64 = 3_000;
-/// Largest number of members that receive an exchange request in each round.
+/// Largest number of members that [`MemberTable::next_exchange_peers`] returns at a time.
 const EXCHANGE_PEERS_MAX: usize = 4;
 /// Time since the last exchange after which a member whose process has ended is removed.
 const REMOVE_AFTER_MS: u64 = 600_000;
--- a/crates/kernel/src/request_class.rs
+++ b/crates/kernel/src/request_class.rs
@@ -9,8 +9,8 @@
     Idempotent,
     /// Must run at most once. It has no idempotency key, so a repeat by the caller cannot be detected.
     AtMostOnce,
-    /// Must run at most once across all daemons. Repeats are detected by the caller's idempotency key, which is held
-    /// here.
+    /// Must run at most once across all daemons. Repeats are detected by the caller's idempotency key, which the
+    /// variant holds.
     Claimed(SharedName),
 }
 
--- a/crates/kernel/src/retry_policy.rs
+++ b/crates/kernel/src/retry_policy.rs
@@ -56,7 +56,7 @@
 pub struct FailedAttempt<'a> {
     /// Repeat class of the request.
     pub class: &'a RequestClass,
-    /// How far the attempt got on the upstream.
+    /// Progress of the attempt at the upstream.
     pub progress: RequestProgress,
     /// Number of the attempt, counted from 1.
     pub attempt: u32,
--- a/crates/kernel/src/sampler/sampler_table.rs
+++ b/crates/kernel/src/sampler/sampler_table.rs
@@ -33,7 +33,7 @@
     Refused,
     /// The upstream was unreachable, or the connection was lost.
     Failed,
-    /// The request was cancelled, which says nothing about the upstream.
+    /// The request was cancelled, which does not affect the rating of the upstream.
     Abandoned,
 }
 
--- a/crates/kernel/src/usage_window.rs
+++ b/crates/kernel/src/usage_window.rs
@@ -1,4 +1,5 @@
-//! Computes the billed usage of a window, which is sealed before its first report so that all its reports are equal.
+//! Computes the usage that is billed in a window. The result is sealed, that is fixed before its first report, so that
+//! repeated reports are equal.
 
 use crate::{SharedName, UsageCount, UsageKey};
 use serde::{Deserialize, Serialize};
--- a/crates/kernel/tests/machines/fleet_laws.rs
+++ b/crates/kernel/tests/machines/fleet_laws.rs
@@ -238,21 +238,24 @@
 
 #[test]
 fn usage_is_counted_in_the_window_in_which_it_started() {
-    let (a, b): (SharedName, SharedName) = ("a".into(), "b".into());
+    let (first, second): (SharedName, SharedName) = ("a".into(), "b".into());
     let mut tally = UsageTally::new(5_000);
-    for (organisation, unix_ms) in [(&a, 4_999), (&a, 5_000), (&b, 9_999), (&a, 10_000)] {
+    for (organisation, unix_ms) in [(&first, 4_999), (&first, 5_000), (&second, 9_999), (&first, 10_000)] {
         tally.count_request(organisation, unix_ms);
     }
     let batches = tally.close_ended_windows(10_500);
     assert_eq!(batches.len(), 2);
-    assert_eq!((batches[0].window, &batches[0].counts), (0, &BTreeMap::from([(a.clone(), 1)])));
-    assert_eq!((batches[1].window, &batches[1].counts), (1, &BTreeMap::from([(a.clone(), 1), (b.clone(), 1)])));
-    tally.count_request(&b, 9_000);
+    assert_eq!((batches[0].window, &batches[0].counts), (0, &BTreeMap::from([(first.clone(), 1)])));
+    assert_eq!(
+        (batches[1].window, &batches[1].counts),
+        (1, &BTreeMap::from([(first.clone(), 1), (second.clone(), 1)]))
+    );
+    tally.count_request(&second, 9_000);
     let later_batches = tally.close_ended_windows(10_500);
     assert_eq!(later_batches[..2], batches, "batches that are not stored yet are returned again unchanged");
     assert_eq!(
         (later_batches[2].window, &later_batches[2].counts),
-        (1, &BTreeMap::from([(b.clone(), 1)])),
+        (1, &BTreeMap::from([(second.clone(), 1)])),
         "a late count is in another batch"
     );
     assert_ne!(later_batches[2].number, batches[1].number);
@@ -260,7 +263,7 @@
     assert!(tally.close_ended_windows(10_500).is_empty());
     assert_eq!(tally.close_ended_windows(15_000).len(), 1);
     let total = UsageTally::sum_counts(later_batches.into_iter().map(|batch| batch.counts));
-    assert_eq!(total, BTreeMap::from([(a, 2), (b, 2)]));
+    assert_eq!(total, BTreeMap::from([(first, 2), (second, 2)]));
 }
 
 #[test]
--- a/crates/kernel/tests/machines/scaling.rs
+++ b/crates/kernel/tests/machines/scaling.rs
@@ -19,8 +19,9 @@
 const SLOTS: u64 = 4;
 const STARTUP_MS: u64 = 4_000;
 const PASS_INTERVAL_MS: u64 = 1_000;
-/// Window over which the planner uses the largest demand, so that upstreams are kept after the demand falls.
-const DEMAND_WINDOW_MS: u64 = 60_000;
+/// Time for which the planner uses the largest demand after it was last reached, so upstreams are kept when the demand
+/// falls.
+const PEAK_HOLD_MS: u64 = 60_000;
 
 /// Input to the simulation of a scaled service.
 #[derive(Clone, Debug)]
@@ -61,7 +62,7 @@
     /// Failure domain in which no reclaimable upstreams are available.
     exhausted_domain: Option<SharedName>,
     demand: u64,
-    /// Largest demand within the window, and the time at which it was reached last.
+    /// Largest demand that the planner uses, and the time at which it was last reached.
     peak: (u64, TimePoint),
     now: TimePoint,
 }
@@ -119,7 +120,7 @@
     /// Runs the planner once and carries out its orders.
     fn run_planner(&mut self, orders_fail: bool) -> Result<(), String> {
         self.now = self.now.plus_ms(PASS_INTERVAL_MS);
-        if self.demand >= self.peak.0 || self.now >= self.peak.1.plus_ms(DEMAND_WINDOW_MS) {
+        if self.demand >= self.peak.0 || self.now >= self.peak.1.plus_ms(PEAK_HOLD_MS) {
             self.peak = (self.demand, self.now);
         }
         let orders = self.planner.plan(&scaling_rule(), &self.records(), &self.floor, self.demand, self.now);
@@ -155,7 +156,7 @@
         Ok(())
     }
 
-    /// Number of upstreams that the largest demand of the last minute needs, within the limits.
+    /// Number of upstreams that the largest demand needs, within the limits.
     fn expected_upstreams(&self) -> u64 {
         self.peak.0.div_ceil(SLOTS).clamp(FLOOR * DOMAINS.len() as u64, UPSTREAMS_MAX * DOMAINS.len() as u64)
     }
--- a/crates/kernel/tests/machines/small_machines.rs
+++ b/crates/kernel/tests/machines/small_machines.rs
@@ -52,9 +52,9 @@
         let decision = RetryPolicy.decide(failed, TimePoint(0), &mut RetryBudget::default(), &mut rng);
         assert_eq!(matches!(decision, RetryDecision::RetryAt(_)), retried, "{class:?} {progress:?} {attempt}");
     }
-    let late =
+    let past_deadline =
         FailedAttempt { class: &RequestClass::Idempotent, progress: not_run, attempt: 1, deadline: TimePoint(0) };
-    let decision = RetryPolicy.decide(late, TimePoint(0), &mut RetryBudget::default(), &mut rng);
+    let decision = RetryPolicy.decide(past_deadline, TimePoint(0), &mut RetryBudget::default(), &mut rng);
     assert_eq!(decision, RetryDecision::Stop(RunState::NotRun));
 }
 
--- a/crates/kernel/tests/machines/steps.rs
+++ b/crates/kernel/tests/machines/steps.rs
@@ -55,7 +55,7 @@
     running: Vec<(usize, u32, DispatchOrder)>,
     published: u64,
     cursor: FetchCursor,
-    /// How often the trainer received each sample.
+    /// Number of times that the trainer received each sample.
     received: HashMap<usize, u32>,
     /// Versions that generated each text, as produced by the engines.
     generated: HashMap<String, Vec<TokenSegment>>,
