--- a/crates/kernel/src/config/config_view.rs
+++ b/crates/kernel/src/config/config_view.rs
@@ -22,7 +22,7 @@
     records: BTreeMap<RecordName, RecordEntry>,
     /// Revision up to which every change has been applied.
     complete_revision: u64,
-    /// Organisations by the IDs of their keys.
+    /// Organisations by the ids of their keys.
     key_owners: BTreeMap<SharedName, SharedName>,
 }
 
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Whether the key with the ID `id` belongs to `organisation`, is not withdrawn, and the organisation exists.
+    /// Whether the key with the id `id` belongs to `organisation`, is not withdrawn, and the organisation exists.
     #[must_use]
     pub fn is_key_valid(&self, organisation: &str, id: &str) -> bool {
         let Some(entry) = self.records.get(&RecordName::Keys(organisation.into())) else { return false };
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Whether an organisation has or had a key with the ID `id`, which may be withdrawn.
+    /// Whether an organisation has or had a key with the id `id`, which may be withdrawn.
     #[must_use]
     pub fn has_key(&self, id: &str) -> bool {
         self.key_owners.contains_key(id)
--- a/crates/kernel/src/config/key_secret.rs
+++ b/crates/kernel/src/config/key_secret.rs
@@ -8,7 +8,7 @@
 const KEY_PREFIX: &str = "psk-";
 const ID_CHARS: usize = 12;
 const SECRET_CHARS: usize = 40;
-/// Characters of IDs and secrets, without `l`, `o`, `0` and `1`, which look alike.
+/// Characters of ids and secrets, without `l`, `o`, `0` and `1`, which look alike.
 const ALPHABET: &[u8] = b"abcdefghijkmnpqrstuvwxyz23456789";
 
 /// An API key of the form `psk-ID-SECRET`. It does not implement `Debug`, so that it cannot be logged by accident.
@@ -39,7 +39,7 @@
         Some(Self { id: id.into(), token: token.to_owned() })
     }
 
-    /// IDs of all parts of `text` that have the form of a key.
+    /// Ids of all parts of `text` that have the form of a key.
     #[must_use]
     pub fn find_ids(text: &[u8]) -> Vec<SharedName> {
         let key_chars = KEY_PREFIX.len() + ID_CHARS + 1 + SECRET_CHARS;
--- a/crates/kernel/src/config/key_set.rs
+++ b/crates/kernel/src/config/key_set.rs
@@ -18,7 +18,7 @@
 /// All keys of an organisation. Withdrawn keys stay stored.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeySet {
-    /// Keys by their public IDs.
+    /// Keys by their public ids.
     pub keys: BTreeMap<SharedName, KeyEntry>,
 }
 
--- a/crates/kernel/src/ownership_table.rs
+++ b/crates/kernel/src/ownership_table.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 /// Additional delay before daemons other than the preferred one claim a job. It exceeds the duration of a claim, so
-/// that the preferred daemon's claim succeeds first.
+/// that the preferred daemon, which ranks highest for the job's id, claims first.
 const FALLBACK_CLAIM_DELAY_MS: u64 = 1_000;
 /// Time after an owner's lease lapsed in which only daemons that hold the job's state, such as that owner, claim it.
 const RECLAIM_MS: u64 = 300;
@@ -35,7 +35,7 @@
 pub struct DaemonPresence {
     /// Incarnation of the daemon's process.
     pub incarnation: u64,
-    /// ID of the store lease that the daemon keeps alive.
+    /// Id of the store lease that the daemon keeps alive.
     pub lease: u64,
     /// Address of the listener for calls from other daemons.
     pub control: SharedName,
@@ -180,14 +180,19 @@
         self.is_owned_here(job) && (has_state || handed_over_at.is_none_or(|at| now >= at.plus_ms(PUSH_WAIT_MS)))
     }
 
-    /// The daemon that should own the jobs of `route`, without the `excluded` one; `None` if no daemon is running.
+    /// The running daemon that new jobs with `placement_key` are assigned to, other than `excluded`; `None` if there is
+    /// none.
     ///
-    /// All jobs of a route get the same owner: it has the most accurate count of what runs on the route's upstreams,
-    /// and keeps connections to them.
+    /// The key is the name of a route, so that all jobs of a route get the same owner: it has the most accurate count
+    /// of what runs on the route's upstreams, and keeps connections to them.
     #[must_use]
-    pub fn preferred_daemon(&self, route: &str, excluded: Option<&str>) -> Option<(&SharedName, &DaemonPresence)> {
+    pub fn preferred_daemon(
+        &self,
+        placement_key: &str,
+        excluded: Option<&str>,
+    ) -> Option<(&SharedName, &DaemonPresence)> {
         let daemons: Vec<&SharedName> = self.daemons.keys().filter(|daemon| Some(&***daemon) != excluded).collect();
-        self.daemons.get_key_value(*rendezvous::highest_ranked(route, &daemons)?)
+        self.daemons.get_key_value(*rendezvous::highest_ranked(placement_key, &daemons)?)
     }
 
     /// Daemons from which this one, in `failure_domain` of `region`, receives the store's changes, nearest first: the
--- a/crates/kernel/tests/machines/ownership.rs
+++ b/crates/kernel/tests/machines/ownership.rs
@@ -10,7 +10,7 @@
 
 #[derive(Clone, Debug)]
 enum Command {
-    /// A daemon claims the jobs that are due; the answers may be lost.
+    /// A daemon claims the jobs that [`OwnershipTable::due_claims`] returns; the answers may be lost.
     Claim {
         daemon: u8,
         lost: bool,
