--- a/crates/kernel/tests/machines/main.rs
+++ b/crates/kernel/tests/machines/main.rs
@@ -9,7 +9,7 @@
 mod configuration;
 mod duties;
 mod fairness;
-mod fleet_laws;
+mod fleet_machines;
 mod ownership;
 mod routes;
 mod small_machines;
