--- a/crates/kernel/src/batch/run_monitor.rs
+++ b/crates/kernel/src/batch/run_monitor.rs
@@ -50,7 +50,8 @@
         self.event_count += count;
     }
 
-    /// Moving average of the interval between two events in milliseconds; `None` before [`EVENTS_MIN`] events.
+    /// Moving average of the interval between two events in milliseconds; `None` until enough events have been
+    /// received.
     #[must_use]
     pub fn event_interval_ms(&self) -> Option<u64> {
         (self.event_count >= EVENTS_MIN).then_some(self.interval_us / 1_000)
--- a/crates/kernel/src/duty/duty_history.rs
+++ b/crates/kernel/src/duty/duty_history.rs
@@ -34,7 +34,8 @@
     ///
     /// A holder acts only under its lease, and the next daemon acquires the duty only after that lease has ended. So
     /// two daemons can alternate within `handover_ms` only if `daemon` itself lost the duty less than `handover_ms`
-    /// ago. `unix_ms` is the current time by its wall clock, which may differ from that of its successor.
+    /// ago. `unix_ms` is the current time by the wall clock of `daemon`; the stored times are from other clocks, so a
+    /// clock error is added.
     #[must_use]
     pub fn handover_wait_ms(&self, daemon: &str, unix_ms: u64, handover_ms: u64) -> u64 {
         let own_position = self.acquisitions.iter().rposition(|acquisition| *acquisition.daemon == *daemon);
--- a/crates/kernel/src/member_table.rs
+++ b/crates/kernel/src/member_table.rs
@@ -51,8 +51,11 @@
 /// All other daemons of the site that this daemon has seen.
 #[derive(Debug)]
 pub struct MemberTable {
+    /// Name of this daemon.
     own_name: SharedName,
+    /// Failure domain of this daemon.
     failure_domain: SharedName,
+    /// Other daemons by name.
     members: BTreeMap<SharedName, MemberEntry>,
     /// Position of the next exchange peer in the rotation.
     next_peer: usize,
@@ -65,13 +68,13 @@
         Self { own_name, failure_domain, members: BTreeMap::new(), next_peer: 0 }
     }
 
-    /// Applies the entry that a peer sent of itself: in the answer to a request that was sent at `sent_at`, or in a
-    /// request that was received at that time. Ignored if a newer incarnation has been seen.
-    pub fn peer_seen(&mut self, entry: MemberEntry, sent_at: TimePoint) {
+    /// Applies the entry that a peer sent about itself: in a request that was received at `seen_at`, or in the answer to
+    /// a request that this daemon sent at `seen_at`. Ignored if a newer incarnation has been seen.
+    pub fn peer_seen(&mut self, entry: MemberEntry, seen_at: TimePoint) {
         if entry.name == self.own_name {
             return;
         }
-        let heard_at = sent_at;
+        let heard_at = seen_at;
         let cached = self.members.get(&entry.name);
         if cached.is_some_and(|old| old.incarnation > entry.incarnation) {
             return;
--- a/crates/kernel/src/spend_planner.rs
+++ b/crates/kernel/src/spend_planner.rs
@@ -59,7 +59,7 @@
 
     /// Next action. Starts standing upstreams until their minimum and the minimum spend are reached, then reclaimable
     /// ones, or standing ones if no reclaimable ones are available. Starts nothing that would exceed the maximum spend.
-    /// Stops an upstream if there has been a surplus for [`SURPLUS_TICKS_MIN`] ticks.
+    /// Stops an upstream if there has been a surplus for several ticks.
     #[must_use]
     pub fn next_action(self, input: &SpendInput) -> SpendAction {
         let spend = Self::current_spend(input);
