--- a/crates/kernel/tests/machines/batches.rs
+++ b/crates/kernel/tests/machines/batches.rs
@@ -115,6 +115,7 @@
     now: TimePoint,
 }
 
+/// Items of the job, all in one group. Every second one needs a score.
 fn specs() -> Vec<ItemSpec> {
     let spec = |index: usize| ItemSpec {
         group: "g".into(),
--- a/crates/kernel/tests/machines/claims.rs
+++ b/crates/kernel/tests/machines/claims.rs
@@ -10,63 +10,36 @@
 /// Time until the deadline of each attempt's request.
 const RUN_TIMEOUT_MS: u64 = 1_000;
 
+/// Input to the simulation of a claim shard.
 #[derive(Clone, Debug)]
 enum Command {
     /// A caller requests the claim of `key` from daemon `owner`.
-    Request {
-        owner: u8,
-        key: u8,
-    },
+    Request { owner: u8, key: u8 },
     /// An attempt that received no answer repeats its request under the same number.
-    RequestAgain {
-        attempt: u8,
-        owner: u8,
-    },
+    RequestAgain { attempt: u8, owner: u8 },
     /// The daemon takes its queue for a group commit.
-    TakeBatch {
-        owner: u8,
-    },
+    TakeBatch { owner: u8 },
     /// The platform's key-value service receives a commit that is in flight.
-    ReceiveCommit {
-        commit: u8,
-    },
+    ReceiveCommit { commit: u8 },
     /// The daemon receives the answer to a commit, or the call fails.
-    AnswerCommit {
-        commit: u8,
-        lost: bool,
-    },
+    AnswerCommit { commit: u8, lost: bool },
     /// A caller requests a claim, which is committed and answered at once.
-    Grant {
-        owner: u8,
-        key: u8,
-    },
+    Grant { owner: u8, key: u8 },
     /// The latest attempt runs its request.
     RunLatest,
     /// The daemon becomes the shard's owner.
-    TakeOver {
-        owner: u8,
-    },
+    TakeOver { owner: u8 },
     /// The daemon's process ends and restarts.
-    Crash {
-        owner: u8,
-    },
+    Crash { owner: u8 },
     /// A granted attempt runs its request.
-    Run {
-        attempt: u8,
-    },
+    Run { attempt: u8 },
     /// An attempt sends its outcome: finished if its request ran, released otherwise. The message may arrive late or
     /// twice.
-    Settle {
-        attempt: u8,
-    },
+    Settle { attempt: u8 },
     /// A message arrives at daemon `owner`, which may not be the shard's owner.
-    Deliver {
-        message: u8,
-        owner: u8,
-    },
-    Wait {
-        ms: u16,
-    },
+    Deliver { message: u8, owner: u8 },
+    /// Time passes.
+    Wait { ms: u16 },
 }
 
 impl Arbitrary for Command {
--- a/crates/kernel/tests/machines/configuration.rs
+++ b/crates/kernel/tests/machines/configuration.rs
@@ -10,52 +10,28 @@
 /// The service's documented target: an accepted change is in effect on every daemon within this time.
 const BOUND_MS: u64 = 5_000;
 
+/// Input to the simulation of a site.
 #[derive(Clone, Debug)]
 enum Command {
     /// An operator changes a record through a daemon; the answer to the write may be lost.
-    Change {
-        daemon: u8,
-        record: u8,
-        lost: bool,
-    },
+    Change { daemon: u8, record: u8, lost: bool },
     /// A daemon requests the changes from the key-value service, which answers now; the answer arrives later.
-    RequestService {
-        daemon: u8,
-    },
+    RequestService { daemon: u8 },
     /// A daemon requests the changes from a peer, which answers now; the answer arrives later.
-    RequestPeer {
-        daemon: u8,
-        peer: u8,
-    },
+    RequestPeer { daemon: u8, peer: u8 },
     /// A daemon requests the changes from every peer that it reaches and, if `service` is set, from the service. All
     /// answers arrive at once.
-    Exchange {
-        daemon: u8,
-        service: bool,
-    },
+    Exchange { daemon: u8, service: bool },
     /// An answer in flight arrives or is lost.
-    DeliverAnswer {
-        answer: u8,
-        lost: bool,
-    },
+    DeliverAnswer { answer: u8, lost: bool },
     /// The service becomes unreachable or reachable again for a daemon.
-    CutService {
-        daemon: u8,
-        cut: bool,
-    },
+    CutService { daemon: u8, cut: bool },
     /// Two daemons become unreachable or reachable again for each other.
-    CutPeers {
-        first: u8,
-        second: u8,
-        cut: bool,
-    },
+    CutPeers { first: u8, second: u8, cut: bool },
     /// A process ends, and its port refuses the connections of its peers. It restarts without any records.
-    Crash {
-        daemon: u8,
-    },
-    Wait {
-        ms: u16,
-    },
+    Crash { daemon: u8 },
+    /// Time passes.
+    Wait { ms: u16 },
 }
 
 impl Arbitrary for Command {
--- a/crates/kernel/tests/machines/duties.rs
+++ b/crates/kernel/tests/machines/duties.rs
@@ -8,48 +8,29 @@
 /// The guard of the lease: the longest time for which messages of a dead process may still arrive.
 const GUARD_MS: u64 = 2_000;
 
+/// Input to the simulation of a duty.
 #[derive(Clone, Debug)]
 enum Command {
     /// A daemon requests the lease. The key-value service grants it now, and the answer arrives later.
-    Acquire {
-        daemon: u8,
-    },
+    Acquire { daemon: u8 },
     /// A daemon renews its lease. The service renews it now, and the answer arrives later.
-    Renew {
-        daemon: u8,
-    },
+    Renew { daemon: u8 },
     /// An answer arrives or is lost.
-    DeliverAnswer {
-        answer: u8,
-        lost: bool,
-    },
+    DeliverAnswer { answer: u8, lost: bool },
     /// A daemon requests the lease and receives the answer at once.
-    AcquireAtOnce {
-        daemon: u8,
-    },
+    AcquireAtOnce { daemon: u8 },
     /// A daemon checks its authority and sends an order at once.
-    SendAtOnce {
-        daemon: u8,
-    },
+    SendAtOnce { daemon: u8 },
     /// A daemon checks its authority before an order. Its process may be frozen afterwards.
-    Check {
-        daemon: u8,
-    },
+    Check { daemon: u8 },
     /// A daemon sends the order for which it checked its authority, however long ago.
-    Send {
-        daemon: u8,
-    },
+    Send { daemon: u8 },
     /// A daemon updates its evidence on the previous holders.
-    UpdateEvidence {
-        daemon: u8,
-    },
+    UpdateEvidence { daemon: u8 },
     /// A process ends and restarts. The order that it sent last may still arrive within the guard.
-    Crash {
-        daemon: u8,
-    },
-    Wait {
-        ms: u16,
-    },
+    Crash { daemon: u8 },
+    /// Time passes.
+    Wait { ms: u16 },
 }
 
 impl Arbitrary for Command {
--- a/crates/kernel/tests/machines/fairness.rs
+++ b/crates/kernel/tests/machines/fairness.rs
@@ -8,11 +8,16 @@
 const DEPTH_MAX: usize = 8;
 const RUNNING_MAX: usize = 3;
 
+/// Input to the queue.
 #[derive(Clone, Debug)]
 enum Command {
+    /// An organisation adds a request.
     Enqueue { organisation: u8, tokens: u8 },
+    /// The next waiting request is admitted, if capacity is free.
     Admit,
+    /// A waiting request is cancelled.
     Cancel { ticket: u8 },
+    /// A running request ends.
     Release,
 }
 
--- a/crates/kernel/tests/machines/ownership.rs
+++ b/crates/kernel/tests/machines/ownership.rs
@@ -8,33 +8,21 @@
 const DAEMONS: usize = 3;
 const JOBS: usize = 2;
 
+/// Input to the simulation of a store and its daemons.
 #[derive(Clone, Debug)]
 enum Command {
     /// A daemon claims the jobs that [`OwnershipTable::due_claims`] returns; the answers may be lost.
-    Claim {
-        daemon: u8,
-        lost: bool,
-    },
+    Claim { daemon: u8, lost: bool },
     /// A daemon receives the next changes of the store.
-    Receive {
-        daemon: u8,
-        count: u8,
-    },
+    Receive { daemon: u8, count: u8 },
     /// A daemon's process ends, and a new one starts on the same VM.
-    Restart {
-        daemon: u8,
-    },
+    Restart { daemon: u8 },
     /// A daemon's lease ends while its process keeps running.
-    EndLease {
-        daemon: u8,
-    },
+    EndLease { daemon: u8 },
     /// A job's end is stored.
-    CloseJob {
-        job: u8,
-    },
-    Wait {
-        ms: u16,
-    },
+    CloseJob { job: u8 },
+    /// Time passes.
+    Wait { ms: u16 },
 }
 
 impl Arbitrary for Command {
--- a/crates/kernel/tests/machines/steps.rs
+++ b/crates/kernel/tests/machines/steps.rs
@@ -12,6 +12,7 @@
 const SAMPLES: usize = GROUPS * GROUP_SIZE;
 const STALENESS_BOUND: u64 = 1;
 
+/// Input to the simulation of a step.
 #[derive(Clone, Debug)]
 enum Command {
     /// The owner of the step dispatches one more attempt.
--- a/crates/kernel/tests/machines/usage.rs
+++ b/crates/kernel/tests/machines/usage.rs
@@ -7,6 +7,7 @@
 
 const DAEMONS: u8 = 3;
 
+/// Input to the simulation of usage reporting.
 #[derive(Clone, Debug)]
 enum Command {
     /// A daemon counts one request.
