--- a/crates/kernel/src/config/key_secret.rs
+++ b/crates/kernel/src/config/key_secret.rs
@@ -4,11 +4,11 @@
 use rand::Rng;
 use sha2::{Digest, Sha256};
 
-/// Start of every key, by which keys are found in other text.
+/// Prefix of every key, by which keys are found in other text.
 const KEY_PREFIX: &str = "psk-";
 const ID_CHARS: usize = 12;
 const SECRET_CHARS: usize = 40;
-/// Characters of IDs and secrets, without `l`, `o`, `0` and `1`, which look alike.
+/// Characters of ids and secrets, without `l`, `o`, `0` and `1`, which look alike.
 const ALPHABET: &[u8] = b"abcdefghijkmnpqrstuvwxyz23456789";
 
 /// An API key of the form `psk-ID-SECRET`. It does not implement `Debug`, so that it cannot be logged by accident.
@@ -39,12 +39,12 @@
         Some(Self { id: id.into(), token: token.to_owned() })
     }
 
-    /// IDs of all keys, or texts in the form of a key, in `text`.
+    /// Ids of all parts of `text` that have the form of a key.
     #[must_use]
     pub fn find_ids(text: &[u8]) -> Vec<SharedName> {
         let key_chars = KEY_PREFIX.len() + ID_CHARS + 1 + SECRET_CHARS;
         memchr::memmem::find_iter(text, KEY_PREFIX.as_bytes())
-            .filter_map(|at| std::str::from_utf8(text.get(at..at + key_chars)?).ok())
+            .filter_map(|start| std::str::from_utf8(text.get(start..start + key_chars)?).ok())
             .filter_map(|token| Some(Self::parse(token)?.id))
             .collect()
     }
--- a/crates/kernel/src/retry_policy.rs
+++ b/crates/kernel/src/retry_policy.rs
@@ -7,6 +7,7 @@
 const ATTEMPTS_MAX: u32 = 3;
 /// Base of the exponential backoff: the upper limit of the delay after attempt `n` is `BACKOFF_BASE_MS << n`.
 const BACKOFF_BASE_MS: u64 = 20;
+/// Largest upper limit of the delay after an attempt.
 const BACKOFF_MAX_MS: u64 = 500;
 
 /// Reason for a retry; used as a label of the retry counter.
@@ -55,7 +56,7 @@
 pub struct FailedAttempt<'a> {
     /// Repeat class of the request.
     pub class: &'a RequestClass,
-    /// How far the attempt got on the upstream.
+    /// Progress of the attempt at the upstream.
     pub progress: RequestProgress,
     /// Number of the attempt, counted from 1.
     pub attempt: u32,
