--- a/crates/edge/src/client_watch.rs
+++ b/crates/edge/src/client_watch.rs
@@ -14,14 +14,14 @@
 
 impl ClientWatch {
     /// Stores a handle on a new connection in its extensions. Passed to the server as its `on_connect` hook.
-    pub fn on_connect(connection: &dyn Any, data: &mut Extensions) {
+    pub fn on_connect(connection: &dyn Any, extensions: &mut Extensions) {
         let Some(stream) = connection.downcast_ref::<TcpStream>() else { return };
         // If the socket cannot be duplicated, a close is detected when the response is written.
         let Ok(handle) = stream.as_fd().try_clone_to_owned() else { return };
-        data.insert(Self(Arc::new(Socket::from(handle))));
+        extensions.insert(Self(Arc::new(Socket::from(handle))));
     }
 
-    /// Whether the connection is open; reads ahead without consuming data.
+    /// Whether the connection is open. Peeks at the next byte, which stays in the socket's buffer.
     fn is_open(&self) -> bool {
         let mut buffer = [MaybeUninit::uninit(); 1];
         match self.0.peek(&mut buffer) {
--- a/crates/edge/src/duty/duty_task.rs
+++ b/crates/edge/src/duty/duty_task.rs
@@ -26,31 +26,31 @@
 pub type SharedTerm = Rc<RefCell<Option<DutyTerm>>>;
 
 /// Acquires the duty and does its work until the daemon drains.
-pub async fn hold_duty(state: Arc<EdgeState>, upstreams: Client, store: StoreAccess) {
+pub async fn hold_duty(state: Arc<EdgeState>, upstream_client: Client, store: StoreAccess) {
     let term: SharedTerm = Rc::default();
-    let mut loads = LoadDuty::new(state.clone(), upstreams, term.clone());
-    let mut usage = UsageDuty::new(state.clone(), store.clone(), term.clone());
-    let mut sizes = SizeDuty::new(state.clone(), store.clone(), term.clone());
-    let mut retire = RetireDuty::new(state.clone(), store.clone());
+    let mut load_duty = LoadDuty::new(state.clone(), upstream_client, term.clone());
+    let mut usage_duty = UsageDuty::new(state.clone(), store.clone(), term.clone());
+    let mut size_duty = SizeDuty::new(state.clone(), store.clone(), term.clone());
+    let mut retire_duty = RetireDuty::new(state.clone(), store.clone());
     let mut vacant_since: Option<TimePoint> = None;
     while !state.is_draining() {
         let _ = actix_rt::time::timeout(PASS_PERIOD, state.upstreams_changed.notified()).await;
         let now = state.now();
         if refresh_term(&state, &term) {
-            loads.tick();
-            sizes.tick().await;
-            usage.tick().await;
-            retire.tick().await;
+            load_duty.tick();
+            size_duty.tick().await;
+            usage_duty.tick().await;
+            retire_duty.tick().await;
             vacant_since = None;
             continue;
         }
-        let Some(replaces) = replaceable_revision(&state) else {
+        let Some(replaced_revision) = replaceable_revision(&state) else {
             vacant_since = None;
             continue;
         };
         let since = *vacant_since.get_or_insert(now);
-        if replaces > 0 || now >= since.plus_ms(acquire_delay_ms(&state)) {
-            acquire(&state, &store, &term, replaces).await;
+        if replaced_revision > 0 || now >= since.plus_ms(acquire_delay_ms(&state)) {
+            acquire_duty(&state, &store, &term, replaced_revision).await;
             vacant_since = None;
         }
     }
@@ -69,14 +69,14 @@
 
 /// Updates the term from the current lease. Returns whether this process still holds the duty.
 fn refresh_term(state: &EdgeState, term: &SharedTerm) -> bool {
-    let standing = {
+    let status = {
         let view = state.lease_view();
-        let recorded = view.duty.as_ref().map(|(revision, _)| *revision);
-        LeaseStatus { lease: view.lease, expires_at: view.ends_at, duty_revision: recorded }
+        let observed_revision = view.duty.as_ref().map(|(revision, _)| *revision);
+        LeaseStatus { lease: view.lease, expires_at: view.ends_at, duty_revision: observed_revision }
     };
     let mut term = term.borrow_mut();
     let Some(current) = term.as_mut() else { return false };
-    if current.refresh(standing) {
+    if current.refresh(status) {
         return true;
     }
     LogLine::new("duty_lost").field("fencing_token", current.fencing_token).warn();
@@ -100,9 +100,9 @@
     }
 }
 
-/// Commits this process as the holder, under its lease and in place of the entry with the revision `replaces`, and
-/// starts a term.
-async fn acquire(state: &EdgeState, store: &StoreAccess, term: &SharedTerm, replaces: u64) {
+/// Commits this process as the holder, under its lease and in place of the entry with the revision `replaced_revision`
+/// (0 for none), and starts a term.
+async fn acquire_duty(state: &EdgeState, store: &StoreAccess, term: &SharedTerm, replaced_revision: u64) {
     let (lease, ends_at) = {
         let view = state.lease_view();
         (view.lease, view.ends_at)
@@ -127,7 +127,7 @@
             }
         };
     let commit = StoreCommit::default()
-        .expect(KeyLayout::DUTY_HOLDER_KEY, replaces)
+        .expect(KeyLayout::DUTY_HOLDER_KEY, replaced_revision)
         .put(KeyLayout::DUTY_HOLDER_KEY, entry, lease)
         .put(KeyLayout::DUTY_HISTORY_KEY, history_entry, 0);
     let revision = match store.commit(&commit).await {
--- a/crates/edge/src/duty/run_report_task.rs
+++ b/crates/edge/src/duty/run_report_task.rs
@@ -1,5 +1,5 @@
-//! Reports this daemon's running requests to the holder of the duty, which orders loads of weights at idle upstreams
-//! first.
+//! Reports the number of this daemon's requests in progress at each upstream to the holder of the duty, which orders
+//! loads of weights at idle upstreams first.
 
 use crate::{edge_state::EdgeState, peer_client::PeerClient};
 use pimentoslip_kernel::SharedName;
@@ -15,7 +15,7 @@
 const REPORT_TIMEOUT_MS: u64 = 200;
 
 /// Sends reports as long as the process runs. After a report without any runs, no more are sent until there are runs.
-pub async fn report_runs(state: Arc<EdgeState>, peers: PeerClient) {
+pub async fn report_runs(state: Arc<EdgeState>, peer_client: PeerClient) {
     let mut reported_runs = false;
     loop {
         actix_rt::time::sleep(REPORT_PERIOD).await;
@@ -26,7 +26,7 @@
         reported_runs = !runs.is_empty();
         let Some(control) = holder_control(&state) else { continue };
         let report = RunReport { daemon: state.settings.vm.clone(), runs };
-        if let Err(error) = peers.call::<bool>(&control, RUNS_PATH, &report, REPORT_TIMEOUT_MS).await {
+        if let Err(error) = peer_client.call::<bool>(&control, RUNS_PATH, &report, REPORT_TIMEOUT_MS).await {
             LogLine::new("run_report_failed").field("holder", control).field("reason", error).warn();
         }
     }
--- a/crates/edge/src/duty/size_duty.rs
+++ b/crates/edge/src/duty/size_duty.rs
@@ -28,9 +28,10 @@
 /// Plan and floor of one service.
 #[derive(Debug, Default)]
 struct SizedService {
-    /// Computes the due orders, and waits between repeated ones.
+    /// Computes the due orders, and backs off after an order before it repeats it.
     planner: ScalingPlanner,
-    /// Number of standing upstreams that are kept in each failure domain; `None` until it has been read or stored.
+    /// Number of standing upstreams, which the platform may not reclaim, that are kept in each failure domain. `None`
+    /// until it has been read or stored.
     floor: Option<BTreeMap<SharedName, u64>>,
 }
 
@@ -63,8 +64,8 @@
 
     /// The upstreams of `service` in the platform's list.
     fn upstreams(&self, service: &str) -> Vec<SamplerRecord> {
-        let samplers = self.state.upstreams();
-        samplers.records().filter(|record| *record.service == *service).cloned().collect()
+        let table = self.state.upstreams();
+        table.records().filter(|record| *record.service == *service).cloned().collect()
     }
 
     /// Number of items of unfinished batch jobs whose route leads to `service`. All items of a step should run at once.
@@ -81,7 +82,7 @@
 }
 
 /// Reads the stored floor of the service, or stores the standing upstreams that run now as its floor. `None` if that
-/// failed; the next pass repeats it.
+/// failed; the next pass tries it again.
 async fn read_or_store_floor(
     store: &StoreAccess,
     service: &SharedName,
@@ -110,8 +111,8 @@
     }
 }
 
-/// Sends an order to the platform and logs the outcome, with the demand that led to it. Fails without a call if the
-/// term does not allow one now.
+/// Sends an order to the platform and logs the outcome, with the demand that led to it. Returns `Failed` without a call
+/// if the term does not allow one now.
 async fn send_order(
     state: &Arc<EdgeState>,
     provider: &DutyClient,
@@ -124,14 +125,14 @@
     let active_term = term.borrow().filter(|term| term.may_act(now, DutyClient::CALL_TIMEOUT_MS));
     let Some(term) = active_term else { return ScalingOutcome::Failed };
     let _call_guard = state.track_duty_call();
-    let duty_call = DutyAuthority { holder: &state.settings.vm, fencing_token: term.fencing_token };
+    let authority = DutyAuthority { holder: &state.settings.vm, fencing_token: term.fencing_token };
     let message = ScaleRequest {
         service: service.clone(),
         failure_domain: order.failure_domain.clone(),
         reclaimable: order.reclaimable,
         desired_count: order.desired,
     };
-    let outcome = provider.scale(duty_call, &message).await;
+    let outcome = provider.scale(authority, &message).await;
     LogLine::new("upstreams_ordered")
         .field("service", service)
         .field("failure_domain", &order.failure_domain)
--- a/crates/edge/src/duty/usage_collector.rs
+++ b/crates/edge/src/duty/usage_collector.rs
@@ -65,7 +65,7 @@
         receiver.await.unwrap_or(false)
     }
 
-    /// Writes all pending counts, and reports the outcome to those who wait for it.
+    /// Writes all pending counts, and sends the outcome to the tasks that wait for it.
     async fn flush(&self) {
         let pending = self.pending.take();
         let mut windows: BTreeMap<u64, Vec<UsageBatchEntry>> = BTreeMap::new();
@@ -84,11 +84,11 @@
     }
 }
 
-/// Stores the counts of the windows in one commit. Returns false if they may not be stored.
+/// Stores the batches of counts of each window in one commit. Returns false if it is not certain that they are stored.
 pub async fn write_batches(state: &EdgeState, store: &StoreAccess, windows: &[(u64, Vec<UsageBatchEntry>)]) -> bool {
     let mut commit = StoreCommit::default();
-    for (window, parts) in windows {
-        let value = match encode(&UsageBatchesEntry { batches: parts.clone() }) {
+    for (window, batches) in windows {
+        let value = match encode(&UsageBatchesEntry { batches: batches.clone() }) {
             Ok(value) => value,
             Err(error) => {
                 LogLine::new("usage_not_encoded").field("window", window).field("reason", error).warn();
@@ -99,14 +99,14 @@
             KeyLayout::usage_count_key(*window, &state.settings.vm, state.incarnation, state.next_usage_write_number());
         commit = commit.put(key, value, 0);
     }
-    let parts: usize = windows.iter().map(|(_, parts)| parts.len()).sum();
+    let batch_count: usize = windows.iter().map(|(_, batches)| batches.len()).sum();
     match store.commit(&commit).await {
         Ok(_) => {
-            LogLine::new("usage_recorded").field("windows", windows.len()).field("parts", parts).info();
+            LogLine::new("usage_recorded").field("windows", windows.len()).field("parts", batch_count).info();
             true
         }
         Err(error) => {
-            LogLine::new("usage_not_recorded").field("parts", parts).field("reason", error).warn();
+            LogLine::new("usage_not_recorded").field("parts", batch_count).field("reason", error).warn();
             false
         }
     }
--- a/crates/edge/src/duty/usage_count_task.rs
+++ b/crates/edge/src/duty/usage_count_task.rs
@@ -15,46 +15,48 @@
 const COLLECT_TIMEOUT_MS: u64 = 1_000;
 
 /// Stores the counts of ended windows as long as the process runs.
-pub async fn record_usage(state: Arc<EdgeState>, store: StoreAccess, peers: PeerClient) {
+pub async fn record_usage(state: Arc<EdgeState>, store: StoreAccess, peer_client: PeerClient) {
     loop {
         actix_rt::time::sleep(CHECK_PERIOD).await;
         let ended_before = state.unix_ms().saturating_sub(LATE_COUNT_MS);
         let batches = state.usage().close_ended_windows(ended_before);
         for batch in batches {
-            store_batch(&state, &store, &peers, batch).await;
+            store_batch(&state, &store, &peer_client, batch).await;
         }
     }
 }
 
 /// Stores all counts, including those of windows that have not ended. Called before the process exits.
-pub async fn flush_usage(state: &EdgeState, store: &StoreAccess, peers: &PeerClient) {
+pub async fn flush_usage(state: &EdgeState, store: &StoreAccess, peer_client: &PeerClient) {
     let batches = state.usage().close_ended_windows(u64::MAX);
     for batch in batches {
-        store_batch(state, store, peers, batch).await;
+        store_batch(state, store, peer_client, batch).await;
     }
 }
 
-/// Stores one batch of counts through the collector, or directly if that fails. A batch that is not stored is returned
-/// by the tally again.
-async fn store_batch(state: &EdgeState, store: &StoreAccess, peers: &PeerClient, batch: UsageBatch) {
+/// Stores one batch of counts through the collector, or directly if that fails. The tally returns a batch that is not
+/// confirmed as stored again at the next check.
+async fn store_batch(state: &EdgeState, store: &StoreAccess, peer_client: &PeerClient, batch: UsageBatch) {
     let UsageBatch { number, window, counts } = batch;
-    let part = UsageBatchEntry { daemon: state.settings.vm.clone(), incarnation: state.incarnation, number, counts };
-    let push = UsagePush { window, batch: part };
-    if send_to_collector(state, peers, &push).await || write_batches(state, store, &[(window, vec![push.batch])]).await
+    let entry = UsageBatchEntry { daemon: state.settings.vm.clone(), incarnation: state.incarnation, number, counts };
+    let push = UsagePush { window, batch: entry };
+    if send_to_collector(state, peer_client, &push).await
+        || write_batches(state, store, &[(window, vec![push.batch])]).await
     {
         state.usage().batch_stored(number);
     }
 }
 
-/// Sends counts to the region's collector, which may be this daemon. Returns false if they may not be stored.
-async fn send_to_collector(state: &EdgeState, peers: &PeerClient, push: &UsagePush) -> bool {
+/// Sends counts to the region's collector, which may be this daemon. Returns false if it is not certain that they
+/// are stored.
+async fn send_to_collector(state: &EdgeState, peer_client: &PeerClient, push: &UsagePush) -> bool {
     let collector = {
         let ownership = state.ownership();
         ownership.region_watcher(&state.settings.region).map(|(_, presence)| presence.control.clone())
     };
     let own_control = || state.settings.control_address.map(|address| address.to_string().into());
     let Some(control) = collector.or_else(own_control) else { return false };
-    match peers.call::<bool>(&control, USAGE_PATH, push, COLLECT_TIMEOUT_MS).await {
+    match peer_client.call::<bool>(&control, USAGE_PATH, push, COLLECT_TIMEOUT_MS).await {
         Ok(stored) => stored,
         Err(error) => {
             LogLine::new("usage_not_collected").field("collector", control).field("reason", error).warn();
--- a/crates/edge/src/duty/usage_duty.rs
+++ b/crates/edge/src/duty/usage_duty.rs
@@ -17,12 +17,13 @@
 
 /// A window is sealed this long after its end; by then, all daemons have stored their counts.
 const SEAL_DELAY_MS: u64 = 5_000;
-/// Number of past windows that a new holder checks: it reports the sealed ones again, and seals those after them.
+/// Number of past windows that a new holder checks: it reports those that are sealed again, and seals those after the
+/// last sealed one.
 const LOOK_BACK_WINDOWS: u64 = 6;
 /// Number of sealed windows that are kept in the store, so that a report can be checked for some minutes.
 const SEALED_WINDOWS_KEPT: u64 = 64;
 /// Largest number of entries removed by one commit; below the platform's limit on the size of a commit.
-const REMOVALS_MAX: usize = 24;
+const REMOVALS_PER_COMMIT_MAX: usize = 24;
 
 /// Seals and reports usage windows in their order.
 pub struct UsageDuty {
@@ -105,9 +106,9 @@
                 return false;
             }
         };
-        let parts = unique_parts(&page);
-        let batch_count = parts.len();
-        let counts = UsageTally::sum_counts(parts.into_values());
+        let batches = unique_batches(&page);
+        let batch_count = batches.len();
+        let counts = UsageTally::sum_counts(batches.into_values());
         let value = match encode(&SealedUsageEntry { counts: counts.clone() }) {
             Ok(value) => value,
             Err(error) => {
@@ -117,7 +118,7 @@
         };
         let key = KeyLayout::sealed_usage_key(window);
         let mut commit = StoreCommit::default().expect(key.clone(), 0).put(key, value, 0);
-        for item in page.entries.iter().take(REMOVALS_MAX) {
+        for item in page.entries.iter().take(REMOVALS_PER_COMMIT_MAX) {
             commit = commit.remove(item.key.clone());
         }
         if let Some(expired_window) = window.checked_sub(SEALED_WINDOWS_KEPT) {
@@ -126,7 +127,7 @@
         let counts = match self.store.commit(&commit).await {
             Ok(CommitOutcome::Committed(_)) => counts,
             Ok(CommitOutcome::Conflict(items)) => {
-                // The window is sealed already, by whichever daemon; the stored sums are reported.
+                // The window is sealed already, by this or another daemon; the stored sums are reported.
                 let sealed = items.first().and_then(decode_logged::<SealedUsageEntry>);
                 let Some(sealed) = sealed else { return false };
                 sealed.counts
@@ -153,9 +154,9 @@
             let Some(term) = self.term.borrow().filter(|term| term.may_act(now, DutyClient::CALL_TIMEOUT_MS)) else {
                 return;
             };
-            let duty_call = DutyAuthority { holder: &self.state.settings.vm, fencing_token: term.fencing_token };
+            let authority = DutyAuthority { holder: &self.state.settings.vm, fencing_token: term.fencing_token };
             let call_guard = self.state.track_duty_call();
-            let outcome = provider.report_usage(duty_call, *window, counts).await;
+            let outcome = provider.report_usage(authority, *window, counts).await;
             drop(call_guard);
             LogLine::new("usage_reported")
                 .field("window", window)
@@ -174,12 +175,12 @@
     }
 }
 
-/// Batches of counts by daemon, incarnation and number of the batch. A batch may be stored in several entries and
-/// counts once.
-fn unique_parts(page: &RangePage) -> BTreeMap<(SharedName, u64, u64), BTreeMap<SharedName, u64>> {
+/// Counts of each batch, by daemon, incarnation and number of the batch. A batch that is stored in several entries is
+/// returned once.
+fn unique_batches(page: &RangePage) -> BTreeMap<(SharedName, u64, u64), BTreeMap<SharedName, u64>> {
     let entries = page.entries.iter().filter_map(decode_logged::<UsageBatchesEntry>);
-    let parts = entries.flat_map(|entry| entry.batches);
-    parts.map(|part| ((part.daemon, part.incarnation, part.number), part.counts)).collect()
+    let batches = entries.flat_map(|entry| entry.batches);
+    batches.map(|batch| ((batch.daemon, batch.incarnation, batch.number), batch.counts)).collect()
 }
 
 /// Decodes a stored entry. `None` if it is malformed, which is logged.
--- a/crates/edge/src/edge_metrics.rs
+++ b/crates/edge/src/edge_metrics.rs
@@ -7,6 +7,7 @@
 };
 use std::{fmt, sync::LazyLock};
 
+/// Upper bounds of the histogram buckets, for requests and batch jobs.
 const LATENCY_BUCKETS_SECONDS: [f64; 12] = [0.005, 0.01, 0.02, 0.05, 0.1, 0.15, 0.25, 0.5, 1.0, 2.0, 5.0, 10.0];
 
 /// Values of the `purpose` label of calls to the store.
@@ -40,9 +41,10 @@
 /// All counters, gauges and histograms of the process.
 pub struct EdgeMetrics {
     registry: Registry,
-    /// Responses to callers, by outcome.
+    /// Forwarded requests, by outcome: `served`, `upstream_failed` if the upstream's response is no success, or
+    /// `client_left`. Requests to which no upstream has responded are counted as refusals.
     pub answers: Family<ReasonLabel, Counter>,
-    /// Requests that the daemon refused itself, by reason.
+    /// Error responses that the daemon created itself, by reason.
     pub refusals: Family<ReasonLabel, Counter>,
     /// Failed attempts at upstreams, by reason.
     pub retries: Family<ReasonLabel, Counter>,
@@ -54,7 +56,8 @@
     pub store_calls: Family<PurposeLabel, Counter>,
     /// Time from the arrival of a request to its response, in seconds.
     pub request_latency: Histogram,
-    /// Time from a batch job's submission to its last listed result, in seconds.
+    /// Age of a batch job when this daemon stops running it, in seconds: usually when its last result is stored, but
+    /// also when the job was ended by its submitter or is handed over.
     pub batch_duration: Histogram,
     /// Version of the applied configuration.
     pub config_version: Gauge,
--- a/crates/edge/src/edge_state.rs
+++ b/crates/edge/src/edge_state.rs
@@ -172,7 +172,7 @@
         lock(&self.newest_versions)
     }
 
-    /// Locks the list of VMs that operators want to retire and that must hold no durable data any more.
+    /// Locks the list of VMs that operators have requested to retire.
     pub fn retired_vms(&self) -> MutexGuard<'_, Vec<SharedName>> {
         lock(&self.retired_vms)
     }
@@ -187,7 +187,7 @@
         lock(&self.jobs)
     }
 
-    /// Locks the counts of served requests, which are billed by usage window and organisation.
+    /// Locks the counts of requests that upstreams may have run, by usage window and organisation.
     pub fn usage(&self) -> MutexGuard<'_, UsageTally> {
         lock(&self.usage)
     }
@@ -197,7 +197,7 @@
         lock(&self.lease_view)
     }
 
-    /// Locks the choice of the path to the store: direct or relayed through a peer.
+    /// Locks the selector of the path to the store: direct or relayed through a peer.
     pub fn path_selector(&self) -> MutexGuard<'_, PathSelector> {
         lock(&self.path_selector)
     }
@@ -213,7 +213,8 @@
         *lock(&self.store_reconnected_at)
     }
 
-    /// Locks the numbers of batch items that other daemons run at each upstream.
+    /// Locks the latest report of each daemon: the number of its requests in progress at each upstream that serves
+    /// models.
     pub fn run_reports(&self) -> MutexGuard<'_, RunReports> {
         lock(&self.run_reports)
     }
--- a/crates/edge/src/http/api_refusal.rs
+++ b/crates/edge/src/http/api_refusal.rs
@@ -11,7 +11,7 @@
     ConfigNotLoaded,
     /// No route matches.
     RouteNotFound,
-    /// The API key is missing or does not exist.
+    /// The API key is missing, sent more than once, or not in the configuration.
     KeyInvalid,
     /// The request or its body is malformed.
     Malformed,
@@ -33,7 +33,7 @@
     StoreUnreachable,
     /// The store did not confirm whether a batch job was stored.
     OutcomeUnknown,
-    /// No such batch job or item exists.
+    /// No such batch job or item exists, or the job belongs to another organisation.
     JobNotFound,
 }
 
--- a/crates/edge/src/http/batch_api.rs
+++ b/crates/edge/src/http/batch_api.rs
@@ -19,7 +19,7 @@
 use pimentoslip_wire::stored::{JobEntry, ResultEntry};
 use std::sync::Arc;
 
-/// Largest page of results in bytes of text; the API allows pages of 1 MB.
+/// Largest total size of the texts in a page of results; the API allows pages of 1 MB.
 const PAGE_BYTES_MAX: usize = 900_000;
 /// Longest time for which a read waits for new results; the limit is part of the API.
 const READ_WAIT_MS_MAX: u64 = 1_000;
@@ -99,7 +99,7 @@
     parse(request.query_string().as_bytes()).find(|(key, _)| key == name).map(|(_, value)| value.into_owned())
 }
 
-/// Responds with a page of the job's results from a position on, and waits for the first one if the caller requests it.
+/// Responds with a page of the job's results from a position on. Waits for the first one if the caller requests that.
 pub async fn read_results(
     parts: &WorkerParts,
     context: &RequestContext,
@@ -113,8 +113,8 @@
         header_text(request.headers(), header::WAIT_MS).and_then(|text| text.trim().parse().ok()).unwrap_or(0);
     let wait_ms = if position >= view.entry.item_count { 0 } else { READ_WAIT_MS_MAX.min(wait_ms) };
     let wait_until = context.arrived_at.plus_ms(wait_ms).min(context.deadline);
-    let read = ResultsQuery { position, bytes_max: PAGE_BYTES_MAX, wait_until };
-    let results = job::read_results(&parts.state, &parts.store, &parts.peer_client, &id.into(), &read).await;
+    let query = ResultsQuery { position, bytes_max: PAGE_BYTES_MAX, wait_until };
+    let results = job::read_results(&parts.state, &parts.store, &parts.peer_client, &id.into(), &query).await;
     let results = results.map_err(|error| {
         LogLine::new("results_read_failed").field("job", id).field("position", position).field("reason", error).warn();
         ApiRefusal::StoreUnreachable
--- a/crates/edge/src/http/peer_api.rs
+++ b/crates/edge/src/http/peer_api.rs
@@ -16,7 +16,7 @@
 use serde::Serialize;
 use std::sync::Arc;
 
-/// Largest request body in bytes: a pushed job with its submission, which the configured limit on request bodies bounds
+/// Largest request body: a pushed job with its submission, which the configured limit on request bodies bounds
 /// to 32 MB by default.
 pub const PUSH_BYTES_MAX: usize = 33 << 20;
 
@@ -52,8 +52,8 @@
         Err(error) => return malformed_response(&error),
     };
     let wait_until = parts.state.now().plus_ms(request.wait_ms);
-    let read = ResultsQuery { position: request.position, bytes_max: request.bytes_max, wait_until };
-    message_response(&local_results(&parts.state, &request.job, &read).await)
+    let query = ResultsQuery { position: request.position, bytes_max: request.bytes_max, wait_until };
+    message_response(&local_results(&parts.state, &request.job, &query).await)
 }
 
 /// Responds to a peer with the body of an item of a job that this daemon owns.
@@ -64,7 +64,7 @@
     }
 }
 
-/// Records the numbers of batch items that a peer runs at each upstream.
+/// Records the number of requests that a peer has in progress at each upstream.
 pub async fn receive_runs(parts: web::Data<WorkerParts>, body: web::Bytes) -> HttpResponse {
     match decode::<RunReport>(&body) {
         Ok(report) => {
@@ -102,7 +102,7 @@
 }
 
 /// Receives a job that this process owns from the daemon that accepted or previously owned it. Responds with 409 if the
-/// job is meant for an earlier process or this daemon is draining.
+/// job was sent to another incarnation of this daemon, or if this daemon is draining.
 pub async fn receive_job(parts: web::Data<WorkerParts>, body: web::Bytes) -> HttpResponse {
     let state = &parts.state;
     let push: JobPush = match decode(&body) {
--- a/crates/edge/src/http/proxy.rs
+++ b/crates/edge/src/http/proxy.rs
@@ -22,15 +22,15 @@
 use pimentoslip_telemetry::LogLine;
 use std::time::Duration;
 
-/// Largest response body that is buffered, in bytes; services other than batch jobs respond with kilobytes.
+/// Largest response body that is buffered; services other than batch jobs respond with kilobytes.
 const RESPONSE_BYTES_MAX: usize = 16 << 20;
 /// Interval at which upstreams are checked again while none has capacity.
 const CAPACITY_CHECK_INTERVAL: Duration = Duration::from_millis(15);
 /// A request waits for capacity for up to its route's latency objective divided by this. After that, a response from
 /// elsewhere is worth more to the caller, so the request is refused.
 const CAPACITY_WAIT_DIVISOR: u64 = 4;
-/// Failed attempts in which the request did not run, such as refusals by upstreams, that one request may have in
-/// addition to the attempts that its route allows.
+/// Number of attempts in which the request did not run, such as refusals by upstreams, after which one more attempt is
+/// made. They do not count towards the attempts that the route allows.
 const REFUSALS_MAX: u32 = 4;
 
 /// Reads the request body within the configured size limit and the request's deadline.
@@ -210,7 +210,7 @@
     })
 }
 
-/// Picks an upstream of `service` other than those in `tried`; `None` if none is available.
+/// Picks an upstream of `service` other than those in `tried`. `None` if none has capacity.
 fn pick_upstream(parts: &WorkerParts, service: &str, id: &str, tried: &[SharedName]) -> Option<UpstreamGuard> {
     let query = SamplerQuery {
         service,
--- a/crates/edge/src/job/claim_task.rs
+++ b/crates/edge/src/job/claim_task.rs
@@ -13,7 +13,7 @@
 const CHECK_PERIOD: Duration = Duration::from_millis(200);
 
 /// Claims and starts jobs until the daemon drains.
-pub async fn claim_jobs(state: Arc<EdgeState>, upstreams: Client, store: StoreAccess) {
+pub async fn claim_jobs(state: Arc<EdgeState>, upstream_client: Client, store: StoreAccess) {
     while !state.is_draining() {
         let _ = actix_rt::time::timeout(CHECK_PERIOD, state.job_changed.notified()).await;
         let now = state.now();
@@ -28,7 +28,7 @@
                 claim_job(&state, &store, &claim, lease).await;
             }
         }
-        start_owned_jobs(&state, &upstreams, &store);
+        start_owned_jobs(&state, &upstream_client, &store);
     }
 }
 
@@ -60,7 +60,7 @@
 }
 
 /// Starts a task for each owned job that is unfinished and not running yet.
-fn start_owned_jobs(state: &Arc<EdgeState>, upstreams: &Client, store: &StoreAccess) {
+fn start_owned_jobs(state: &Arc<EdgeState>, upstream_client: &Client, store: &StoreAccess) {
     let now = state.now();
     let owned_jobs: Vec<SharedName> = {
         let (jobs, ownership) = (state.jobs(), state.ownership());
@@ -73,7 +73,7 @@
     for job in owned_jobs {
         if state.jobs().try_mark_running(job.clone()) {
             EdgeMetrics::global().jobs_owned.inc();
-            actix_rt::spawn(run_job(state.clone(), upstreams.clone(), store.clone(), job));
+            actix_rt::spawn(run_job(state.clone(), upstream_client.clone(), store.clone(), job));
         }
     }
 }
--- a/crates/edge/src/job/item_run.rs
+++ b/crates/edge/src/job/item_run.rs
@@ -20,70 +20,71 @@
 
 /// Longest wait for the header of a response; longer than an upstream takes to load weights.
 const RESPONSE_HEADER_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Longest run; after this, the item resumes in a new run at another upstream.
+/// Longest run; after this, the item resumes in a new run, for which an upstream is selected again.
 const RUN_MS_MAX: u64 = 30_000;
 
-/// How a run ended.
+/// Outcome of a finished run.
 struct FinishedRun {
-    /// End of the run, for the ledger.
-    end: RunOutcome,
+    /// Outcome for the ledger.
+    outcome: RunOutcome,
     /// Result as spelled in metrics and logs.
     reason: &'static str,
-    /// Outcome for the evaluation of the upstream.
+    /// Outcome that is recorded for the upstream, on which its availability is based.
     upstream_outcome: SamplerOutcome,
 }
 
 impl FinishedRun {
     /// Classifies a failed attempt.
     fn from_failure(failure: AttemptFailure) -> Self {
-        let end = if failure.may_have_run() { RunOutcome::Interrupted } else { RunOutcome::NotRun };
+        let outcome = if failure.may_have_run() { RunOutcome::Interrupted } else { RunOutcome::NotRun };
         let upstream_outcome = match failure {
-            // These failures concern only the item's model, so the upstream stays in use for other models.
+            // These failures concern only the item's model, so the upstream stays available for other models.
             AttemptFailure::Refused | AttemptFailure::Misdirected => SamplerOutcome::Answered(None),
             other_failure => other_failure.upstream_outcome(),
         };
-        Self { end, reason: failure.as_str(), upstream_outcome }
+        Self { outcome, reason: failure.as_str(), upstream_outcome }
     }
 }
 
-/// Runs an item at the guard's upstream until `give_up_at` at most, and records its events and the end of the run in
-/// the job's ledger.
+/// Runs an item at the guard's upstream until `retention_ends_at` at most, and records its events and the end of the
+/// run in the job's ledger.
 pub async fn run_item(
     job: OwnedJob,
-    work: RunAssignment,
+    assignment: RunAssignment,
     mut guard: UpstreamGuard,
     priority: u32,
-    give_up_at: TimePoint,
+    retention_ends_at: TimePoint,
 ) {
     let state = job.state.clone();
     let started_at = state.now();
-    let mut pace = RunMonitor::new(started_at);
-    let run = stream_item(&job, work, &guard, priority, give_up_at, &mut pace).await;
-    let events = job.ledger.borrow().event_count(work.index);
+    let mut monitor = RunMonitor::new(started_at);
+    let run = stream_item(&job, assignment, &guard, priority, retention_ends_at, &mut monitor).await;
+    let event_count = job.ledger.borrow().event_count(assignment.index);
     let took_ms = state.now().since_ms(started_at);
-    let new_events = events.saturating_sub(work.resume_after.map_or(0, |last| last + 1 - FIRST_EVENT_NUMBER));
+    let new_event_count =
+        event_count.saturating_sub(assignment.resume_after.map_or(0, |last| last + 1 - FIRST_EVENT_NUMBER));
     guard.set_outcome(match run.upstream_outcome {
-        SamplerOutcome::Answered(_) => SamplerOutcome::Answered(pace.event_interval_ms()),
+        SamplerOutcome::Answered(_) => SamplerOutcome::Answered(monitor.event_interval_ms()),
         outcome => outcome,
     });
     EdgeMetrics::increment(&EdgeMetrics::global().item_runs, run.reason);
     LogLine::new("item_run")
         .field("job", &job.id)
-        .field("item", &job.submission.items[work.index].id)
+        .field("item", &job.submission.items[assignment.index].id)
         .field("upstream", &guard.record.id)
-        .field("listed_version", listed_version(&job, work.index, &guard))
-        .field("resumed_after", work.resume_after.map_or_else(|| "none".to_owned(), |last| last.to_string()))
-        .field("events", new_events)
+        .field("listed_version", listed_version(&job, assignment.index, &guard))
+        .field("resumed_after", assignment.resume_after.map_or_else(|| "none".to_owned(), |last| last.to_string()))
+        .field("events", new_event_count)
         .field("took_ms", took_ms)
         .field("result", run.reason)
         .info();
-    if run.end == RunOutcome::NotRun
-        && let Some(model) = item_model(&job, work.index)
+    if run.outcome == RunOutcome::NotRun
+        && let Some(model) = item_model(&job, assignment.index)
     {
         state.upstreams().model_refused(&guard.record.id, &model, state.now());
     }
     drop(guard);
-    job.ledger.borrow_mut().run_ended(work.index, run.end, state.now());
+    job.ledger.borrow_mut().run_ended(assignment.index, run.outcome, state.now());
     job.ledger_changed.notify_one();
 }
 
@@ -94,8 +95,8 @@
 }
 
 /// The request for an item. It resumes after the item's last event in the ledger, if there is one.
-fn item_call(job: &OwnedJob, work: RunAssignment, priority: u32, deadline: TimePoint) -> UpstreamCall {
-    let item = &job.submission.items[work.index];
+fn item_call(job: &OwnedJob, assignment: RunAssignment, priority: u32, deadline: TimePoint) -> UpstreamCall {
+    let item = &job.submission.items[assignment.index];
     let mut headers = HeaderMap::new();
     for (name, value) in &item.headers {
         let parsed = (HeaderName::try_from(name.as_str()), HeaderValue::from_str(value));
@@ -113,23 +114,23 @@
         organisation: job.organisation.clone(),
         body: item.body.clone(),
         deadline,
-        last_event_id: work.resume_after,
+        last_event_id: assignment.resume_after,
     }
 }
 
-/// Sends the request and adds the events of the response to the ledger until the run ends. `pace` follows the times of
-/// the events.
+/// Sends the request and adds the events of the response to the ledger until the run ends. `monitor` measures the
+/// intervals between the events.
 async fn stream_item(
     job: &OwnedJob,
-    work: RunAssignment,
+    assignment: RunAssignment,
     guard: &UpstreamGuard,
     priority: u32,
-    give_up_at: TimePoint,
-    pace: &mut RunMonitor,
+    retention_ends_at: TimePoint,
+    monitor: &mut RunMonitor,
 ) -> FinishedRun {
     let state = &job.state;
     let now = state.now();
-    let call = item_call(job, work, priority, give_up_at.min(now.plus_ms(RUN_MS_MAX)));
+    let call = item_call(job, assignment, priority, retention_ends_at.min(now.plus_ms(RUN_MS_MAX)));
     let response =
         actix_rt::time::timeout(RESPONSE_HEADER_TIMEOUT, start_attempt(&job.upstream_client, &call, guard, now)).await;
     let mut response = match response {
@@ -141,14 +142,14 @@
         status if status.is_success() => {}
         StatusCode::UNPROCESSABLE_ENTITY => {
             return FinishedRun {
-                end: RunOutcome::Unrunnable,
+                outcome: RunOutcome::Unrunnable,
                 reason: "impossible",
                 upstream_outcome: SamplerOutcome::Answered(None),
             };
         }
         StatusCode::INTERNAL_SERVER_ERROR => {
             return FinishedRun {
-                end: RunOutcome::Failed,
+                outcome: RunOutcome::Failed,
                 reason: "upstream_failed",
                 upstream_outcome: SamplerOutcome::Answered(None),
             };
@@ -162,38 +163,38 @@
         response.headers().get(header::WEIGHTS_VERSION).and_then(|value| value.to_str().ok()?.trim().parse().ok());
     let mut version: Option<u64> = version;
     let headers = response.headers().clone();
-    let mut events = EventReader::default();
+    let mut reader = EventReader::default();
     loop {
-        let other_pace_ms = best_other_pace_ms(job, work.index, guard);
-        if other_pace_ms.is_some_and(|ms| pace.is_slower_than(ms)) {
+        let other_interval_ms = fastest_other_interval_ms(job, assignment.index, guard);
+        if other_interval_ms.is_some_and(|ms| monitor.is_slower_than(ms)) {
             return FinishedRun {
-                end: RunOutcome::Interrupted,
+                outcome: RunOutcome::Interrupted,
                 reason: "moved_slow",
                 upstream_outcome: SamplerOutcome::Answered(None),
             };
         }
-        let event_timeout = Duration::from_millis(pace.unresponsive_at(other_pace_ms).since_ms(state.now()));
+        let event_timeout = Duration::from_millis(monitor.unresponsive_at(other_interval_ms).since_ms(state.now()));
         let chunk = match actix_rt::time::timeout(event_timeout, response.next()).await {
             Ok(Some(Ok(chunk))) => chunk,
-            Ok(None) => return ended_stream(&events),
+            Ok(None) => return classify_stream_end(&reader),
             Ok(Some(Err(error))) if is_delimited_by_close(&headers) && is_clean_close(&error) => {
-                return ended_stream(&events);
+                return classify_stream_end(&reader);
             }
             Ok(Some(Err(_))) => return FinishedRun::from_failure(AttemptFailure::Lost),
             Err(_) => return FinishedRun::from_failure(AttemptFailure::TimedOut),
         };
-        let new_events = events.feed(&chunk);
-        pace.events_received(new_events.len() as u64, state.now());
+        let new_events = reader.feed(&chunk);
+        monitor.events_received(new_events.len() as u64, state.now());
         for event in new_events {
             version = event.version.or(version);
             // The ledger records the version of each event, so an event without one is malformed.
             let Some(version) = version else { return FinishedRun::from_failure(AttemptFailure::Malformed) };
-            let verdict = job.ledger.borrow_mut().event_received(work.index, event.number, version, &event.data);
-            match verdict {
+            let outcome = job.ledger.borrow_mut().event_received(assignment.index, event.number, version, &event.data);
+            match outcome {
                 EventOutcome::Accepted => {}
                 EventOutcome::Restart => {
                     return FinishedRun {
-                        end: RunOutcome::Interrupted,
+                        outcome: RunOutcome::Interrupted,
                         reason: "stale_version",
                         upstream_outcome: SamplerOutcome::Abandoned,
                     };
@@ -201,14 +202,14 @@
                 EventOutcome::Mismatch => return FinishedRun::from_failure(AttemptFailure::Mismatch),
             }
         }
-        if events.is_malformed() {
+        if reader.is_malformed() {
             return FinishedRun::from_failure(AttemptFailure::Malformed);
         }
     }
 }
 
-/// Milliseconds per event at the fastest other upstream with a free slot for the item; `None` if no pace is recorded.
-fn best_other_pace_ms(job: &OwnedJob, index: usize, guard: &UpstreamGuard) -> Option<u64> {
+/// Milliseconds per event at the fastest other upstream with a free slot for the item; `None` if none is recorded.
+fn fastest_other_interval_ms(job: &OwnedJob, index: usize, guard: &UpstreamGuard) -> Option<u64> {
     let model = item_model(job, index);
     let query = SamplerQuery {
         service: &guard.record.service,
@@ -221,12 +222,12 @@
     job.state.upstreams().fastest_other_latency_ms(&query, &guard.record.id, job.state.now())
 }
 
-/// The outcome of a run whose response ended in order: complete, unless the response ended within an event.
-fn ended_stream(events: &EventReader) -> FinishedRun {
-    if !events.is_between_events() {
+/// Classifies a run whose response ended normally: the text is complete, unless the response ended within an event.
+fn classify_stream_end(reader: &EventReader) -> FinishedRun {
+    if !reader.is_between_events() {
         return FinishedRun::from_failure(AttemptFailure::Malformed);
     }
-    FinishedRun { end: RunOutcome::Completed, reason: "whole", upstream_outcome: SamplerOutcome::Answered(None) }
+    FinishedRun { outcome: RunOutcome::Completed, reason: "whole", upstream_outcome: SamplerOutcome::Answered(None) }
 }
 
 /// The model that an item requests in its own header, or else the model of its batch job.
--- a/crates/edge/src/job/job_index.rs
+++ b/crates/edge/src/job/job_index.rs
@@ -194,7 +194,7 @@
     }
 
     /// Whether items of `job` may be dispatched now: no older job of `route` has waiting items. `submitted_at` is when
-    /// `job` was submitted; ids decide between jobs of the same time.
+    /// `job` was submitted; jobs submitted at the same time are ordered by id.
     #[must_use]
     pub fn is_oldest_waiting(&self, route: &str, job: &str, submitted_at: TimePoint) -> bool {
         let others =
--- a/crates/edge/src/job/job_reader.rs
+++ b/crates/edge/src/job/job_reader.rs
@@ -55,11 +55,11 @@
 pub async fn read_results(
     state: &EdgeState,
     store: &StoreAccess,
-    peers: &PeerClient,
+    peer_client: &PeerClient,
     job: &SharedName,
     query: &ResultsQuery,
 ) -> Result<Vec<Arc<ResultEntry>>> {
-    match results_from_owner(state, peers, job, query).await {
+    match results_from_owner(state, peer_client, job, query).await {
         Some(results) => Ok(results),
         None => Ok(read_from_store(state, store, job, query).await?.results),
     }
@@ -193,11 +193,11 @@
 pub async fn read_item_body(
     state: &EdgeState,
     store: &StoreAccess,
-    peers: &PeerClient,
+    peer_client: &PeerClient,
     job: &SharedName,
     item_id: &str,
 ) -> Result<Option<Bytes>> {
-    if let Some(body) = item_from_owner(state, peers, job, item_id).await {
+    if let Some(body) = item_from_owner(state, peer_client, job, item_id).await {
         return Ok(body);
     }
     let (submission, _) = read_submission(store, job).await?;
--- a/crates/edge/src/job/job_runner.rs
+++ b/crates/edge/src/job/job_runner.rs
@@ -43,14 +43,14 @@
             hand_over(&job).await;
         }
         let ledger = job.ledger.borrow();
-        let ms = state.now().since_ms(job.submitted_at);
-        EdgeMetrics::global().batch_duration.observe(ms as f64 / 1_000.0);
+        let age_ms = state.now().since_ms(job.submitted_at);
+        EdgeMetrics::global().batch_duration.observe(age_ms as f64 / 1_000.0);
         LogLine::new("job_left")
             .field("job", &id)
             .field("listed", ledger.listed_count())
             .field("items", ledger.item_count())
             .field("ended", ledger.is_ended())
-            .field("age_ms", ms)
+            .field("age_ms", age_ms)
             .info();
     }
     EdgeMetrics::global().jobs_owned.dec();
@@ -63,9 +63,9 @@
     state.ownership().is_owned_elsewhere(job) || state.jobs().is_ended(job) || state.is_draining()
 }
 
-/// What a new owner needs in order to start a job.
+/// Data from which the owner of a job starts to run it.
 struct JobInputs {
-    /// Submission, and the progress that was handed over.
+    /// Submission, and the progress that the previous owner handed over.
     pending: PendingJob,
     /// Stored results, in order of their positions.
     results: Vec<ResultEntry>,
@@ -120,7 +120,7 @@
 }
 
 /// Builds the state of the job, with a ledger that continues from the stored and the handed-over progress. `None` if
-/// the job or its owner is no longer recorded.
+/// the job is no longer in the index or has no owner.
 fn build_job(
     state: &Arc<EdgeState>,
     upstream_client: Client,
@@ -134,10 +134,10 @@
     let age_ms = state.unix_ms().saturating_sub(entry.submitted_unix_ms);
     let submitted_at = state.now().minus_ms(age_ms);
     let rule = state.config().and_then(|config| config.route(&entry.host, &entry.path).cloned());
-    let terms = batch_terms(rule.as_deref(), &submission, submitted_at);
+    let options = batch_options(rule.as_deref(), &submission, submitted_at);
     let specs = submission.items.iter().map(item_spec).collect();
     let stored_indexes: Vec<usize> = results.iter().map(|result| result.item_index).collect();
-    let mut ledger = BatchLedger::new(terms, specs, &stored_indexes);
+    let mut ledger = BatchLedger::new(options, specs, &stored_indexes);
     let handed_over = previous_ledger.as_ref().map_or(0, |ledger| ledger.items.len() + ledger.unlisted.len());
     if let Some(previous_ledger) = previous_ledger {
         ledger.restore(previous_ledger);
@@ -171,14 +171,14 @@
     })
 }
 
-/// Terms of the job according to its submission and its route; without a route, a failed item is not tried again.
-fn batch_terms(rule: Option<&RouteRule>, submission: &BatchSubmission, submitted_at: TimePoint) -> BatchOptions {
-    let batch = rule.and_then(RouteRule::batch_rule);
+/// Options of the job, from its submission and its route. Without a route, a failed item is not tried again.
+fn batch_options(rule: Option<&RouteRule>, submission: &BatchSubmission, submitted_at: TimePoint) -> BatchOptions {
+    let batch_rule = rule.and_then(RouteRule::batch_rule);
     BatchOptions {
         attempts_max: rule.map_or(1, |rule| rule.attempts_max),
         oldest_version: submission.oldest_version,
-        single_version: batch.is_some_and(|batch| batch.single_version),
-        retention_ends_at: submitted_at.plus_ms(batch.map_or(u64::MAX, |batch| batch.retention_ms)),
+        single_version: batch_rule.is_some_and(|batch_rule| batch_rule.single_version),
+        retention_ends_at: submitted_at.plus_ms(batch_rule.map_or(u64::MAX, |batch_rule| batch_rule.retention_ms)),
         groups_awaited: submission.groups_awaited,
     }
 }
@@ -235,7 +235,8 @@
     }
 }
 
-/// Starts runs and scorings until no upstream has a free slot. Gives up all items if the route is no longer configured.
+/// Starts runs and scorings until no upstream has a free slot. Terminates all unfinished items if the route is no
+/// longer configured.
 fn dispatch_items(job: &OwnedJob, runs: &mut JoinSet<()>, now: TimePoint) {
     let Some(rule) = job.route() else {
         if job.state.config().is_some() {
@@ -244,19 +245,19 @@
         }
         return;
     };
-    let Some(batch) = rule.batch_rule() else { return };
+    let Some(batch_rule) = rule.batch_rule() else { return };
     job.ledger.borrow_mut().expire_items(now);
-    let give_up_at = job.submitted_at.plus_ms(batch.retention_ms);
+    let retention_ends_at = job.submitted_at.plus_ms(batch_rule.retention_ms);
     let has_waiting = job.ledger.borrow().waiting_count() > 0;
     update_waiting(job, &rule, has_waiting);
     while has_waiting && job.state.jobs().is_oldest_waiting(&rule.name, &job.id, job.submitted_at) {
-        let next_item = job.ledger.borrow_mut().start_next_run(now);
-        let Some(work) = next_item else { break };
-        let Some(guard) = select_upstream(job, &rule, work) else {
-            job.ledger.borrow_mut().requeue_run(work.index);
+        let next_run = job.ledger.borrow_mut().start_next_run(now);
+        let Some(assignment) = next_run else { break };
+        let Some(guard) = select_upstream(job, &rule, assignment) else {
+            job.ledger.borrow_mut().requeue_run(assignment.index);
             break;
         };
-        runs.spawn_local(run_item(job.clone(), work, guard, rule.priority, give_up_at));
+        runs.spawn_local(run_item(job.clone(), assignment, guard, rule.priority, retention_ends_at));
     }
     let has_waiting = job.ledger.borrow().waiting_count() > 0;
     update_waiting(job, &rule, has_waiting);
@@ -266,8 +267,8 @@
 /// Starts scorer calls until no upstream has a spare slot.
 fn dispatch_scores(job: &OwnedJob, runs: &mut JoinSet<()>, now: TimePoint) {
     loop {
-        let next_item = job.ledger.borrow_mut().start_next_scoring(now);
-        let Some(index) = next_item else { return };
+        let next_index = job.ledger.borrow_mut().start_next_scoring(now);
+        let Some(index) = next_index else { return };
         match prepare_score_call(job, index) {
             Ok(call) => runs.spawn_local(score_item(job.clone(), index, call)),
             Err(error) => {
@@ -288,9 +289,9 @@
 }
 
 /// Selects an upstream with a free slot for an item, and counts the run on it. `None` if there is no such upstream.
-fn select_upstream(job: &OwnedJob, rule: &RouteRule, work: RunAssignment) -> Option<UpstreamGuard> {
-    let item = &job.submission.items[work.index];
-    let model = item_model(job, work.index);
+fn select_upstream(job: &OwnedJob, rule: &RouteRule, assignment: RunAssignment) -> Option<UpstreamGuard> {
+    let item = &job.submission.items[assignment.index];
+    let model = item_model(job, assignment.index);
     let service = rule.service_for_draw(pimentoslip_kernel::fingerprint(&[item.id.as_bytes()]))?;
     let query = SamplerQuery {
         service,
--- a/crates/edge/src/job/job_writer.rs
+++ b/crates/edge/src/job/job_writer.rs
@@ -19,7 +19,7 @@
 /// Delay before a failed write is repeated.
 const RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// Longest wait for the owner to accept a job; it normally answers within milliseconds.
+/// Longest wait for the owner to accept a job; it normally responds within milliseconds.
 const PUSH_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Path of the peer interface at which a daemon accepts jobs that it owns.
 pub const JOB_PUSH_PATH: &str = "/peer/job";
@@ -54,15 +54,15 @@
 }
 
 impl SubmittedJob {
-    /// Builds the message that transfers the job to `owner`, whose ownership entry was written at `revision`. `state`
-    /// is the progress of a job that has run before.
-    fn push_message(&self, owner: &ChosenOwner, revision: u64, state: Option<LedgerState>) -> JobPush {
+    /// Builds the message that transfers the job to `owner`, whose ownership entry was written at `revision`.
+    /// `ledger_state` is the progress of a job that has run before.
+    fn push_message(&self, owner: &ChosenOwner, revision: u64, ledger_state: Option<LedgerState>) -> JobPush {
         JobPush {
             job: self.id.clone(),
             entry: self.entry.clone(),
-            owner_incarnation: owner.signature.incarnation,
+            owner_incarnation: owner.daemon_entry.incarnation,
             ownership_revision: revision,
-            ledger_state: state,
+            ledger_state,
             body: self.body.to_vec(),
         }
     }
@@ -72,7 +72,7 @@
 #[derive(Clone, Debug)]
 struct ChosenOwner {
     /// Value of the ownership entry.
-    signature: DaemonEntry,
+    daemon_entry: DaemonEntry,
     /// Lease of the ownership entry, and address for the transfer.
     presence: DaemonPresence,
 }
@@ -120,8 +120,8 @@
 fn choose_owner(state: &EdgeState, placement_key: &str, excluded: Option<&str>) -> Option<ChosenOwner> {
     let ownership = state.ownership();
     let (daemon, presence) = ownership.preferred_daemon(placement_key, excluded)?;
-    let signature = DaemonEntry { daemon: daemon.clone(), incarnation: presence.incarnation };
-    Some(ChosenOwner { signature, presence: presence.clone() })
+    let daemon_entry = DaemonEntry { daemon: daemon.clone(), incarnation: presence.incarnation };
+    Some(ChosenOwner { daemon_entry, presence: presence.clone() })
 }
 
 /// The commit that stores a job's entry, the parts of its submission and its owner, unless the job is stored already.
@@ -131,7 +131,7 @@
     let key = KeyLayout::job_key(&job.id);
     let mut commit = StoreCommit::default().expect(key.clone(), 0).put(key, entry, 0);
     if let Some(owner) = owner {
-        commit = commit.put(KeyLayout::owner_key(&job.id), encode(&owner.signature).ok()?, owner.presence.lease);
+        commit = commit.put(KeyLayout::owner_key(&job.id), encode(&owner.daemon_entry).ok()?, owner.presence.lease);
     }
     let length = job.body.len();
     let parts =
@@ -147,8 +147,8 @@
 /// with a message in the background.
 fn assign_stored_job(parts: &WorkerParts, job: &SubmittedJob, owner: Option<ChosenOwner>, revision: u64) {
     let Some(owner) = owner else { return accept_job(&parts.state, job, None, None) };
-    let owner_record = owner.signature.clone().into_owner(revision);
-    if owner.signature == parts.state.daemon_entry() {
+    let owner_record = owner.daemon_entry.clone().into_owner(revision);
+    if owner.daemon_entry == parts.state.daemon_entry() {
         return accept_job(&parts.state, job, Some(owner_record), None);
     }
     {
@@ -182,9 +182,9 @@
 pub async fn hand_over_job(parts: &WorkerParts, job: &SubmittedJob, revision: u64, ledger: LedgerState) {
     let own_vm = parts.state.settings.vm.clone();
     let Some(owner) = choose_owner(&parts.state, &job.placement_key, Some(&own_vm)) else { return };
-    let Ok(signature) = encode(&owner.signature) else { return };
+    let Ok(value) = encode(&owner.daemon_entry) else { return };
     let key = KeyLayout::owner_key(&job.id);
-    let commit = StoreCommit::default().expect(key.clone(), revision).put(key, signature, owner.presence.lease);
+    let commit = StoreCommit::default().expect(key.clone(), revision).put(key, value, owner.presence.lease);
     match parts.store.commit(&commit).await {
         Ok(CommitOutcome::Committed(revision)) => {
             let push = job.push_message(&owner, revision, Some(ledger));
@@ -198,8 +198,8 @@
     }
 }
 
-/// Adds a stored job to the index, with its submission and, if it has run before, its `ledger`. Without an `owner`, any
-/// daemon may claim the job.
+/// Adds a stored job to the index, with its submission and, if it has run before, the `ledger` of its previous owner.
+/// Without an `owner`, any daemon may claim the job.
 pub fn accept_job(state: &EdgeState, job: &SubmittedJob, owner: Option<OwnerRecord>, ledger: Option<LedgerState>) {
     let now = state.now();
     {
@@ -221,7 +221,8 @@
     state.job_changed.notify_waiters();
 }
 
-/// Stores the end of a job and deletes its owner. Returns false if the end may not be stored by `deadline`.
+/// Stores the end of a job and deletes its ownership entry. Returns false if the store has not confirmed that by
+/// `deadline`.
 pub async fn end_job(state: &EdgeState, store: &StoreAccess, job: &str, deadline: TimePoint) -> bool {
     if state.jobs().is_ended(job) {
         return true;
--- a/crates/edge/src/job/ledger_writer.rs
+++ b/crates/edge/src/job/ledger_writer.rs
@@ -10,12 +10,12 @@
     stored::{KeyLayout, ResultsEntry, TextCheckpointEntry},
 };
 
-/// Least time between two writes, so that one write stores several results.
+/// Shortest time between two writes, so that one write stores several results.
 const WRITE_PERIOD_MS: u64 = 400;
 /// Time after a write until a checkpoint is stored without any result; bounds the work that is lost when another daemon
-/// takes the job over.
+/// takes over the job.
 const CHECKPOINT_PERIOD_MS: u64 = 800;
-/// Largest results of one write; below the platform's limit on the size of a value.
+/// Largest total size of the results of one write; below the platform's limit on the size of a value.
 const CHUNK_BYTES_MAX: usize = 600_000;
 /// Size at which a checkpoint is closed, so that only its last text exceeds it; below the platform's limit on the size
 /// of a value.
@@ -144,8 +144,8 @@
 }
 
 /// Resolves a conflict by comparing the stored `items` with those to be written. An earlier write may have succeeded
-/// without a response; equal items count as stored. Or the ownership entry has changed; the job's next pass finds out
-/// whether this daemon is still the owner.
+/// without a response; equal items count as stored. If the ownership entry has changed instead, the next pass over the
+/// job checks whether this daemon is still the owner.
 fn resolve_conflict(
     job: &OwnedJob,
     results: Option<&ResultsWrite>,
--- a/crates/edge/src/job/owned_job.rs
+++ b/crates/edge/src/job/owned_job.rs
@@ -24,7 +24,7 @@
     pub store: StoreAccess,
     /// Id of the job.
     pub id: SharedName,
-    /// Organisation that submitted the job; `None` if the operators use no organisations.
+    /// Organisation that submitted the job; `None` if the route needs no key or the configuration has no organisations.
     pub organisation: Option<SharedName>,
     /// Stored entry of the job.
     pub entry: JobEntry,
--- a/crates/edge/src/job/owner_read.rs
+++ b/crates/edge/src/job/owner_read.rs
@@ -18,18 +18,18 @@
 /// Added to the time for which the owner may keep a read waiting, to obtain the timeout of the call.
 const CALL_SLACK_MS: u64 = 500;
 
-/// Reads results from the memory of this process. Waits for the first one if this process owns the job; is unsure if it
-/// does not and no results are cached.
+/// Reads results from the memory of this process, and waits for the first one if this process owns the job. Returns
+/// `Unavailable` if the job's results are not cached, or if there is none and this process does not own the job.
 pub async fn local_results(state: &EdgeState, job: &str, query: &ResultsQuery) -> ResultsResponse {
     loop {
-        let change = state.results_listed.notified();
+        let notification = state.results_listed.notified();
         let Some(results) = state.jobs().cached_results(job, query.position, query.bytes_max) else {
             return ResultsResponse::Unavailable;
         };
         if !results.is_empty() {
             return ResultsResponse::Listed(results);
         }
-        // Only the owner can tell that no further result is stored.
+        // Only the owner can be sure that no further result is stored.
         let is_owner = state.ownership().is_owned_here(job) && state.jobs().has_state(job) && state.is_lease_valid();
         if !is_owner {
             return ResultsResponse::Unavailable;
@@ -39,14 +39,14 @@
             return ResultsResponse::Listed(results);
         }
         // The next iteration checks for results, whether notified or timed out.
-        let _ = actix_rt::time::timeout(Duration::from_millis(left_ms), change).await;
+        let _ = actix_rt::time::timeout(Duration::from_millis(left_ms), notification).await;
     }
 }
 
 /// Reads results from the job's owner, which may be this process. `None` if they must be read from the store.
 pub async fn results_from_owner(
     state: &EdgeState,
-    peers: &PeerClient,
+    peer_client: &PeerClient,
     job: &SharedName,
     query: &ResultsQuery,
 ) -> Option<Vec<Arc<ResultEntry>>> {
@@ -57,7 +57,7 @@
     let wait_ms = query.wait_until.since_ms(state.now());
     let ResultsQuery { position, bytes_max, .. } = *query;
     let request = ResultsRequest { job: job.clone(), position, bytes_max, wait_ms };
-    match peers.call(&control, RESULTS_PATH, &request, wait_ms + CALL_SLACK_MS).await {
+    match peer_client.call(&control, RESULTS_PATH, &request, wait_ms + CALL_SLACK_MS).await {
         Ok(ResultsResponse::Listed(results)) => Some(results),
         Ok(ResultsResponse::Unavailable) => None,
         Err(error) => {
@@ -68,22 +68,22 @@
 }
 
 /// Reads the body of an item from the job's owner, which may be this process. The outer `None` means that it must be
-/// read from the store, the inner that the job has no such item.
+/// read from the store, the inner `None` that the job has no such item.
 pub async fn item_from_owner(
     state: &EdgeState,
-    peers: &PeerClient,
+    peer_client: &PeerClient,
     job: &SharedName,
     item: &str,
 ) -> Option<Option<Bytes>> {
-    let answer = match local_item(state, job, item) {
+    let response = match local_item(state, job, item) {
         ItemResponse::Unavailable => {
             let control = owner_control(state, job)?;
             let request = ItemRequest { job: job.clone(), item: item.into() };
-            peers.call(&control, ITEM_BODY_PATH, &request, CALL_SLACK_MS).await
+            peer_client.call(&control, ITEM_BODY_PATH, &request, CALL_SLACK_MS).await
         }
-        local_answer => Ok(local_answer),
+        local_response => Ok(local_response),
     };
-    match answer {
+    match response {
         Ok(ItemResponse::Body(body)) => Some(Some(body.into())),
         Ok(ItemResponse::Unknown) => Some(None),
         Ok(ItemResponse::Unavailable) => None,
@@ -94,7 +94,7 @@
     }
 }
 
-/// Reads the body of an item from the memory of this process; is unsure unless this process runs the job.
+/// Reads the body of an item from the memory of this process. Returns `Unavailable` unless this process runs the job.
 pub fn local_item(state: &EdgeState, job: &str, item: &str) -> ItemResponse {
     let Some(submission) = state.jobs().running_submission(job) else { return ItemResponse::Unavailable };
     let matching_item = submission.items.iter().find(|candidate| *candidate.id == *item);
--- a/crates/edge/src/job/score_run.rs
+++ b/crates/edge/src/job/score_run.rs
@@ -71,7 +71,7 @@
 
 /// Sends a prepared request to the scorer, and records the outcome in the job's ledger.
 pub async fn score_item(job: OwnedJob, index: usize, score_call: ScoreCall) {
-    let (end, reason) = send_score_call(&job, score_call).await;
+    let (outcome, reason) = send_score_call(&job, score_call).await;
     EdgeMetrics::increment(&EdgeMetrics::global().score_calls, reason);
     // A signed score is visible in the stored result of the item and is not logged.
     if reason != SIGNED_RESULT {
@@ -82,7 +82,7 @@
             .warn();
     }
     let now = job.state.now();
-    job.ledger.borrow_mut().scoring_ended(index, end, failures_max(&job, index), now);
+    job.ledger.borrow_mut().scoring_ended(index, outcome, failures_max(&job, index), now);
     job.ledger_changed.notify_one();
 }
 
--- a/crates/edge/src/lease_task.rs
+++ b/crates/edge/src/lease_task.rs
@@ -10,7 +10,8 @@
 };
 use std::{sync::Arc, time::Duration};
 
-/// Time to live of the lease in milliseconds; other daemons take over a dead daemon's jobs after it.
+/// Time to live of the lease, unless the settings require a longer one; other daemons take over a dead daemon's jobs
+/// after it.
 pub const LEASE_TTL_MS: u64 = 3_000;
 /// Interval between renewals; the lease survives two lost ones.
 const RENEW_INTERVAL: Duration = Duration::from_millis(900);
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,6 +1,6 @@
 //! The daemon that runs on each entry VM. It forwards requests to upstreams and runs the batch jobs that it owns. All
-//! daemons run the same code; one at a time holds the duty. Durable state is kept in the platform's key-value store, and
-//! a process may lose everything else.
+//! daemons run the same code; one at a time holds the duty. Durable state is stored in the platform's key-value store;
+//! all other state may be lost with the process.
 
 mod client_watch;
 mod duty;
--- a/crates/edge/src/peer_client.rs
+++ b/crates/edge/src/peer_client.rs
@@ -9,7 +9,7 @@
 /// TCP user timeout of connections to peers: a connection is closed when sent bytes stay unacknowledged for this long.
 /// Round trips take milliseconds.
 const PEER_USER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Largest response body in bytes: a page of results, which the batch API limits.
+/// Largest response body: a page of results, which the batch API limits.
 const RESPONSE_BYTES_MAX: usize = 8 << 20;
 
 /// Result of a call to a peer.
@@ -19,13 +19,13 @@
 #[derive(Debug, thiserror::Error)]
 pub enum PeerError {
     /// No complete response was received in time.
-    #[error("no complete response from the peer: {problem}; the store is used instead")]
+    #[error("no complete response from the peer: {problem}; the store is used instead if it can serve the call")]
     Unresponsive {
         /// Description of the failure.
         problem: String,
     },
     /// The peer returned an error status.
-    #[error("the peer returned HTTP status {status}; the store is used instead")]
+    #[error("the peer returned HTTP status {status}; the store is used instead if it can serve the call")]
     Refused {
         /// HTTP status code.
         status: u16,
@@ -55,13 +55,13 @@
 
 impl PeerClient {
     /// Posts `request` to `path` of the daemon at the address `control` and waits up to `timeout_ms` for its response.
-    pub async fn call<A: DeserializeOwned>(
+    pub async fn call<Response: DeserializeOwned>(
         &self,
         control: &str,
         path: &str,
         request: &impl Serialize,
         timeout_ms: u64,
-    ) -> Result<A> {
+    ) -> Result<Response> {
         let body = encode(request)?;
         let timeout = Duration::from_millis(timeout_ms);
         let sent = self.client.post(format!("http://{control}{path}")).timeout(timeout).send_body(body);
--- a/crates/edge/src/relay/attempt.rs
+++ b/crates/edge/src/relay/attempt.rs
@@ -26,11 +26,11 @@
     Misdirected,
     /// The connection was lost after the request may have been sent.
     Lost,
-    /// No complete response was received before the deadline.
+    /// No complete response, or no further event, was received in time.
     TimedOut,
-    /// The response has no request id, or that of another request.
+    /// The response has no request id or that of another request, or its events do not continue the text.
     Mismatch,
-    /// The response was truncated, malformed, too large, or had a content encoding.
+    /// The response was truncated, malformed or too large, or had a content encoding or an unexpected status.
     Malformed,
 }
 
@@ -126,8 +126,8 @@
 
 /// Checks that a response belongs to the request `id` and that the upstream accepted the request.
 pub fn check_response(id: &str, status: StatusCode, headers: &HeaderMap) -> Result<()> {
-    let echoed = headers.get(header::REQUEST_ID).map(|value| value.as_bytes());
-    if echoed.is_some_and(|echoed| echoed != id.as_bytes()) {
+    let echoed_id = headers.get(header::REQUEST_ID).map(|value| value.as_bytes());
+    if echoed_id.is_some_and(|echoed_id| echoed_id != id.as_bytes()) {
         return Err(AttemptFailure::Mismatch.into());
     }
     if status == StatusCode::MISDIRECTED_REQUEST {
@@ -136,7 +136,7 @@
     if headers.contains_key(header::NOT_RUN) {
         return Err(AttemptFailure::Refused.into());
     }
-    if echoed.is_none() {
+    if echoed_id.is_none() {
         return Err(AttemptFailure::Mismatch.into());
     }
     if headers.contains_key("content-encoding") {
--- a/crates/edge/src/relay/complete_response.rs
+++ b/crates/edge/src/relay/complete_response.rs
@@ -22,8 +22,8 @@
     pub body: Bytes,
 }
 
-/// Reads the body of a response; one larger than `bytes_max` is rejected. The body is complete when the framing of the
-/// message says so, or, for a message without a length, when the upstream closes the connection cleanly.
+/// Reads the body of a response; one larger than `bytes_max` is rejected. The body is complete when it ends according
+/// to its length or chunked encoding, or, if it has neither, when the upstream closes the connection cleanly.
 async fn read_response<S>(mut response: ClientResponse<S>, bytes_max: usize) -> Result<CompleteResponse>
 where
     S: Stream<Item = std::result::Result<Bytes, PayloadError>> + Unpin,
--- a/crates/edge/src/relay/upstream_call.rs
+++ b/crates/edge/src/relay/upstream_call.rs
@@ -13,15 +13,16 @@
     pub method: Method,
     /// Path and query.
     pub path: String,
-    /// Value of the `Host` header that the caller sent.
+    /// Value of the `Host` header.
     pub host: SharedName,
-    /// Headers of the caller that are forwarded to the upstream.
+    /// Headers in addition to those that the daemon sets for every request.
     pub headers: HeaderMap,
-    /// Organisation of the caller; `None` if the route needs no key or the configuration has no organisations.
+    /// Organisation of the caller; `None` if the route needs no key, the configuration has no organisations, or a
+    /// scorer is called.
     pub organisation: Option<SharedName>,
     /// Request body.
     pub body: Bytes,
-    /// Time at which the caller stops waiting for the response.
+    /// Time until which the daemon waits for the complete response.
     pub deadline: TimePoint,
     /// Number of the last received event, after which an interrupted event stream is resumed.
     pub last_event_id: Option<u64>,
--- a/crates/edge/src/relay/upstream_guard.rs
+++ b/crates/edge/src/relay/upstream_guard.rs
@@ -8,13 +8,13 @@
 #[derive(Debug)]
 pub struct UpstreamGuard {
     state: Arc<EdgeState>,
-    /// The upstream's entry in the list at the time of the choice.
+    /// The upstream's record at the time when it was picked.
     pub record: SamplerRecord,
     outcome: SamplerOutcome,
 }
 
 impl UpstreamGuard {
-    /// Chooses an upstream for `query` and counts the request there. `None` if no upstream has capacity.
+    /// Picks an upstream for `query` and counts the request there. `None` if no upstream has capacity.
     #[must_use]
     pub fn pick(state: &Arc<EdgeState>, query: &SamplerQuery<'_>) -> Option<Self> {
         let record = state.upstreams().pick(query, state.now())?;
--- a/crates/edge/src/store/change_feed.rs
+++ b/crates/edge/src/store/change_feed.rs
@@ -71,7 +71,7 @@
     }
 
     /// Changes of keys with `prefix` after `revision`. Waits a limited time for the first one, so the batch may be
-    /// empty. Fails with `HistoryGone` if the store no longer has the changes since `revision`.
+    /// empty. Fails with `HistoryCompacted` if the store no longer has the changes since `revision`.
     pub async fn next_changes(&self, prefix: &str, revision: u64) -> Result<WatchBatch> {
         let mut is_retry = false;
         for source in self.watch_sources() {
--- a/crates/edge/src/store/change_hub.rs
+++ b/crates/edge/src/store/change_hub.rs
@@ -26,7 +26,7 @@
 
 impl std::fmt::Debug for ChangeHub {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        formatter.debug_struct("NewsHub").finish_non_exhaustive()
+        formatter.debug_struct("ChangeHub").finish_non_exhaustive()
     }
 }
 
@@ -37,7 +37,8 @@
         Self { feed, watches: Rc::default() }
     }
 
-    /// Responds to another daemon: with changes as soon as there are any, or with none once its wait has passed.
+    /// The response to another daemon's request: changes as soon as there are any, or none once the requested wait has
+    /// passed.
     pub async fn changes_response(&self, request: ChangesRequest) -> ChangesResponse {
         let key = (request.prefix, request.revision);
         let shared_watch = self.join_watch(&key);
--- a/crates/edge/src/store/prefix_handler.rs
+++ b/crates/edge/src/store/prefix_handler.rs
@@ -18,7 +18,7 @@
     /// Delay after a batch of changes, in which further ones accumulate for the next batch; 0 for none.
     const BATCH_DELAY_MS: u64;
 
-    /// Replaces everything read before by a snapshot of all entries.
+    /// Applies a snapshot of all entries, which replaces what was read before.
     fn apply_snapshot(&mut self, page: RangePage, now: TimePoint);
 
     /// Applies one change.
@@ -35,13 +35,13 @@
         let page = feed.store().range(H::PREFIX).await;
         let mut revision = match page {
             Ok(page) => {
-                store_reconnected::<H>(&state, &mut lost_since);
+                log_store_reconnected::<H>(&state, &mut lost_since);
                 let revision = page.revision;
                 handler.apply_snapshot(page, state.now());
                 revision
             }
             Err(error) => {
-                store_lost::<H>(&state, &mut lost_since, &error);
+                log_store_lost::<H>(&state, &mut lost_since, &error);
                 actix_rt::time::sleep(RETRY_DELAY).await;
                 continue;
             }
@@ -49,7 +49,7 @@
         loop {
             match feed.next_changes(H::PREFIX, revision).await {
                 Ok(batch) => {
-                    store_reconnected::<H>(&state, &mut lost_since);
+                    log_store_reconnected::<H>(&state, &mut lost_since);
                     revision = batch.revision;
                     let now = state.now();
                     let has_changes = !batch.changes.is_empty();
@@ -66,7 +66,7 @@
                     break;
                 }
                 Err(error) => {
-                    store_lost::<H>(&state, &mut lost_since, &error);
+                    log_store_lost::<H>(&state, &mut lost_since, &error);
                     handler.after_poll(state.now());
                     actix_rt::time::sleep(RETRY_DELAY).await;
                 }
@@ -76,15 +76,15 @@
 }
 
 /// Logs the first failed call since the store was last reached and records when it failed.
-fn store_lost<H: PrefixHandler>(state: &EdgeState, lost_since: &mut Option<TimePoint>, error: &StoreError) {
+fn log_store_lost<H: PrefixHandler>(state: &EdgeState, lost_since: &mut Option<TimePoint>, error: &StoreError) {
     if lost_since.is_none() {
         LogLine::new("store_lost").field("prefix", H::PREFIX).field("reason", error).warn();
         *lost_since = Some(state.now());
     }
 }
 
-/// Logs the end of an outage, if there was one.
-fn store_reconnected<H: PrefixHandler>(state: &EdgeState, lost_since: &mut Option<TimePoint>) {
+/// Logs the end of an outage with its duration, if there was one.
+fn log_store_reconnected<H: PrefixHandler>(state: &EdgeState, lost_since: &mut Option<TimePoint>) {
     if let Some(since) = lost_since.take() {
         let outage_ms = state.now().since_ms(since);
         LogLine::new("store_regained").field("prefix", H::PREFIX).field("away_ms", outage_ms).info();
--- a/crates/edge/src/store/store_access.rs
+++ b/crates/edge/src/store/store_access.rs
@@ -73,19 +73,19 @@
         Some(client.clone())
     }
 
-    /// Updates the choice of path with the result of a call, and logs when the direct path stops or starts working.
+    /// Records the result of a call for the selection of paths, and logs when the direct path stops or starts working.
     fn record_result<T>(&self, path: &ServicePath, started_at: TimePoint, result: &Result<T>) {
         let now = self.state.now();
-        let mut choice = self.state.path_selector();
+        let mut selector = self.state.path_selector();
         match result {
             Err(error @ (StoreError::NotApplied { .. } | StoreError::OutcomeUnknown { .. })) => {
-                if choice.call_failed(path, started_at, now) {
+                if selector.call_failed(path, started_at, now) {
                     LogLine::new("store_path_lost").field("path", path).field("reason", error).warn();
                 }
             }
             _ => {
-                if choice.call_succeeded(path, now) {
-                    drop(choice);
+                if selector.call_succeeded(path, now) {
+                    drop(selector);
                     self.state.store_reconnected(now);
                     LogLine::new("store_path_regained").field("path", path).info();
                 }
@@ -100,7 +100,7 @@
         repeatable: bool,
         call: impl AsyncFn(&StoreClient, &ServicePath) -> Result<T>,
     ) -> Result<T> {
-        let Some((path, client)) = self.next_path() else { return Err(backing_off()) };
+        let Some((path, client)) = self.next_path() else { return Err(backoff_error()) };
         let started_at = self.state.now();
         let result = call(&client, &path).await;
         self.record_result(&path, started_at, &result);
@@ -124,7 +124,7 @@
         self.call(true, async |client, _| client.get(key).await).await
     }
 
-    /// Reads one page of the entries below `prefix`; see [`StoreClient::page`].
+    /// Reads one page of the entries below `prefix`; see [`StoreClient::range_page`].
     pub async fn page(&self, prefix: &str, after: Option<&str>) -> Result<RangePage> {
         self.call(true, async |client, _| client.range_page(prefix, after).await).await
     }
@@ -149,23 +149,23 @@
         self.call(false, async |client, _| client.commit(commit).await).await
     }
 
-    /// Requests a lease with a time to live of `ttl_ms`; see [`StoreClient::grant`].
+    /// Requests a lease with a time to live of `ttl_ms`; see [`StoreClient::grant_lease`].
     pub async fn grant_lease(&self, ttl_ms: u64) -> Result<u64> {
         self.call(false, async |client, _| client.grant_lease(ttl_ms).await).await
     }
 
-    /// Renews a lease; see [`StoreClient::keep`].
+    /// Renews a lease; see [`StoreClient::renew_lease`].
     pub async fn renew_lease(&self, lease: u64) -> Result<()> {
         self.call(true, async |client, _| client.renew_lease(lease).await).await
     }
 
-    /// Revokes a lease, which removes the entries bound to it; see [`StoreClient::end`].
+    /// Revokes a lease, which removes the entries bound to it; see [`StoreClient::revoke_lease`].
     pub async fn revoke_lease(&self, lease: u64) -> Result<()> {
         self.call(true, async |client, _| client.revoke_lease(lease).await).await
     }
 }
 
 /// The error of a call that was not made because the store was unreachable a moment ago.
-fn backing_off() -> StoreError {
+fn backoff_error() -> StoreError {
     StoreError::NotApplied { problem: "backing off, as the store was unreachable a moment ago".to_owned() }
 }
--- a/crates/edge/src/store/upstream_keys.rs
+++ b/crates/edge/src/store/upstream_keys.rs
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Removes an upstream whose entry is gone, or postpones that around an outage of the store.
+    /// Removes an upstream whose entry was removed from the store. Around an outage of the store, that is postponed
+    /// until the end of the grace period.
     fn entry_removed(&mut self, id: &str, now: TimePoint) {
         let keep_until = self.relist_deadline(now);
         if now < keep_until {
--- a/crates/telemetry/src/log_line.rs
+++ b/crates/telemetry/src/log_line.rs
@@ -31,8 +31,8 @@
     pub fn field(mut self, key: &str, value: impl std::fmt::Display) -> Self {
         let value = value.to_string();
         let value = if value.contains(API_KEY_PREFIX) { REDACTED.to_owned() } else { value };
-        let is_plain =
-            !value.is_empty() && value.chars().all(|c| c.is_ascii_graphic() && !matches!(c, '"' | '=' | '\\'));
+        let is_plain = !value.is_empty()
+            && value.chars().all(|character| character.is_ascii_graphic() && !matches!(character, '"' | '=' | '\\'));
         let text = if is_plain { value } else { format!("{value:?}") };
         // Writing to a `String` cannot fail.
         let _ = write!(self.text, " {key}={text}");
