--- a/crates/edge/src/duty/duty_task.rs
+++ b/crates/edge/src/duty/duty_task.rs
@@ -1,4 +1,4 @@
-//! Acquires the duty when no daemon holds it, and does its work while this daemon is the holder.
+//! Acquires the duty when no daemon holds it, and performs its work while this daemon is the holder.
 
 use super::{load_duty::LoadDuty, retire_duty::RetireDuty, size_duty::SizeDuty, usage_duty::UsageDuty};
 use crate::{edge_metrics::EdgeMetrics, edge_state::EdgeState, store::StoreAccess};
@@ -25,7 +25,7 @@
 /// duty.
 pub type SharedTerm = Rc<RefCell<Option<DutyTerm>>>;
 
-/// Acquires the duty and does its work until the daemon drains.
+/// Acquires the duty and performs its work until the daemon drains.
 pub async fn hold_duty(state: Arc<EdgeState>, upstream_client: Client, store: StoreAccess) {
     let term: SharedTerm = Rc::default();
     let mut load_duty = LoadDuty::new(state.clone(), upstream_client, term.clone());
@@ -58,7 +58,7 @@
     EdgeMetrics::global().duty_held.set(0);
 }
 
-/// How long this daemon waits before it acquires a vacant duty, in milliseconds.
+/// Time in milliseconds for which the duty must be vacant before this daemon acquires it.
 fn acquire_delay_ms(state: &EdgeState) -> u64 {
     match &state.lease_view().last_holder {
         Some(last_holder) if *last_holder == state.settings.vm => 0,
@@ -132,14 +132,14 @@
         .put(KeyLayout::DUTY_HISTORY_KEY, history_entry, 0);
     let revision = match store.commit(&commit).await {
         Ok(CommitOutcome::Committed(revision)) => revision,
-        Ok(CommitOutcome::Conflict(items)) => {
+        Ok(CommitOutcome::Conflict(store_entries)) => {
             // An earlier commit of this process may have succeeded without a response.
-            let is_own = |item: &&StoreEntry| {
-                item.lease == lease
-                    && decode::<DaemonEntry>(&item.value).is_ok_and(|entry| entry == state.daemon_entry())
+            let is_own = |store_entry: &&StoreEntry| {
+                store_entry.lease == lease
+                    && decode::<DaemonEntry>(&store_entry.value).is_ok_and(|entry| entry == state.daemon_entry())
             };
-            let Some(item) = items.iter().find(is_own) else { return };
-            item.revision
+            let Some(store_entry) = store_entries.iter().find(is_own) else { return };
+            store_entry.revision
         }
         Err(error) => {
             LogLine::new("duty_not_taken").field("reason", error).warn();
@@ -159,6 +159,6 @@
 
 /// Reads the previous holders of the duty from the store.
 async fn read_history(store: &StoreAccess) -> anyhow::Result<DutyHistory> {
-    let Some(item) = store.get(KeyLayout::DUTY_HISTORY_KEY).await? else { return Ok(DutyHistory::default()) };
-    Ok(decode::<DutyHistoryEntry>(&item.value)?.into())
+    let Some(store_entry) = store.get(KeyLayout::DUTY_HISTORY_KEY).await? else { return Ok(DutyHistory::default()) };
+    Ok(decode::<DutyHistoryEntry>(&store_entry.value)?.into())
 }
--- a/crates/edge/src/duty/run_report_task.rs
+++ b/crates/edge/src/duty/run_report_task.rs
@@ -24,16 +24,16 @@
             continue;
         }
         reported_runs = !runs.is_empty();
-        let Some(control) = holder_control(&state) else { continue };
+        let Some(control_address) = holder_control_address(&state) else { continue };
         let report = RunReport { daemon: state.settings.vm.clone(), runs };
-        if let Err(error) = peer_client.call::<bool>(&control, RUNS_PATH, &report, REPORT_TIMEOUT_MS).await {
-            LogLine::new("run_report_failed").field("holder", control).field("reason", error).warn();
+        if let Err(error) = peer_client.call::<bool>(&control_address, RUNS_PATH, &report, REPORT_TIMEOUT_MS).await {
+            LogLine::new("run_report_failed").field("holder", control_address).field("reason", error).warn();
         }
     }
 }
 
 /// Control address of the duty's holder, if the holder is present.
-fn holder_control(state: &EdgeState) -> Option<SharedName> {
+fn holder_control_address(state: &EdgeState) -> Option<SharedName> {
     let holder = state.lease_view().duty.as_ref().map(|(_, holder)| holder.daemon.clone())?;
     Some(state.ownership().daemon(&holder)?.control.clone())
 }
--- a/crates/edge/src/duty/size_duty.rs
+++ b/crates/edge/src/duty/size_duty.rs
@@ -91,8 +91,8 @@
     let key = KeyLayout::floor_key(service);
     let current = FloorEntry { standing: standing_counts(upstreams) };
     let floor = async {
-        if let Some(item) = store.get(&key).await? {
-            return Ok(decode::<FloorEntry>(&item.value)?);
+        if let Some(store_entry) = store.get(&key).await? {
+            return Ok(decode::<FloorEntry>(&store_entry.value)?);
         }
         let commit = StoreCommit::default().expect(key.clone(), 0).put(key.clone(), encode(&current)?, 0);
         match store.commit(&commit).await? {
--- a/crates/edge/src/duty/usage_count_task.rs
+++ b/crates/edge/src/duty/usage_count_task.rs
@@ -54,12 +54,12 @@
         let ownership = state.ownership();
         ownership.region_watcher(&state.settings.region).map(|(_, presence)| presence.control.clone())
     };
-    let own_control = || state.settings.control_address.map(|address| address.to_string().into());
-    let Some(control) = collector.or_else(own_control) else { return false };
-    match peer_client.call::<bool>(&control, USAGE_PATH, push, COLLECT_TIMEOUT_MS).await {
+    let own_control_address = || state.settings.control_address.map(|address| address.to_string().into());
+    let Some(control_address) = collector.or_else(own_control_address) else { return false };
+    match peer_client.call::<bool>(&control_address, USAGE_PATH, push, COLLECT_TIMEOUT_MS).await {
         Ok(stored) => stored,
         Err(error) => {
-            LogLine::new("usage_not_collected").field("collector", control).field("reason", error).warn();
+            LogLine::new("usage_not_collected").field("collector", control_address).field("reason", error).warn();
             false
         }
     }
--- a/crates/edge/src/duty/usage_duty.rs
+++ b/crates/edge/src/duty/usage_duty.rs
@@ -81,11 +81,11 @@
         };
         let current = self.state.usage().window_at(self.state.unix_ms());
         let mut last_sealed = None;
-        for item in page.entries {
-            let Some(window) = KeyLayout::parse_sealed_usage_key(&item.key) else { continue };
+        for store_entry in page.entries {
+            let Some(window) = KeyLayout::parse_sealed_usage_key(&store_entry.key) else { continue };
             last_sealed = last_sealed.max(Some(window));
             if window + LOOK_BACK_WINDOWS >= current
-                && let Some(entry) = decode_logged::<SealedUsageEntry>(&item)
+                && let Some(entry) = decode_logged::<SealedUsageEntry>(&store_entry)
             {
                 // The previous holder may have sealed this window without reporting it.
                 self.unreported.insert(window, entry.counts);
@@ -118,17 +118,17 @@
         };
         let key = KeyLayout::sealed_usage_key(window);
         let mut commit = StoreCommit::default().expect(key.clone(), 0).put(key, value, 0);
-        for item in page.entries.iter().take(REMOVALS_PER_COMMIT_MAX) {
-            commit = commit.remove(item.key.clone());
+        for store_entry in page.entries.iter().take(REMOVALS_PER_COMMIT_MAX) {
+            commit = commit.remove(store_entry.key.clone());
         }
         if let Some(expired_window) = window.checked_sub(SEALED_WINDOWS_KEPT) {
             commit = commit.remove(KeyLayout::sealed_usage_key(expired_window));
         }
         let counts = match self.store.commit(&commit).await {
             Ok(CommitOutcome::Committed(_)) => counts,
-            Ok(CommitOutcome::Conflict(items)) => {
+            Ok(CommitOutcome::Conflict(store_entries)) => {
                 // The window is sealed already, by this or another daemon; the stored sums are reported.
-                let sealed = items.first().and_then(decode_logged::<SealedUsageEntry>);
+                let sealed = store_entries.first().and_then(decode_logged::<SealedUsageEntry>);
                 let Some(sealed) = sealed else { return false };
                 sealed.counts
             }
@@ -184,11 +184,11 @@
 }
 
 /// Decodes a stored entry. `None` if it is malformed, which is logged.
-fn decode_logged<T: DeserializeOwned>(item: &StoreEntry) -> Option<T> {
-    match decode(&item.value) {
+fn decode_logged<T: DeserializeOwned>(store_entry: &StoreEntry) -> Option<T> {
+    match decode(&store_entry.value) {
         Ok(entry) => Some(entry),
         Err(error) => {
-            LogLine::new("entry_unreadable").field("key", &item.key).field("reason", error).warn();
+            LogLine::new("entry_unreadable").field("key", &store_entry.key).field("reason", error).warn();
             None
         }
     }
--- a/crates/edge/src/job/item_run.rs
+++ b/crates/edge/src/job/item_run.rs
@@ -27,7 +27,7 @@
 struct FinishedRun {
     /// Outcome for the ledger.
     outcome: RunOutcome,
-    /// Result as spelled in metrics and logs.
+    /// Name of the result in metrics and logs.
     reason: &'static str,
     /// Outcome that is recorded for the upstream, on which its availability is based.
     upstream_outcome: SamplerOutcome,
--- a/crates/edge/src/job/job_index.rs
+++ b/crates/edge/src/job/job_index.rs
@@ -199,7 +199,9 @@
     pub fn is_oldest_waiting(&self, route: &str, job: &str, submitted_at: TimePoint) -> bool {
         let others =
             self.waiting.iter().filter(|((other_route, other_job), _)| **other_route == *route && **other_job != *job);
-        !others.into_iter().any(|((_, other_job), since)| (*since, &**other_job) < (submitted_at, job))
+        !others
+            .into_iter()
+            .any(|((_, other_job), other_submitted_at)| (*other_submitted_at, &**other_job) < (submitted_at, job))
     }
 
     /// Records that `job` of `route`, submitted at `submitted_at`, has waiting items, or with `None` that it has none.
--- a/crates/edge/src/job/job_reader.rs
+++ b/crates/edge/src/job/job_reader.rs
@@ -43,9 +43,9 @@
     if let Some(view) = state.jobs().get(job) {
         return Ok(Some(view.clone()));
     }
-    let Some(item) = store.get(&KeyLayout::job_key(job)).await? else { return Ok(None) };
+    let Some(store_entry) = store.get(&KeyLayout::job_key(job)).await? else { return Ok(None) };
     let entry =
-        decode::<JobEntry>(&item.value).map_err(|error| StoreError::Malformed { problem: error.to_string() })?;
+        decode::<JobEntry>(&store_entry.value).map_err(|error| StoreError::Malformed { problem: error.to_string() })?;
     let ended = store.get(&KeyLayout::end_key(job)).await?.is_some();
     Ok(Some(JobView { entry, ended, settled: false, chunk_ends: BTreeMap::new(), results_end: None }))
 }
@@ -94,11 +94,11 @@
             }
         };
         stored.revision = batch.revision;
-        let written_items = batch.changes.into_iter().filter_map(|change| match change {
-            StoreChange::Written(item) => Some(item),
+        let written_entries = batch.changes.into_iter().filter_map(|change| match change {
+            StoreChange::Written(store_entry) => Some(store_entry),
             StoreChange::Removed { .. } => None,
         });
-        append_consecutive(state, job, written_items, position, bytes_max, &mut stored.results)?;
+        append_consecutive(state, job, written_entries, position, bytes_max, &mut stored.results)?;
         if total_text_bytes(&stored.results) < bytes_max {
             state.jobs().results_end_observed(job, position + stored.results.len(), stored.revision);
         }
@@ -124,7 +124,7 @@
     let mut results = Vec::new();
     loop {
         let page: RangePage = store.page(&prefix, after.as_deref()).await?;
-        after = page.entries.last().map(|item| item.key.clone()).or(after);
+        after = page.entries.last().map(|store_entry| store_entry.key.clone()).or(after);
         let has_more = page.has_more && !page.entries.is_empty();
         append_consecutive(state, job, page.entries.into_iter(), position, bytes_max, &mut results)?;
         let bytes = total_text_bytes(&results);
@@ -142,20 +142,20 @@
     results.iter().map(|result| result.text.len()).sum()
 }
 
-/// Decodes the chunks in `items`, and appends those results that continue `results`, whose first one is at `position`.
-/// Stops before a result with which the texts would exceed `bytes_max` bytes.
+/// Decodes the chunks in `store_entries`, and appends those results that continue `results`, whose first one is at
+/// `position`. Stops before a result with which the texts would exceed `bytes_max` bytes.
 fn append_consecutive(
     state: &EdgeState,
     job: &str,
-    items: impl Iterator<Item = StoreEntry>,
+    store_entries: impl Iterator<Item = StoreEntry>,
     position: usize,
     bytes_max: usize,
     results: &mut Vec<Arc<ResultEntry>>,
 ) -> Result<()> {
     let mut bytes = total_text_bytes(results);
-    for item in items {
+    for store_entry in store_entries {
         let entry: ResultsEntry =
-            decode(&item.value).map_err(|error| StoreError::Malformed { problem: error.to_string() })?;
+            decode(&store_entry.value).map_err(|error| StoreError::Malformed { problem: error.to_string() })?;
         state.jobs().chunk_stored(job, entry.first_position, entry.next_position());
         for (result_position, result) in (entry.first_position..).zip(entry.results) {
             if result_position != position + results.len() {
@@ -175,8 +175,8 @@
 async fn read_encoded_submission(store: &StoreAccess, job: &str) -> Result<Bytes> {
     let page = store.range(&KeyLayout::submission_prefix(job)).await?;
     let mut body = BytesMut::new();
-    for item in &page.entries {
-        body.extend_from_slice(&item.value);
+    for store_entry in &page.entries {
+        body.extend_from_slice(&store_entry.value);
     }
     Ok(body.freeze())
 }
@@ -216,10 +216,10 @@
 /// generation of its texts starts again.
 pub async fn read_checkpoints(store: &StoreAccess, job: &str) -> Result<Vec<TextCheckpoint>> {
     let page = store.range(&KeyLayout::text_checkpoints_prefix(job)).await?;
-    let checkpoints = page.entries.iter().map(|item| match decode::<TextCheckpointEntry>(&item.value) {
+    let checkpoints = page.entries.iter().map(|store_entry| match decode::<TextCheckpointEntry>(&store_entry.value) {
         Ok(entry) => TextCheckpoint::from(entry),
         Err(error) => {
-            LogLine::new("entry_unreadable").field("key", &item.key).field("reason", error).warn();
+            LogLine::new("entry_unreadable").field("key", &store_entry.key).field("reason", error).warn();
             TextCheckpoint::default()
         }
     });
--- a/crates/edge/src/job/job_runner.rs
+++ b/crates/edge/src/job/job_runner.rs
@@ -95,7 +95,7 @@
     }
 }
 
-/// Reads from the store what the pending job, if there is one, does not contain.
+/// Adds the inputs that the pending job does not contain from the store; all of them if there is no pending job.
 async fn read_inputs(
     state: &EdgeState,
     store: &StoreAccess,
--- a/crates/edge/src/job/job_writer.rs
+++ b/crates/edge/src/job/job_writer.rs
@@ -94,8 +94,9 @@
                 assign_stored_job(parts, job, owner, revision);
                 return SubmitOutcome::Accepted;
             }
-            Ok(CommitOutcome::Conflict(items)) => {
-                let existing = items.first().and_then(|item| decode::<JobEntry>(&item.value).ok());
+            Ok(CommitOutcome::Conflict(store_entries)) => {
+                let existing =
+                    store_entries.first().and_then(|store_entry| decode::<JobEntry>(&store_entry.value).ok());
                 let is_foreign = existing.is_some_and(|existing| existing.organisation != job.entry.organisation);
                 return if is_foreign { SubmitOutcome::Foreign } else { SubmitOutcome::Accepted };
             }
@@ -163,17 +164,17 @@
 }
 
 /// Sends a job to its owner. If that fails, the owner reads the job from the store.
-async fn push_job(client: Client, control: SharedName, push: JobPush) {
+async fn push_job(client: Client, control_address: SharedName, push: JobPush) {
     let body = match encode(&push) {
         Ok(body) => body,
         Err(error) => return LogLine::new("job_not_pushed").field("job", &push.job).field("reason", error).warn(),
     };
-    let request = client.post(format!("http://{control}{JOB_PUSH_PATH}")).timeout(PUSH_TIMEOUT);
+    let request = client.post(format!("http://{control_address}{JOB_PUSH_PATH}")).timeout(PUSH_TIMEOUT);
     let result = match request.send_body(body).await {
         Ok(response) => response.status().as_u16().to_string(),
         Err(error) => error.to_string(),
     };
-    LogLine::new("job_pushed").field("job", &push.job).field("owner", control).field("result", result).info();
+    LogLine::new("job_pushed").field("job", &push.job).field("owner", control_address).field("result", result).info();
 }
 
 /// Transfers a job with its progress to another daemon, before this one stops. `revision` is that of the ownership
--- a/crates/edge/src/job/ledger_writer.rs
+++ b/crates/edge/src/job/ledger_writer.rs
@@ -130,7 +130,7 @@
             checkpoint.into_iter().for_each(|checkpoint| checkpoint_stored(job, checkpoint, revision));
             WriteOutcome::Continue
         }
-        Ok(CommitOutcome::Conflict(items)) => resolve_conflict(job, results, checkpoint, &items),
+        Ok(CommitOutcome::Conflict(store_entries)) => resolve_conflict(job, results, checkpoint, &store_entries),
         Err(error) => {
             LogLine::new("ledger_not_written")
                 .field("job", &job.id)
@@ -143,29 +143,31 @@
     }
 }
 
-/// Resolves a conflict by comparing the stored `items` with those to be written. An earlier write may have succeeded
-/// without a response; equal items count as stored. If the ownership entry has changed instead, the next pass over the
-/// job checks whether this daemon is still the owner.
+/// Resolves a conflict by comparing `store_entries`, which the store holds, with the values to be written. An earlier
+/// write may have succeeded without a response; equal values count as stored. If the ownership entry has changed
+/// instead, the next pass over the job checks whether this daemon is still the owner.
 fn resolve_conflict(
     job: &OwnedJob,
     results: Option<&ResultsWrite>,
     checkpoint: Option<&CheckpointWrite>,
-    items: &[StoreEntry],
+    store_entries: &[StoreEntry],
 ) -> WriteOutcome {
-    let stored_item = |key: &str| items.iter().find(|item| item.key == key);
+    let stored_entry = |key: &str| store_entries.iter().find(|store_entry| store_entry.key == key);
     if let Some(checkpoint) = checkpoint
-        && let Some(item) = stored_item(&checkpoint.key)
+        && let Some(store_entry) = stored_entry(&checkpoint.key)
     {
-        if item.value == checkpoint.value {
-            checkpoint_stored(job, checkpoint, item.revision);
+        if store_entry.value == checkpoint.value {
+            checkpoint_stored(job, checkpoint, store_entry.revision);
         } else {
             LogLine::new("texts_conflict").field("job", &job.id).field("number", checkpoint.number).warn();
             job.ledger.borrow_mut().checkpoint_conflicted(checkpoint.number);
         }
     }
     let Some(results) = results else { return WriteOutcome::Continue };
-    match stored_item(&results.key) {
-        Some(item) if item.value == results.value => results_stored(job, &results.entry, item.revision),
+    match stored_entry(&results.key) {
+        Some(store_entry) if store_entry.value == results.value => {
+            results_stored(job, &results.entry, store_entry.revision)
+        }
         Some(_) => {
             LogLine::new("results_conflict").field("job", &job.id).field("first", results.entry.first_position).warn();
             return WriteOutcome::Superseded;
--- a/crates/edge/src/job/owner_read.rs
+++ b/crates/edge/src/job/owner_read.rs
@@ -15,7 +15,7 @@
 pub const RESULTS_PATH: &str = "/peer/results";
 /// Path of the peer interface at which daemons read the body of an item of an owned job.
 pub const ITEM_BODY_PATH: &str = "/peer/item";
-/// Added to the time for which the owner may keep a read waiting, to obtain the timeout of the call.
+/// Timeout of a call, in addition to the time for which the owner may delay its response until there is a result.
 const CALL_SLACK_MS: u64 = 500;
 
 /// Reads results from the memory of this process, and waits for the first one if this process owns the job. Returns
@@ -53,15 +53,19 @@
     if let ResultsResponse::Listed(results) = local_results(state, job, query).await {
         return Some(results);
     }
-    let control = owner_control(state, job)?;
+    let control_address = owner_control_address(state, job)?;
     let wait_ms = query.wait_until.since_ms(state.now());
     let ResultsQuery { position, bytes_max, .. } = *query;
     let request = ResultsRequest { job: job.clone(), position, bytes_max, wait_ms };
-    match peer_client.call(&control, RESULTS_PATH, &request, wait_ms + CALL_SLACK_MS).await {
+    match peer_client.call(&control_address, RESULTS_PATH, &request, wait_ms + CALL_SLACK_MS).await {
         Ok(ResultsResponse::Listed(results)) => Some(results),
         Ok(ResultsResponse::Unavailable) => None,
         Err(error) => {
-            LogLine::new("owner_read_failed").field("job", job).field("owner", control).field("reason", error).warn();
+            LogLine::new("owner_read_failed")
+                .field("job", job)
+                .field("owner", control_address)
+                .field("reason", error)
+                .warn();
             None
         }
     }
@@ -77,9 +81,9 @@
 ) -> Option<Option<Bytes>> {
     let response = match local_item(state, job, item) {
         ItemResponse::Unavailable => {
-            let control = owner_control(state, job)?;
+            let control_address = owner_control_address(state, job)?;
             let request = ItemRequest { job: job.clone(), item: item.into() };
-            peer_client.call(&control, ITEM_BODY_PATH, &request, CALL_SLACK_MS).await
+            peer_client.call(&control_address, ITEM_BODY_PATH, &request, CALL_SLACK_MS).await
         }
         local_response => Ok(local_response),
     };
@@ -102,7 +106,7 @@
 }
 
 /// Control address of the process that owns `job`, if that is another process and it is present.
-fn owner_control(state: &EdgeState, job: &str) -> Option<SharedName> {
+fn owner_control_address(state: &EdgeState, job: &str) -> Option<SharedName> {
     let ownership = state.ownership();
     let owner = ownership.owner(job)?;
     let presence = ownership.daemon(&owner.daemon)?;
--- a/crates/edge/src/job/result_cache.rs
+++ b/crates/edge/src/job/result_cache.rs
@@ -37,7 +37,7 @@
         Self { bytes_max, bytes: 0, jobs: HashMap::new(), insertion_order: VecDeque::new() }
     }
 
-    /// Adds a job whose stored results are `results`, in place of what was cached of it.
+    /// Adds a job whose stored results are `results`. They replace the results of the job that were cached before.
     pub fn insert(&mut self, job: SharedName, results: Vec<ResultEntry>) {
         self.remove(&job);
         self.insertion_order.push_back(job.clone());
@@ -49,7 +49,8 @@
     pub fn append(&mut self, job: &str, first: usize, results: &[ResultEntry]) {
         let Some(cached) = self.jobs.get_mut(job) else { return };
         if cached.results.len() != first {
-            // The results must have no gap. Without the cached job, reads go to the store, which has all results.
+            // The results must have no gap. Once the job is removed, its results are read from the store, which has
+            // all.
             self.remove(job);
             return;
         }
--- a/crates/edge/src/job/score_run.rs
+++ b/crates/edge/src/job/score_run.rs
@@ -16,7 +16,7 @@
 /// Longest wait for a score, unless the timeout of the scorer's route is shorter.
 const SCORE_MS_MAX: u64 = 5_000;
 
-/// Result of a successful scoring, as spelled in metrics.
+/// Name of a successful result in metrics.
 const SIGNED_RESULT: &str = "signed";
 
 /// A request to a scorer, with the upstream selected for it.
@@ -86,7 +86,7 @@
     job.ledger_changed.notify_one();
 }
 
-/// Scorer failures after which the item is given up: the larger of the attempts that the job's route and the scorer's
+/// Scorer failures after which the item is terminated: the larger of the attempts that the job's route and the scorer's
 /// route allow.
 fn failures_max(job: &OwnedJob, index: usize) -> u32 {
     let job_attempts = job.route().map_or(1, |rule| rule.attempts_max);
@@ -94,7 +94,7 @@
     job_attempts.max(scorer.and_then(|scorer| scorer_rule(job, scorer)).map_or(1, |rule| rule.attempts_max))
 }
 
-/// Sends the request and classifies the response. Returns the outcome and its spelling in metrics and logs.
+/// Sends the request and classifies the response. Returns the outcome and its name in metrics and logs.
 async fn send_score_call(job: &OwnedJob, score_call: ScoreCall) -> (ScoreOutcome, &'static str) {
     let ScoreCall { call, mut guard } = score_call;
     let now = job.state.now();
--- a/crates/edge/src/lease_task.rs
+++ b/crates/edge/src/lease_task.rs
@@ -71,11 +71,11 @@
             return RETRY_DELAY;
         }
     };
-    let control = state.settings.control_address.map(|address| address.to_string()).unwrap_or_default();
+    let control_address = state.settings.control_address.map(|address| address.to_string()).unwrap_or_default();
     let presence = PresenceEntry {
         incarnation: state.incarnation,
         lease,
-        control_address: control.into(),
+        control_address: control_address.into(),
         failure_domain: state.settings.failure_domain.clone(),
         region: state.settings.region.clone(),
     };
--- a/crates/edge/src/peer_client.rs
+++ b/crates/edge/src/peer_client.rs
@@ -54,17 +54,18 @@
 }
 
 impl PeerClient {
-    /// Posts `request` to `path` of the daemon at the address `control` and waits up to `timeout_ms` for its response.
+    /// Posts `request` to `path` of the daemon with the control listener at `control_address`, and waits up to
+    /// `timeout_ms` for its response.
     pub async fn call<Response: DeserializeOwned>(
         &self,
-        control: &str,
+        control_address: &str,
         path: &str,
         request: &impl Serialize,
         timeout_ms: u64,
     ) -> Result<Response> {
         let body = encode(request)?;
         let timeout = Duration::from_millis(timeout_ms);
-        let sent = self.client.post(format!("http://{control}{path}")).timeout(timeout).send_body(body);
+        let sent = self.client.post(format!("http://{control_address}{path}")).timeout(timeout).send_body(body);
         let complete_body = async {
             let mut response = sent.await.map_err(|error| PeerError::Unresponsive { problem: error.to_string() })?;
             if !response.status().is_success() {
--- a/crates/edge/src/store/change_feed.rs
+++ b/crates/edge/src/store/change_feed.rs
@@ -46,8 +46,8 @@
     /// Name of the peer.
     daemon: SharedName,
     /// Address of the peer's control listener.
-    control: SharedName,
-    /// Whether the peer watches for the whole region, not only for one failure domain.
+    control_address: SharedName,
+    /// Whether the peer watches for its region, not only for its failure domain.
     watches_region: bool,
 }
 
@@ -81,7 +81,11 @@
                 (false, false) => PEER_WAIT_MS,
             };
             let request = ChangesRequest { prefix: prefix.to_owned(), revision, wait_ms };
-            match self.peer_client.call(&source.control, CHANGES_PATH, &request, wait_ms + RESPONSE_SLACK_MS).await {
+            match self
+                .peer_client
+                .call(&source.control_address, CHANGES_PATH, &request, wait_ms + RESPONSE_SLACK_MS)
+                .await
+            {
                 Ok(ChangesResponse::Changes { changes, revision }) => {
                     return Ok(WatchBatch { changes: changes.into_iter().map(store_change).collect(), revision });
                 }
@@ -107,7 +111,7 @@
             sources.into_iter().filter(|(daemon, _)| backoff_until.get(*daemon).is_none_or(|until| *until <= now));
         let watch_source = |(daemon, presence): (&SharedName, &pimentoslip_kernel::DaemonPresence)| WatchSource {
             daemon: daemon.clone(),
-            control: presence.control.clone(),
+            control_address: presence.control.clone(),
             watches_region: Some(daemon) == region_watcher.as_ref(),
         };
         available.map(watch_source).collect()
@@ -124,13 +128,13 @@
 /// The wire message for a change of a store entry.
 pub fn change_message(change: &StoreChange) -> ChangeBody {
     match change {
-        StoreChange::Written(item) => ChangeBody {
-            key: item.key.clone(),
-            revision: item.revision,
+        StoreChange::Written(store_entry) => ChangeBody {
+            key: store_entry.key.clone(),
+            revision: store_entry.revision,
             written: Some(EntryBody {
-                value: item.value.to_vec(),
-                created_revision: item.created_revision,
-                lease: item.lease,
+                value: store_entry.value.to_vec(),
+                created_revision: store_entry.created_revision,
+                lease: store_entry.lease,
             }),
         },
         StoreChange::Removed { key, revision } => ChangeBody { key: key.clone(), revision: *revision, written: None },
--- a/crates/edge/src/store/coordination_keys.rs
+++ b/crates/edge/src/store/coordination_keys.rs
@@ -27,10 +27,10 @@
     }
 
     /// Applies an entry that is in the snapshot or was written after it.
-    fn entry_written(&mut self, item: &StoreEntry, now: TimePoint) {
-        self.stored_keys.insert(item.key.clone());
-        if let Some(job) = KeyLayout::parse_job_key(&item.key) {
-            match decode::<JobEntry>(&item.value) {
+    fn entry_written(&mut self, store_entry: &StoreEntry, now: TimePoint) {
+        self.stored_keys.insert(store_entry.key.clone());
+        if let Some(job) = KeyLayout::parse_job_key(&store_entry.key) {
+            match decode::<JobEntry>(&store_entry.value) {
                 Ok(entry) => {
                     self.state.jobs().job_accepted(job.into(), entry);
                     let ended = self.state.jobs().is_ended(job);
@@ -40,35 +40,38 @@
                         ownership.job_closed(job);
                     }
                 }
-                Err(error) => log_unreadable(item, &error),
+                Err(error) => log_unreadable(store_entry, &error),
             }
-        } else if let Some(job) = KeyLayout::parse_end_key(&item.key) {
+        } else if let Some(job) = KeyLayout::parse_end_key(&store_entry.key) {
             self.state.jobs().job_ended(job);
             self.state.ownership().job_closed(job);
-        } else if let Some(daemon) = KeyLayout::parse_presence_key(&item.key) {
-            match decode::<PresenceEntry>(&item.value) {
+        } else if let Some(daemon) = KeyLayout::parse_presence_key(&store_entry.key) {
+            match decode::<PresenceEntry>(&store_entry.value) {
                 Ok(entry) => {
                     let PresenceEntry { incarnation, lease, control_address: control, failure_domain, region } = entry;
                     let presence = DaemonPresence { incarnation, lease, control, failure_domain, region };
                     self.state.ownership().daemon_joined(daemon.into(), presence);
                 }
-                Err(error) => log_unreadable(item, &error),
+                Err(error) => log_unreadable(store_entry, &error),
             }
         } else {
-            match decode::<DaemonEntry>(&item.value) {
-                Ok(entry) => self.owner_written(item, entry, now),
-                Err(error) => log_unreadable(item, &error),
+            match decode::<DaemonEntry>(&store_entry.value) {
+                Ok(entry) => self.owner_written(store_entry, entry, now),
+                Err(error) => log_unreadable(store_entry, &error),
             }
         }
     }
 
     /// Applies an entry whose value is the daemon that owns a job or holds the duty.
-    fn owner_written(&self, item: &StoreEntry, entry: DaemonEntry, now: TimePoint) {
-        if let Some(job) = KeyLayout::parse_owner_key(&item.key) {
-            self.state.ownership().owner_recorded(job.into(), entry.into_owner(item.revision), now);
-        } else if item.key == KeyLayout::DUTY_HOLDER_KEY {
-            LogLine::new("duty_holder").field("holder", &entry.daemon).field("fencing_token", item.revision).info();
-            self.state.lease_view().duty_observed(item.revision, entry);
+    fn owner_written(&self, store_entry: &StoreEntry, entry: DaemonEntry, now: TimePoint) {
+        if let Some(job) = KeyLayout::parse_owner_key(&store_entry.key) {
+            self.state.ownership().owner_recorded(job.into(), entry.into_owner(store_entry.revision), now);
+        } else if store_entry.key == KeyLayout::DUTY_HOLDER_KEY {
+            LogLine::new("duty_holder")
+                .field("holder", &entry.daemon)
+                .field("fencing_token", store_entry.revision)
+                .info();
+            self.state.lease_view().duty_observed(store_entry.revision, entry);
         }
     }
 
@@ -93,8 +96,8 @@
 }
 
 /// Logs an entry whose value cannot be decoded; it is otherwise ignored.
-fn log_unreadable(item: &StoreEntry, error: &impl std::fmt::Display) {
-    LogLine::new("entry_unreadable").field("key", &item.key).field("reason", error).warn();
+fn log_unreadable(store_entry: &StoreEntry, error: &impl std::fmt::Display) {
+    LogLine::new("entry_unreadable").field("key", &store_entry.key).field("reason", error).warn();
 }
 
 impl PrefixHandler for CoordinationKeys {
@@ -102,21 +105,21 @@
     const BATCH_DELAY_MS: u64 = 300;
 
     fn apply_snapshot(&mut self, page: RangePage, now: TimePoint) {
-        let listed_keys: BTreeSet<String> = page.entries.iter().map(|item| item.key.clone()).collect();
+        let listed_keys: BTreeSet<String> = page.entries.iter().map(|store_entry| store_entry.key.clone()).collect();
         for key in std::mem::take(&mut self.stored_keys) {
             if !listed_keys.contains(&key) {
                 self.entry_removed(&key, page.revision, now);
             }
         }
-        for item in &page.entries {
-            self.entry_written(item, now);
+        for store_entry in &page.entries {
+            self.entry_written(store_entry, now);
         }
         self.state.job_changed.notify_waiters();
     }
 
     fn apply_change(&mut self, change: StoreChange, now: TimePoint) {
         match change {
-            StoreChange::Written(item) => self.entry_written(&item, now),
+            StoreChange::Written(store_entry) => self.entry_written(&store_entry, now),
             StoreChange::Removed { key, revision } => self.entry_removed(&key, revision, now),
         }
         self.state.job_changed.notify_waiters();
--- a/crates/edge/src/store/operator_keys.rs
+++ b/crates/edge/src/store/operator_keys.rs
@@ -25,39 +25,39 @@
     }
 
     /// Applies an entry that is in the snapshot or was written after it.
-    fn entry_written(&self, item: &StoreEntry) {
-        if item.key == CONFIG_KEY {
-            self.config_written(item);
-        } else if versioned_model(&item.key).is_some() {
-            self.version_written(item);
-        } else if let Some(vm) = retired_vm(&item.key) {
-            LogLine::new("vm_retired").field("vm", vm).field("revision", item.revision).info();
+    fn entry_written(&self, store_entry: &StoreEntry) {
+        if store_entry.key == CONFIG_KEY {
+            self.config_written(store_entry);
+        } else if versioned_model(&store_entry.key).is_some() {
+            self.version_written(store_entry);
+        } else if let Some(vm) = retired_vm(&store_entry.key) {
+            LogLine::new("vm_retired").field("vm", vm).field("revision", store_entry.revision).info();
             self.state.retired_vms().push(vm.into());
         }
     }
 
     /// Applies a configuration if it is newer than the applied one. One that cannot be decoded is ignored.
-    fn config_written(&self, item: &StoreEntry) {
-        match decode_config(&item.value) {
+    fn config_written(&self, store_entry: &StoreEntry) {
+        match decode_config(&store_entry.value) {
             Ok(config) => {
                 let version = config.version;
                 let applied = self.state.apply_config(config);
                 LogLine::new("config")
                     .field("version", version)
-                    .field("revision", item.revision)
+                    .field("revision", store_entry.revision)
                     .field("applied", applied)
                     .info();
                 self.state.job_changed.notify_waiters();
             }
             Err(error) => {
-                LogLine::new("config_unreadable").field("revision", item.revision).field("reason", error).warn();
+                LogLine::new("config_unreadable").field("revision", store_entry.revision).field("reason", error).warn();
             }
         }
     }
 
     /// Records the newest weight version of a model; older versions are ignored.
-    fn version_written(&self, item: &StoreEntry) {
-        match decode_named_version(&item.value) {
+    fn version_written(&self, store_entry: &StoreEntry) {
+        match decode_named_version(&store_entry.value) {
             Ok((model, version)) => {
                 let mut newest_versions = self.state.newest_versions();
                 let newest = newest_versions.entry(model.clone()).or_default();
@@ -65,7 +65,7 @@
                 LogLine::new("version_named").field("model", model).field("version", version).info();
             }
             Err(error) => {
-                LogLine::new("version_unreadable").field("key", &item.key).field("reason", error).warn();
+                LogLine::new("version_unreadable").field("key", &store_entry.key).field("reason", error).warn();
             }
         }
     }
@@ -76,14 +76,14 @@
     const BATCH_DELAY_MS: u64 = 0;
 
     fn apply_snapshot(&mut self, page: RangePage, _now: TimePoint) {
-        for item in &page.entries {
-            self.entry_written(item);
+        for store_entry in &page.entries {
+            self.entry_written(store_entry);
         }
     }
 
     fn apply_change(&mut self, change: StoreChange, _now: TimePoint) {
         match change {
-            StoreChange::Written(item) => self.entry_written(&item),
+            StoreChange::Written(store_entry) => self.entry_written(&store_entry),
             StoreChange::Removed { key, .. } => {
                 if let Some(vm) = retired_vm(&key) {
                     self.state.retired_vms().retain(|retired| **retired != *vm);
--- a/crates/edge/src/store/store_access.rs
+++ b/crates/edge/src/store/store_access.rs
@@ -65,11 +65,12 @@
 
     /// A client whose calls are relayed through `peer`; `None` if the peer has no usable control address.
     fn relay_client(&self, peer: &SharedName) -> Option<StoreClient> {
-        let control = self.state.ownership().daemon(peer)?.control.clone();
-        let address = control.parse::<SocketAddr>().ok()?;
+        let control_address = self.state.ownership().daemon(peer)?.control.clone();
+        let address = control_address.parse::<SocketAddr>().ok()?;
         let mut relay_clients = self.relay_clients.borrow_mut();
-        let client =
-            relay_clients.entry(control).or_insert_with(|| self.direct_client.relayed_through(address, RELAY_PATH));
+        let client = relay_clients
+            .entry(control_address)
+            .or_insert_with(|| self.direct_client.relayed_through(address, RELAY_PATH));
         Some(client.clone())
     }
 
--- a/crates/edge/src/store/upstream_keys.rs
+++ b/crates/edge/src/store/upstream_keys.rs
@@ -27,10 +27,10 @@
     }
 
     /// Applies the entry of an upstream that is in the snapshot or was written after it.
-    fn entry_written(&mut self, item: &StoreEntry) {
-        let Some(id) = upstream_id(&item.key) else { return };
+    fn entry_written(&mut self, store_entry: &StoreEntry) {
+        let Some(id) = upstream_id(&store_entry.key) else { return };
         self.missing.remove(id);
-        match decode_upstream_record(id, &item.value) {
+        match decode_upstream_record(id, &store_entry.value) {
             Ok(record) => {
                 let mut upstreams = self.state.upstreams();
                 let previous = upstreams.get(id);
@@ -42,7 +42,7 @@
                         .field("address", &record.address)
                         .field("failure_domain", &record.failure_domain)
                         .field("state", format!("{:?}", record.state).to_lowercase())
-                        .field("revision", item.revision)
+                        .field("revision", store_entry.revision)
                         .info();
                 }
                 upstreams.upsert(record);
@@ -82,10 +82,10 @@
     const BATCH_DELAY_MS: u64 = 0;
 
     fn apply_snapshot(&mut self, page: RangePage, now: TimePoint) {
-        for item in &page.entries {
-            self.entry_written(item);
+        for store_entry in &page.entries {
+            self.entry_written(store_entry);
         }
-        let is_listed = |id: &str| page.entries.iter().any(|item| upstream_id(&item.key) == Some(id));
+        let is_listed = |id: &str| page.entries.iter().any(|store_entry| upstream_id(&store_entry.key) == Some(id));
         let delisted: Vec<SharedName> =
             self.state.upstreams().records().map(|record| record.id.clone()).filter(|id| !is_listed(id)).collect();
         for id in delisted {
@@ -96,7 +96,7 @@
 
     fn apply_change(&mut self, change: StoreChange, now: TimePoint) {
         match change {
-            StoreChange::Written(item) => self.entry_written(&item),
+            StoreChange::Written(store_entry) => self.entry_written(&store_entry),
             StoreChange::Removed { key, .. } => {
                 if let Some(id) = upstream_id(&key) {
                     self.entry_removed(id, now);
