--- a/crates/edge/src/duty/load_duty.rs
+++ b/crates/edge/src/duty/load_duty.rs
@@ -38,7 +38,7 @@
 }
 
 impl LoadDuty {
-    /// Creates the duty, which sends orders while `term` allows it.
+    /// Creates the load duty, which sends orders while `term` allows it.
     #[must_use]
     pub fn new(state: Arc<EdgeState>, upstream_client: Client, term: SharedTerm) -> Self {
         Self { state, upstream_client, term, planner: Rc::default() }
--- a/crates/edge/src/duty/retire_duty.rs
+++ b/crates/edge/src/duty/retire_duty.rs
@@ -7,7 +7,7 @@
 use pimentoslip_telemetry::LogLine;
 use std::sync::Arc;
 
-/// Writes the status of each VM to be retired: nothing is left on it.
+/// Writes to the store, for each VM to be retired, that nothing is left on it.
 pub struct RetireDuty {
     state: Arc<EdgeState>,
     store: StoreAccess,
@@ -16,7 +16,7 @@
 }
 
 impl RetireDuty {
-    /// Creates the duty, which writes to `store`.
+    /// Creates the retire duty, which writes to `store`.
     #[must_use]
     pub fn new(state: Arc<EdgeState>, store: StoreAccess) -> Self {
         Self { state, store, confirmed: Vec::new() }
--- a/crates/edge/src/duty/size_duty.rs
+++ b/crates/edge/src/duty/size_duty.rs
@@ -36,7 +36,7 @@
 }
 
 impl SizeDuty {
-    /// Creates the duty, which sends orders while `term` allows it.
+    /// Creates the size duty, which sends orders while `term` allows it.
     #[must_use]
     pub fn new(state: Arc<EdgeState>, store: StoreAccess, term: SharedTerm) -> Self {
         let provider = state.settings.provider_address.map(DutyClient::new);
--- a/crates/edge/src/duty/usage_count_task.rs
+++ b/crates/edge/src/duty/usage_count_task.rs
@@ -34,8 +34,8 @@
     }
 }
 
-/// Stores one batch of counts through the collector, or directly if that fails. The tally returns a batch that is not
-/// confirmed as stored again at the next check.
+/// Stores one batch of counts through the collector, or directly if that fails. A batch that is not confirmed as
+/// stored stays in the tally, which returns it again at the next check.
 async fn store_batch(state: &EdgeState, store: &StoreAccess, peer_client: &PeerClient, batch: UsageBatch) {
     let UsageBatch { number, window, counts } = batch;
     let entry = UsageBatchEntry { daemon: state.settings.vm.clone(), incarnation: state.incarnation, number, counts };
--- a/crates/edge/src/duty/usage_duty.rs
+++ b/crates/edge/src/duty/usage_duty.rs
@@ -17,8 +17,8 @@
 
 /// A window is sealed this long after its end; by then, all daemons have stored their counts.
 const SEAL_DELAY_MS: u64 = 5_000;
-/// Number of past windows that a new holder checks: it reports those that are sealed again, and seals those after the
-/// last sealed one.
+/// Number of past windows that a new holder checks: it reports the sealed ones once more, and seals those after
+/// the last sealed one.
 const LOOK_BACK_WINDOWS: u64 = 6;
 /// Number of sealed windows that are kept in the store, so that a report can be checked for some minutes.
 const SEALED_WINDOWS_KEPT: u64 = 64;
@@ -41,7 +41,7 @@
 }
 
 impl UsageDuty {
-    /// Creates the duty, which reports while `term` allows it.
+    /// Creates the usage duty, which reports while `term` allows it.
     #[must_use]
     pub fn new(state: Arc<EdgeState>, store: StoreAccess, term: SharedTerm) -> Self {
         let provider = state.settings.provider_address.map(DutyClient::new);
--- a/crates/edge/src/edge_metrics.rs
+++ b/crates/edge/src/edge_metrics.rs
@@ -57,7 +57,7 @@
     /// Time from the arrival of a request to its response, in seconds.
     pub request_latency: Histogram,
     /// Age of a batch job when this daemon stops running it, in seconds: usually when its last result is stored, but
-    /// also when the job was ended by its submitter or is handed over.
+    /// also when its submitter ends it or another daemon continues it.
     pub batch_duration: Histogram,
     /// Version of the applied configuration.
     pub config_version: Gauge,
--- a/crates/edge/src/job/job_runner.rs
+++ b/crates/edge/src/job/job_runner.rs
@@ -95,7 +95,7 @@
     }
 }
 
-/// Adds the inputs that the pending job does not contain from the store; all of them if there is no pending job.
+/// Reads the inputs that are not part of the pending job from the store; all of them if there is no pending job.
 async fn read_inputs(
     state: &EdgeState,
     store: &StoreAccess,
--- a/crates/edge/src/job/result_cache.rs
+++ b/crates/edge/src/job/result_cache.rs
@@ -49,8 +49,7 @@
     pub fn append(&mut self, job: &str, first: usize, results: &[ResultEntry]) {
         let Some(cached) = self.jobs.get_mut(job) else { return };
         if cached.results.len() != first {
-            // The results must have no gap. Once the job is removed, its results are read from the store, which has
-            // all.
+            // The results must have no gap. Those of a removed job are read from the store, which has all of them.
             self.remove(job);
             return;
         }
--- a/crates/edge/src/steady_time.rs
+++ b/crates/edge/src/steady_time.rs
@@ -4,8 +4,8 @@
 use pimentoslip_kernel::WallClockOffset;
 use std::sync::{Mutex, PoisonError};
 
-/// Wall-clock time derived from the monotonic clock and an offset. Drift is applied at once; a jump of
-/// the VM's clock changes the offset only once it has lasted for the time that [`WallClockOffset`] requires.
+/// Wall-clock time derived from the monotonic clock and an offset. Drift is applied at once; a jump of the
+/// VM's clock changes the offset only once it has lasted for the time that [`WallClockOffset`] requires.
 #[derive(Debug)]
 pub struct SteadyTime {
     offset: Mutex<WallClockOffset>,
