--- a/crates/edge/src/duty/duty_task.rs
+++ b/crates/edge/src/duty/duty_task.rs
@@ -1,4 +1,4 @@
-//! Acquires the duty when no daemon holds it, and does its work while this daemon is the holder.
+//! Acquires the duty when no daemon holds it, and performs its work while this daemon is the holder.
 
 use super::{load_duty::LoadDuty, retire_duty::RetireDuty, size_duty::SizeDuty, usage_duty::UsageDuty};
 use crate::{edge_metrics::EdgeMetrics, edge_state::EdgeState, store::StoreAccess};
@@ -25,32 +25,32 @@
 /// duty.
 pub type SharedTerm = Rc<RefCell<Option<DutyTerm>>>;
 
-/// Acquires the duty and does its work until the daemon drains.
-pub async fn hold_duty(state: Arc<EdgeState>, upstreams: Client, store: StoreAccess) {
+/// Acquires the duty and performs its work until the daemon drains.
+pub async fn hold_duty(state: Arc<EdgeState>, upstream_client: Client, store: StoreAccess) {
     let term: SharedTerm = Rc::default();
-    let mut loads = LoadDuty::new(state.clone(), upstreams, term.clone());
-    let mut usage = UsageDuty::new(state.clone(), store.clone(), term.clone());
-    let mut sizes = SizeDuty::new(state.clone(), store.clone(), term.clone());
-    let mut retire = RetireDuty::new(state.clone(), store.clone());
+    let mut load_duty = LoadDuty::new(state.clone(), upstream_client, term.clone());
+    let mut usage_duty = UsageDuty::new(state.clone(), store.clone(), term.clone());
+    let mut size_duty = SizeDuty::new(state.clone(), store.clone(), term.clone());
+    let mut retire_duty = RetireDuty::new(state.clone(), store.clone());
     let mut vacant_since: Option<TimePoint> = None;
     while !state.is_draining() {
         let _ = actix_rt::time::timeout(PASS_PERIOD, state.upstreams_changed.notified()).await;
         let now = state.now();
         if refresh_term(&state, &term) {
-            loads.tick();
-            sizes.tick().await;
-            usage.tick().await;
-            retire.tick().await;
+            load_duty.tick();
+            size_duty.tick().await;
+            usage_duty.tick().await;
+            retire_duty.tick().await;
             vacant_since = None;
             continue;
         }
-        let Some(replaces) = replaceable_revision(&state) else {
+        let Some(replaced_revision) = replaceable_revision(&state) else {
             vacant_since = None;
             continue;
         };
         let since = *vacant_since.get_or_insert(now);
-        if replaces > 0 || now >= since.plus_ms(acquire_delay_ms(&state)) {
-            acquire(&state, &store, &term, replaces).await;
+        if replaced_revision > 0 || now >= since.plus_ms(acquire_delay_ms(&state)) {
+            acquire_duty(&state, &store, &term, replaced_revision).await;
             vacant_since = None;
         }
     }
@@ -58,7 +58,7 @@
     EdgeMetrics::global().duty_held.set(0);
 }
 
-/// How long this daemon waits before it acquires a vacant duty, in milliseconds.
+/// Time in milliseconds for which the duty must be vacant before this daemon acquires it.
 fn acquire_delay_ms(state: &EdgeState) -> u64 {
     match &state.lease_view().last_holder {
         Some(last_holder) if *last_holder == state.settings.vm => 0,
@@ -69,14 +69,14 @@
 
 /// Updates the term from the current lease. Returns whether this process still holds the duty.
 fn refresh_term(state: &EdgeState, term: &SharedTerm) -> bool {
-    let standing = {
+    let status = {
         let view = state.lease_view();
-        let recorded = view.duty.as_ref().map(|(revision, _)| *revision);
-        LeaseStatus { lease: view.lease, expires_at: view.ends_at, duty_revision: recorded }
+        let observed_revision = view.duty.as_ref().map(|(revision, _)| *revision);
+        LeaseStatus { lease: view.lease, expires_at: view.ends_at, duty_revision: observed_revision }
     };
     let mut term = term.borrow_mut();
     let Some(current) = term.as_mut() else { return false };
-    if current.refresh(standing) {
+    if current.refresh(status) {
         return true;
     }
     LogLine::new("duty_lost").field("fencing_token", current.fencing_token).warn();
@@ -100,9 +100,9 @@
     }
 }
 
-/// Commits this process as the holder, under its lease and in place of the entry with the revision `replaces`, and
-/// starts a term.
-async fn acquire(state: &EdgeState, store: &StoreAccess, term: &SharedTerm, replaces: u64) {
+/// Commits this process as the holder, under its lease and in place of the entry with the revision `replaced_revision`
+/// (0 for none), and starts a term.
+async fn acquire_duty(state: &EdgeState, store: &StoreAccess, term: &SharedTerm, replaced_revision: u64) {
     let (lease, ends_at) = {
         let view = state.lease_view();
         (view.lease, view.ends_at)
@@ -127,19 +127,19 @@
             }
         };
     let commit = StoreCommit::default()
-        .expect(KeyLayout::DUTY_HOLDER_KEY, replaces)
+        .expect(KeyLayout::DUTY_HOLDER_KEY, replaced_revision)
         .put(KeyLayout::DUTY_HOLDER_KEY, entry, lease)
         .put(KeyLayout::DUTY_HISTORY_KEY, history_entry, 0);
     let revision = match store.commit(&commit).await {
         Ok(CommitOutcome::Committed(revision)) => revision,
-        Ok(CommitOutcome::Conflict(items)) => {
+        Ok(CommitOutcome::Conflict(store_entries)) => {
             // An earlier commit of this process may have succeeded without a response.
-            let is_own = |item: &&StoreEntry| {
-                item.lease == lease
-                    && decode::<DaemonEntry>(&item.value).is_ok_and(|entry| entry == state.daemon_entry())
+            let is_own = |store_entry: &&StoreEntry| {
+                store_entry.lease == lease
+                    && decode::<DaemonEntry>(&store_entry.value).is_ok_and(|entry| entry == state.daemon_entry())
             };
-            let Some(item) = items.iter().find(is_own) else { return };
-            item.revision
+            let Some(store_entry) = store_entries.iter().find(is_own) else { return };
+            store_entry.revision
         }
         Err(error) => {
             LogLine::new("duty_not_taken").field("reason", error).warn();
@@ -159,6 +159,6 @@
 
 /// Reads the previous holders of the duty from the store.
 async fn read_history(store: &StoreAccess) -> anyhow::Result<DutyHistory> {
-    let Some(item) = store.get(KeyLayout::DUTY_HISTORY_KEY).await? else { return Ok(DutyHistory::default()) };
-    Ok(decode::<DutyHistoryEntry>(&item.value)?.into())
+    let Some(store_entry) = store.get(KeyLayout::DUTY_HISTORY_KEY).await? else { return Ok(DutyHistory::default()) };
+    Ok(decode::<DutyHistoryEntry>(&store_entry.value)?.into())
 }
--- a/crates/edge/src/job/ledger_writer.rs
+++ b/crates/edge/src/job/ledger_writer.rs
@@ -10,12 +10,12 @@
     stored::{KeyLayout, ResultsEntry, TextCheckpointEntry},
 };
 
-/// Least time between two writes, so that one write stores several results.
+/// Shortest time between two writes, so that one write stores several results.
 const WRITE_PERIOD_MS: u64 = 400;
 /// Time after a write until a checkpoint is stored without any result; bounds the work that is lost when another daemon
-/// takes the job over.
+/// takes over the job.
 const CHECKPOINT_PERIOD_MS: u64 = 800;
-/// Largest results of one write; below the platform's limit on the size of a value.
+/// Largest total size of the results of one write; below the platform's limit on the size of a value.
 const CHUNK_BYTES_MAX: usize = 600_000;
 /// Size at which a checkpoint is closed, so that only its last text exceeds it; below the platform's limit on the size
 /// of a value.
@@ -130,7 +130,7 @@
             checkpoint.into_iter().for_each(|checkpoint| checkpoint_stored(job, checkpoint, revision));
             WriteOutcome::Continue
         }
-        Ok(CommitOutcome::Conflict(items)) => resolve_conflict(job, results, checkpoint, &items),
+        Ok(CommitOutcome::Conflict(store_entries)) => resolve_conflict(job, results, checkpoint, &store_entries),
         Err(error) => {
             LogLine::new("ledger_not_written")
                 .field("job", &job.id)
@@ -143,29 +143,31 @@
     }
 }
 
-/// Resolves a conflict by comparing the stored `items` with those to be written. An earlier write may have succeeded
-/// without a response; equal items count as stored. Or the ownership entry has changed; the job's next pass finds out
-/// whether this daemon is still the owner.
+/// Resolves a conflict by comparing `store_entries`, which the store holds, with the values to be written. An earlier
+/// write may have succeeded without a response; equal values count as stored. If the ownership entry has changed
+/// instead, the next pass over the job checks whether this daemon is still the owner.
 fn resolve_conflict(
     job: &OwnedJob,
     results: Option<&ResultsWrite>,
     checkpoint: Option<&CheckpointWrite>,
-    items: &[StoreEntry],
+    store_entries: &[StoreEntry],
 ) -> WriteOutcome {
-    let stored_item = |key: &str| items.iter().find(|item| item.key == key);
+    let stored_entry = |key: &str| store_entries.iter().find(|store_entry| store_entry.key == key);
     if let Some(checkpoint) = checkpoint
-        && let Some(item) = stored_item(&checkpoint.key)
+        && let Some(store_entry) = stored_entry(&checkpoint.key)
     {
-        if item.value == checkpoint.value {
-            checkpoint_stored(job, checkpoint, item.revision);
+        if store_entry.value == checkpoint.value {
+            checkpoint_stored(job, checkpoint, store_entry.revision);
         } else {
             LogLine::new("texts_conflict").field("job", &job.id).field("number", checkpoint.number).warn();
             job.ledger.borrow_mut().checkpoint_conflicted(checkpoint.number);
         }
     }
     let Some(results) = results else { return WriteOutcome::Continue };
-    match stored_item(&results.key) {
-        Some(item) if item.value == results.value => results_stored(job, &results.entry, item.revision),
+    match stored_entry(&results.key) {
+        Some(store_entry) if store_entry.value == results.value => {
+            results_stored(job, &results.entry, store_entry.revision)
+        }
         Some(_) => {
             LogLine::new("results_conflict").field("job", &job.id).field("first", results.entry.first_position).warn();
             return WriteOutcome::Superseded;
--- a/crates/edge/src/lease_task.rs
+++ b/crates/edge/src/lease_task.rs
@@ -10,7 +10,8 @@
 };
 use std::{sync::Arc, time::Duration};
 
-/// Time to live of the lease in milliseconds; other daemons take over a dead daemon's jobs after it.
+/// Time to live of the lease, unless the settings require a longer one; other daemons take over a dead daemon's jobs
+/// after it.
 pub const LEASE_TTL_MS: u64 = 3_000;
 /// Interval between renewals; the lease survives two lost ones.
 const RENEW_INTERVAL: Duration = Duration::from_millis(900);
@@ -70,11 +71,11 @@
             return RETRY_DELAY;
         }
     };
-    let control = state.settings.control_address.map(|address| address.to_string()).unwrap_or_default();
+    let control_address = state.settings.control_address.map(|address| address.to_string()).unwrap_or_default();
     let presence = PresenceEntry {
         incarnation: state.incarnation,
         lease,
-        control_address: control.into(),
+        control_address: control_address.into(),
         failure_domain: state.settings.failure_domain.clone(),
         region: state.settings.region.clone(),
     };
--- a/crates/edge/src/store/store_access.rs
+++ b/crates/edge/src/store/store_access.rs
@@ -65,27 +65,28 @@
 
     /// A client whose calls are relayed through `peer`; `None` if the peer has no usable control address.
     fn relay_client(&self, peer: &SharedName) -> Option<StoreClient> {
-        let control = self.state.ownership().daemon(peer)?.control.clone();
-        let address = control.parse::<SocketAddr>().ok()?;
+        let control_address = self.state.ownership().daemon(peer)?.control.clone();
+        let address = control_address.parse::<SocketAddr>().ok()?;
         let mut relay_clients = self.relay_clients.borrow_mut();
-        let client =
-            relay_clients.entry(control).or_insert_with(|| self.direct_client.relayed_through(address, RELAY_PATH));
+        let client = relay_clients
+            .entry(control_address)
+            .or_insert_with(|| self.direct_client.relayed_through(address, RELAY_PATH));
         Some(client.clone())
     }
 
-    /// Updates the choice of path with the result of a call, and logs when the direct path stops or starts working.
+    /// Records the result of a call for the selection of paths, and logs when the direct path stops or starts working.
     fn record_result<T>(&self, path: &ServicePath, started_at: TimePoint, result: &Result<T>) {
         let now = self.state.now();
-        let mut choice = self.state.path_selector();
+        let mut selector = self.state.path_selector();
         match result {
             Err(error @ (StoreError::NotApplied { .. } | StoreError::OutcomeUnknown { .. })) => {
-                if choice.call_failed(path, started_at, now) {
+                if selector.call_failed(path, started_at, now) {
                     LogLine::new("store_path_lost").field("path", path).field("reason", error).warn();
                 }
             }
             _ => {
-                if choice.call_succeeded(path, now) {
-                    drop(choice);
+                if selector.call_succeeded(path, now) {
+                    drop(selector);
                     self.state.store_reconnected(now);
                     LogLine::new("store_path_regained").field("path", path).info();
                 }
@@ -100,7 +101,7 @@
         repeatable: bool,
         call: impl AsyncFn(&StoreClient, &ServicePath) -> Result<T>,
     ) -> Result<T> {
-        let Some((path, client)) = self.next_path() else { return Err(backing_off()) };
+        let Some((path, client)) = self.next_path() else { return Err(backoff_error()) };
         let started_at = self.state.now();
         let result = call(&client, &path).await;
         self.record_result(&path, started_at, &result);
@@ -166,6 +167,6 @@
 }
 
 /// The error of a call that was not made because the store was unreachable a moment ago.
-fn backing_off() -> StoreError {
+fn backoff_error() -> StoreError {
     StoreError::NotApplied { problem: "backing off, as the store was unreachable a moment ago".to_owned() }
 }
