--- a/crates/daemon/src/admission_controller.rs
+++ b/crates/daemon/src/admission_controller.rs
@@ -19,7 +19,7 @@
 /// Fair queues of the requests that wait or run, one for each service.
 #[derive(Debug, Default)]
 pub struct AdmissionController {
-    services: Mutex<HashMap<SharedName, ServiceQueue>>,
+    queues: Mutex<HashMap<SharedName, ServiceQueue>>,
 }
 
 /// A request that is to be admitted.
@@ -42,8 +42,8 @@
 impl AdmissionController {
     /// Calls `act` with the queue of `service` while holding the lock.
     fn with_queue<R>(&self, service: &SharedName, act: impl FnOnce(&mut ServiceQueue) -> R) -> R {
-        let mut services = self.services.lock().unwrap_or_else(PoisonError::into_inner);
-        act(services.entry(service.clone()).or_default())
+        let mut queues = self.queues.lock().unwrap_or_else(PoisonError::into_inner);
+        act(queues.entry(service.clone()).or_default())
     }
 
     /// Admits waiting requests of `service` until `running_max` requests are running.
@@ -62,7 +62,7 @@
     /// future is dropped, the request leaves the queue.
     pub async fn wait_for_admission(shared: &Arc<SharedState>, request: AdmissionRequest) -> Option<AdmissionGuard> {
         let (sender, receiver) = oneshot::channel();
-        let ticket = shared.admission_gate.with_queue(&request.service, |service_queue| {
+        let ticket = shared.admission_controller.with_queue(&request.service, |service_queue| {
             let ticket = service_queue.queue.enqueue(
                 &request.organisation,
                 request.weight,
@@ -91,7 +91,7 @@
     /// Replaces the expected cost that was charged to the organisation by the actual number of `tokens`.
     pub fn record_actual_tokens(&self, tokens: u64) {
         let request = &self.request;
-        self.shared.admission_gate.with_queue(&request.service, |service_queue| {
+        self.shared.admission_controller.with_queue(&request.service, |service_queue| {
             service_queue.queue.adjust_cost(&request.organisation, request.weight, request.expected_tokens, tokens);
         });
     }
@@ -99,15 +99,15 @@
     /// Admits as many waiting requests as the service's upstreams have capacity for.
     fn admit_waiting(&self) {
         let running_max = self.shared.routes().capacity(&self.request.service, self.request.inflight_max);
-        self.shared.admission_gate.admit_waiting(&self.request.service, running_max);
+        self.shared.admission_controller.admit_waiting(&self.request.service, running_max);
     }
 }
 
 impl Drop for AdmissionGuard {
     fn drop(&mut self) {
-        self.shared.admission_gate.with_queue(&self.request.service, |service_queue| {
-            let waiting = service_queue.waiting.remove(&self.ticket).is_some();
-            if waiting {
+        self.shared.admission_controller.with_queue(&self.request.service, |service_queue| {
+            let is_waiting = service_queue.waiting.remove(&self.ticket).is_some();
+            if is_waiting {
                 service_queue.queue.cancel(self.ticket);
             } else {
                 service_queue.queue.release();
--- a/crates/daemon/src/claim/claim_actor.rs
+++ b/crates/daemon/src/claim/claim_actor.rs
@@ -44,7 +44,7 @@
     kv: K,
     /// States of the shards, by shard index.
     shards: Vec<ShardState>,
-    /// Response channels of the queued claims, by claim key and grant number.
+    /// Response channels of the queued claims, by claim key and grant ID.
     waiters: HashMap<(ClaimKey, u64), Vec<oneshot::Sender<ClaimResponse>>>,
     /// Whether a group commit is scheduled or running.
     flush_pending: bool,
@@ -157,7 +157,7 @@
             let stored_claims =
                 batch.iter().map(|(key, _, fingerprint)| StoredClaim { key: key.0.clone(), fingerprint: *fingerprint });
             batches.push((shard as u64, epoch, stored_claims.collect::<Vec<_>>()));
-            grants.extend(batch.into_iter().map(|(key, grant, _)| (shard, key, grant)));
+            grants.extend(batch.into_iter().map(|(key, grant_id, _)| (shard, key, grant_id)));
         }
         self.shared.metrics.claim_commits.inc();
         self.shared.metrics.claims.inc_by(grants.len() as u64);
@@ -171,9 +171,9 @@
             if let Err(error) = &outcome {
                 LogLine::new("claim_commit_failed").field("error", error).warn();
             }
-            for (shard, key, grant) in grants {
-                let response = actor.finish_commit(shard, &key, grant, outcome.as_ref().ok().copied());
-                actor.respond(key, grant, &response);
+            for (shard, key, grant_id) in grants {
+                let response = actor.finish_commit(shard, &key, grant_id, outcome.as_ref().ok().copied());
+                actor.respond(key, grant_id, &response);
             }
             if outcome.as_ref().is_ok_and(|owned| !owned) {
                 actor.drop_all_ownership();
@@ -187,24 +187,24 @@
 
     /// Applies the outcome of a group commit to one of its claims, and returns the response to the claim. `owned` is
     /// whether this daemon owned all shards of the commit; `None` if the outcome of the commit is unknown.
-    fn finish_commit(&mut self, shard: usize, key: &ClaimKey, grant: u64, owned: Option<bool>) -> ClaimResponse {
+    fn finish_commit(&mut self, shard: usize, key: &ClaimKey, grant_id: u64, owned: Option<bool>) -> ClaimResponse {
         let table = &mut self.shards[shard].table;
         match owned {
-            Some(true) if table.claim_committed(key, grant) => ClaimResponse::Granted,
+            Some(true) if table.claim_committed(key, grant_id) => ClaimResponse::Granted,
             Some(false) => {
-                table.commit_failed(key, grant);
+                table.commit_failed(key, grant_id);
                 ClaimResponse::NotOwner
             }
             Some(true) | None => {
-                table.commit_failed(key, grant);
+                table.commit_failed(key, grant_id);
                 ClaimResponse::Unavailable
             }
         }
     }
 
-    /// Sends `response` to all requesters that wait for the claim of `key` with the number `grant`.
-    fn respond(&mut self, key: ClaimKey, grant: u64, response: &ClaimResponse) {
-        for sender in self.waiters.remove(&(key, grant)).unwrap_or_default() {
+    /// Sends `response` to all requesters that wait for the claim of `key` with `grant_id`.
+    fn respond(&mut self, key: ClaimKey, grant_id: u64, response: &ClaimResponse) {
+        for sender in self.waiters.remove(&(key, grant_id)).unwrap_or_default() {
             let _ = sender.send(response.clone());
         }
     }
@@ -242,13 +242,13 @@
     type Result = MessageResult<SettleMessage>;
 
     fn handle(&mut self, message: SettleMessage, _context: &mut Context<Self>) -> Self::Result {
-        let SettleRequest { key, grant_id: grant, state } = message.0;
+        let SettleRequest { key, grant_id, state } = message.0;
         let table = &mut self.shards[shard_of(&key) as usize].table;
         let key = ClaimKey(key);
         match state {
-            SettleState::Ran(answer) => table.finish(&key, grant, answer),
-            SettleState::Lost => table.mark_unknown(&key, grant),
-            SettleState::NotRun => table.release(&key, grant),
+            SettleState::Ran(answer) => table.finish(&key, grant_id, answer),
+            SettleState::Lost => table.mark_unknown(&key, grant_id),
+            SettleState::NotRun => table.release(&key, grant_id),
         }
         MessageResult(())
     }
--- a/crates/daemon/src/claim/claim_client.rs
+++ b/crates/daemon/src/claim/claim_client.rs
@@ -29,7 +29,7 @@
     shared: Arc<SharedState>,
     /// Claim shards that this daemon owns.
     actor: Addr<ClaimActor<EtcdClient>>,
-    peers: PeerClient,
+    peer_client: PeerClient,
 }
 
 /// A granted claim, which allows its request to run once.
@@ -37,7 +37,7 @@
 pub struct ClaimGrant {
     key: SharedName,
     /// Unique number of the attempt that was granted the claim.
-    number: u64,
+    grant_id: u64,
 }
 
 /// Refusal of a call that was not run itself, while an earlier call with the same idempotency key may have run. The run
@@ -48,8 +48,8 @@
 
 impl ClaimClient {
     /// Creates a client; `actor` holds the shards that this daemon owns.
-    pub fn new(shared: Arc<SharedState>, actor: Addr<ClaimActor<EtcdClient>>, peers: PeerClient) -> Self {
-        Self { shared, actor, peers }
+    pub fn new(shared: Arc<SharedState>, actor: Addr<ClaimActor<EtcdClient>>, peer_client: PeerClient) -> Self {
+        Self { shared, actor, peer_client }
     }
 
     /// Claims `key` for the request with `fingerprint`, which will have ended in `within_ms` milliseconds. Returns a
@@ -63,7 +63,7 @@
         id: &RequestId,
     ) -> Result<std::result::Result<ClaimGrant, StoredResponse>> {
         let request = ClaimRequest { key: key.clone(), grant_id: self.shared.random_u64(), fingerprint, within_ms };
-        let grant = ClaimGrant { key, number: request.grant_id };
+        let grant = ClaimGrant { key, grant_id: request.grant_id };
         let refuse = |reason| Err(ApiError::not_run(reason, id));
         for _ in 0..CLAIM_ATTEMPTS {
             match self.request_claim(&request).await {
@@ -83,7 +83,7 @@
     /// Reports to the shard's owner how the request of `grant` ended. If that fails, the claim stays stored and later
     /// requests with its key are refused, because their outcome is unknown.
     pub async fn settle(&self, grant: &ClaimGrant, state: SettleState) {
-        let request = SettleRequest { key: grant.key.clone(), grant_id: grant.number, state };
+        let request = SettleRequest { key: grant.key.clone(), grant_id: grant.grant_id, state };
         for _ in 0..SETTLE_ATTEMPTS {
             if self.settle_once(&request).await {
                 return;
@@ -98,17 +98,17 @@
     fn owner(&self, key: &str) -> Option<(SharedName, Option<SharedName>)> {
         let members = self.shared.members();
         let name = shard_owner(shard_of(key), &members.active_names())?;
-        let control = members.get(&name).map(|member| member.control.clone());
-        Some((name, control))
+        let control_address = members.get(&name).map(|member| member.control.clone());
+        Some((name, control_address))
     }
 
     /// Requests the claim from the shard's owner once.
     async fn request_claim(&self, request: &ClaimRequest) -> ClaimResponse {
-        let Some((name, control)) = self.owner(&request.key) else { return ClaimResponse::Unavailable };
-        let Some(control) = control else {
+        let Some((name, control_address)) = self.owner(&request.key) else { return ClaimResponse::Unavailable };
+        let Some(control_address) = control_address else {
             return self.actor.send(ClaimMessage(request.clone())).await.unwrap_or(ClaimResponse::Unavailable);
         };
-        match self.peers.call(&control, "/peer/claim", request, CLAIM_TIMEOUT_MS).await {
+        match self.peer_client.call(&control_address, "/peer/claim", request, CLAIM_TIMEOUT_MS).await {
             Ok(response) => response,
             Err(error) => {
                 LogLine::new("claim_failed").field("owner", name).field("error", error).warn();
@@ -122,9 +122,11 @@
         match self.owner(&request.key) {
             None => false,
             Some((_, None)) => self.actor.send(SettleMessage(request.clone())).await.is_ok(),
-            Some((_, Some(control))) => {
-                self.peers.call::<_, ()>(&control, "/peer/settle", request, CLAIM_TIMEOUT_MS).await.is_ok()
-            }
+            Some((_, Some(control_address))) => self
+                .peer_client
+                .call::<_, ()>(&control_address, "/peer/settle", request, CLAIM_TIMEOUT_MS)
+                .await
+                .is_ok(),
         }
     }
 }
--- a/crates/daemon/src/claim/claim_store.rs
+++ b/crates/daemon/src/claim/claim_store.rs
@@ -102,7 +102,7 @@
     /// Stores batches of claims in one transaction. Each batch has its shard, the revision of this process's owner
     /// record and the claims. Returns false, and stores nothing, if another process owns one of the shards.
     pub async fn commit(&mut self, batches: &[(u64, u64, Vec<StoredClaim>)]) -> Result<bool> {
-        let lease = self.lease().await?;
+        let lease = self.get_or_grant_lease().await?;
         self.commit_count += 1;
         let mut txn = TxnRequest::default();
         for (shard, epoch, claims) in batches {
@@ -117,7 +117,7 @@
     }
 
     /// Lease for a new batch. A new one is granted once the current one has been used for [`LEASE_SPAN_MS`].
-    async fn lease(&mut self) -> Result<u64> {
+    async fn get_or_grant_lease(&mut self) -> Result<u64> {
         let now = self.shared.now();
         if let Some((lease, used_until)) = self.lease
             && now < used_until
--- a/crates/daemon/src/config_writer.rs
+++ b/crates/daemon/src/config_writer.rs
@@ -78,8 +78,8 @@
             let bytes = serde_json::to_vec(&value).map_err(|_| WriteError::Malformed(name.path()))?;
             let txn = TxnRequest::default().expect(&key, revision).put(&key, bytes, 0);
             match self.kv.commit(&txn).await {
-                Ok(answer) if answer.succeeded => {
-                    return Ok(Some(RecordEntry { name: name.clone(), revision: answer.header.revision, record }));
+                Ok(response) if response.succeeded => {
+                    return Ok(Some(RecordEntry { name: name.clone(), revision: response.header.revision, record }));
                 }
                 // Either a concurrent change was faster or the answer was lost. The next read shows which, by the
                 // change ID.
@@ -98,8 +98,8 @@
 
     /// Revision and content stored under `key`; revision 0 if there is none.
     async fn read_record(&self, key: &str) -> Result<(u64, Option<StoredRecord>)> {
-        let answer = self.kv.get(key).await?;
-        let Some(entry) = answer.kvs.first() else { return Ok((0, None)) };
+        let response = self.kv.get(key).await?;
+        let Some(entry) = response.kvs.first() else { return Ok((0, None)) };
         let stored = serde_json::from_slice(&entry.value).map_err(|_| WriteError::Malformed(key.to_owned()))?;
         Ok((entry.mod_revision, Some(stored)))
     }
--- a/crates/daemon/src/daemon_settings.rs
+++ b/crates/daemon/src/daemon_settings.rs
@@ -74,7 +74,7 @@
     default: Option<&'static str>,
 }
 
-const SPECS: &[SettingSpec] = &[
+const SETTING_SPECS: &[SettingSpec] = &[
     SettingSpec {
         flag: "name",
         help: "Name of this daemon, equal to the name of its VM on the VM list",
@@ -132,7 +132,7 @@
 /// Command line of the daemon.
 #[must_use]
 pub fn command() -> Command {
-    let args = SPECS.iter().map(|spec| {
+    let args = SETTING_SPECS.iter().map(|spec| {
         let arg =
             Arg::new(spec.flag).long(spec.flag).env(variable_name(spec.flag)).help(spec.help).hide_env_values(true);
         match spec.default {
@@ -185,7 +185,7 @@
         })
     }
 
-    fn endpoint(&mut self, flag: &'static str) -> SharedName {
+    fn address_text(&mut self, flag: &'static str) -> SharedName {
         self.address(flag).to_string().into()
     }
 
@@ -256,10 +256,10 @@
             site: reader.text("site"),
             listen_address: reader.address("listen"),
             control_listen_address: reader.address("control-listen"),
-            kv_address: reader.endpoint("kv"),
-            orders_address: reader.endpoint("orders"),
-            usage_address: reader.endpoint("usage"),
-            vm_list_address: reader.endpoint("vms"),
+            kv_address: reader.address_text("kv"),
+            orders_address: reader.address_text("orders"),
+            usage_address: reader.address_text("usage"),
+            vm_list_address: reader.address_text("vms"),
             cluster_secret: reader.secret("cluster-secret"),
             operator_key: reader.secret("operator-key"),
             route_policy: reader.route_policy("route-policy"),
--- a/crates/daemon/src/http/admin_api.rs
+++ b/crates/daemon/src/http/admin_api.rs
@@ -37,14 +37,14 @@
 /// daemons at once.
 pub async fn distribute_change(worker: &WorkerState, entries: Vec<RecordEntry>) -> HttpResponse {
     worker.shared.apply_records(entries.clone(), 0);
-    let changed = entries.len();
+    let changed_count = entries.len();
     let revision = entries.iter().map(|entry| entry.revision).max();
     let revision = revision.unwrap_or_else(|| worker.shared.config().newest_revision());
     let (confirmed, unconfirmed) = push_until_confirmed(worker, entries).await;
     let accepted = unconfirmed.is_empty();
     LogLine::new("change").field("revision", revision).field("accepted", accepted).info();
-    let answer = ChangeResponse { accepted, revision, changed_count: changed, confirmed, unconfirmed };
-    if accepted { HttpResponse::Ok().json(answer) } else { HttpResponse::Accepted().json(answer) }
+    let response = ChangeResponse { accepted, revision, changed_count, confirmed, unconfirmed };
+    if accepted { HttpResponse::Ok().json(response) } else { HttpResponse::Accepted().json(response) }
 }
 
 /// Sends records until every daemon has confirmed them or the time is up. Returns the names of the daemons that
@@ -52,7 +52,7 @@
 async fn push_until_confirmed(worker: &WorkerState, entries: Vec<RecordEntry>) -> (Vec<SharedName>, Vec<SharedName>) {
     let deadline = worker.shared.now().plus_ms(CONFIRM_TIMEOUT_MS);
     loop {
-        let (confirmed, unconfirmed) = push_records(&worker.shared, &worker.peers, entries.clone()).await;
+        let (confirmed, unconfirmed) = push_records(&worker.shared, &worker.peer_client, entries.clone()).await;
         if unconfirmed.is_empty() || worker.shared.now() >= deadline {
             return (confirmed, unconfirmed);
         }
@@ -137,16 +137,16 @@
 pub async fn status(worker: web::Data<WorkerState>) -> HttpResponse {
     let steps = worker.step_actor.send(ListStepsMessage).await.unwrap_or_default();
     let shared = &worker.shared;
-    let fresh = shared.is_config_fresh();
+    let keys_trusted = shared.is_config_fresh();
     let config = shared.config();
     let site = config.site();
-    let published =
+    let published_versions =
         config.service_names().into_iter().map(|name| (name.clone(), config.published_version(&name))).collect();
     let upstreams = upstream_statuses(&worker);
-    let answer = StatusResponse {
+    let response = StatusResponse {
         daemon: shared.settings.name.clone(),
         revision: config.newest_revision(),
-        keys_trusted: fresh,
+        keys_trusted,
         draining: shared.draining.load(Ordering::SeqCst),
         daemons: daemon_statuses(&worker),
         duties: duty_statuses(&worker),
@@ -154,11 +154,11 @@
         upstreams,
         steps,
         staleness_bound: site.map_or(0, |site| site.staleness_bound),
-        published,
+        published: published_versions,
         floor_cents_per_hour: site.map_or(0, |site| site.spend_floor_cents_per_hour),
         ceiling_cents_per_hour: site.map_or(0, |site| site.spend_ceiling_cents_per_hour),
     };
-    HttpResponse::Ok().json(answer)
+    HttpResponse::Ok().json(response)
 }
 
 /// Status of this daemon and the other members.
--- a/crates/daemon/src/http/caller_auth.rs
+++ b/crates/daemon/src/http/caller_auth.rs
@@ -51,11 +51,11 @@
     }
     let config = shared.config();
     let organisation = config.authenticate(&secret).ok_or_else(|| refuse(RefusalReason::KeyUnknown))?;
-    let settings = config.organisation(&organisation).ok_or_else(|| refuse(RefusalReason::KeyUnknown))?;
-    if !settings.services.iter().any(|granted| &**granted == service) {
+    let organisation_config = config.organisation(&organisation).ok_or_else(|| refuse(RefusalReason::KeyUnknown))?;
+    if !organisation_config.services.iter().any(|granted| &**granted == service) {
         return Err(refuse(RefusalReason::ServiceForbidden));
     }
-    Ok(CallerIdentity { weight: settings.weight, key_id: secret.id.clone(), organisation })
+    Ok(CallerIdentity { weight: organisation_config.weight, key_id: secret.id.clone(), organisation })
 }
 
 /// Key in the `Authorization` header, or the reason why the request is refused.
@@ -82,7 +82,7 @@
     let is_misplaced = [uri.as_bytes(), &decoded, body, &unescaped]
         .into_iter()
         .flat_map(KeySecret::find_ids)
-        .any(|key| config.has_key(&key));
+        .any(|key_id| config.has_key(&key_id));
     if is_misplaced {
         return Err(ApiError::not_run(RefusalReason::KeyMisplaced, id));
     }
@@ -120,9 +120,10 @@
     let mut values = headers.get_all(IDEMPOTENCY_KEY_HEADER);
     let Some(value) = values.next() else { return Ok(None) };
     let text = value.to_str().unwrap_or("");
-    let valid =
-        !text.is_empty() && text.len() <= IDEMPOTENCY_KEY_CHARS_MAX && text.chars().all(|c| c.is_ascii_graphic());
-    if !valid || values.next().is_some() || !KeySecret::find_ids(text.as_bytes()).is_empty() {
+    let is_valid = !text.is_empty()
+        && text.len() <= IDEMPOTENCY_KEY_CHARS_MAX
+        && text.chars().all(|character| character.is_ascii_graphic());
+    if !is_valid || values.next().is_some() || !KeySecret::find_ids(text.as_bytes()).is_empty() {
         return Err(ApiError::not_run(RefusalReason::IdempotencyKeyInvalid, id));
     }
     Ok(Some(text.into()))
--- a/crates/daemon/src/http/engine_api.rs
+++ b/crates/daemon/src/http/engine_api.rs
@@ -26,23 +26,23 @@
 /// Priority of callers' requests, which engines run before the samples of trainers.
 const CALLER_PRIORITY: u32 = 50;
 /// Number of generated tokens assumed for a request without `max_tokens`.
-const EXPECTED_TOKENS: u32 = 256;
+const DEFAULT_EXPECTED_TOKENS: u32 = 256;
 /// Length of the prompt prefix by which upstreams with the same prefix cached are preferred.
-const PREFIX_BYTES: usize = 256;
+const PROMPT_PREFIX_BYTES: usize = 256;
 /// Maximum size of an answer that is not streamed.
-const ANSWER_BYTES_MAX: usize = 16 << 20;
+const RESPONSE_BYTES_MAX: usize = 16 << 20;
 const EVENT_STREAM: &str = "text/event-stream";
 
 /// Handles `POST /v1/chat/completions` and `/v1/completions`.
-pub async fn complete(
+pub async fn create_completion(
     worker: web::Data<WorkerState>,
     request: HttpRequest,
     payload: web::Payload,
 ) -> Result<HttpResponse> {
     let id = worker.shared.next_request_id();
     let started_at = worker.shared.now();
-    let inflight = worker.shared.inflight_guard();
-    let outcome = run_completion(&worker, &request, payload, &id, inflight).await;
+    let inflight_guard = worker.shared.inflight_guard();
+    let outcome = run_completion(&worker, &request, payload, &id, inflight_guard).await;
     worker.record_outcome(&id, started_at, outcome)
 }
 
@@ -51,39 +51,45 @@
     request: &HttpRequest,
     payload: web::Payload,
     id: &RequestId,
-    inflight: InflightGuard,
+    inflight_guard: InflightGuard,
 ) -> Result<HttpResponse> {
     let shared = &worker.shared;
-    worker.check_draining(id)?;
+    worker.check_accepts_requests(id)?;
     let body = read_body(shared, payload, id).await?;
     let completion: CompletionRequest =
         serde_json::from_slice(&body).map_err(|_| ApiError::not_run(RefusalReason::BodyMalformed, id))?;
     let service = engine_service(worker, &completion, id)?;
     let caller = authenticate(shared, request, &completion.model, id)?;
     check_misplaced_key(shared, request.path(), &body, id)?;
-    let upstream = upstream_request(worker, request, &completion, &caller, &service, body, id)?;
-    let admission = admit(worker, &upstream, &caller, &service, &completion, id).await?;
-    let dispatched = dispatch(shared, &worker.upstream_client, &upstream).await?;
-    if dispatched
+    let upstream_request = upstream_request(worker, request, &completion, &caller, &service, body, id)?;
+    let admission_guard = admit(worker, &upstream_request, &caller, &service, &completion, id).await?;
+    let upstream_response = dispatch(shared, &worker.upstream_client, &upstream_request).await?;
+    if upstream_response
         .response
         .headers()
         .get(CONTENT_TYPE)
         .is_some_and(|value| value.as_bytes().starts_with(EVENT_STREAM.as_bytes()))
     {
-        let owner = StreamContext {
+        let context = StreamContext {
             shared: shared.clone(),
             organisation: caller.organisation,
             key_id: caller.key_id,
             service: completion.model,
             id: id.clone(),
         };
-        let body = StreamBody::new(owner, dispatched.response, dispatched.guard, admission, inflight);
+        let body = StreamBody::new(
+            context,
+            upstream_response.response,
+            upstream_response.guard,
+            admission_guard,
+            inflight_guard,
+        );
         return Ok(HttpResponse::Ok()
             .insert_header((REQUEST_ID_HEADER, &**id))
             .content_type(EVENT_STREAM)
             .streaming(body));
     }
-    buffered_answer(worker, dispatched, &upstream, &admission, id).await
+    buffered_response(worker, upstream_response, &upstream_request, &admission_guard, id).await
 }
 
 /// Settings of the requested engine service.
@@ -109,7 +115,7 @@
     idempotency_key(request.headers(), id)?;
     let prompt =
         completion.prompt.as_deref().or_else(|| Some(completion.messages.first()?.content.as_str())).unwrap_or("");
-    let prompt_prefix = &prompt.as_bytes()[..prompt.len().min(PREFIX_BYTES)];
+    let prompt_prefix = &prompt.as_bytes()[..prompt.len().min(PROMPT_PREFIX_BYTES)];
     Ok(UpstreamRequest {
         id: id.clone(),
         organisation: caller.organisation.clone(),
@@ -131,29 +137,29 @@
 /// Waits until the request is admitted. Fails if its queue is full, its deadline passes, or no upstream is available.
 async fn admit(
     worker: &WorkerState,
-    upstream: &UpstreamRequest,
+    upstream_request: &UpstreamRequest,
     caller: &CallerIdentity,
     service: &ServiceConfig,
     completion: &CompletionRequest,
     id: &RequestId,
 ) -> Result<AdmissionGuard> {
     let shared = &worker.shared;
-    if shared.routes().capacity(&upstream.service, 1) == 0 {
+    if shared.routes().capacity(&upstream_request.service, 1) == 0 {
         return Err(ApiError::not_run(RefusalReason::NoUpstream, id));
     }
     // Under the first-come, first-served policy all requests wait in a single queue without a limit.
     let is_fair = shared.settings.admission_policy == AdmissionPolicy::Fair;
-    let admission = AdmissionRequest {
+    let admission_request = AdmissionRequest {
         organisation: if is_fair { caller.organisation.clone() } else { "".into() },
         weight: caller.weight,
-        service: upstream.service.clone(),
-        expected_tokens: u64::from(completion.max_tokens.unwrap_or(EXPECTED_TOKENS)),
+        service: upstream_request.service.clone(),
+        expected_tokens: u64::from(completion.max_tokens.unwrap_or(DEFAULT_EXPECTED_TOKENS)),
         depth_max: if is_fair { service.queue_depth } else { usize::MAX },
         inflight_max: service.inflight_per_upstream,
     };
-    let left_ms = upstream.deadline.since_ms(shared.now());
-    let admitted = AdmissionController::wait_for_admission(shared, admission);
-    match actix_rt::time::timeout(std::time::Duration::from_millis(left_ms), admitted).await {
+    let remaining_ms = upstream_request.deadline.since_ms(shared.now());
+    let admission = AdmissionController::wait_for_admission(shared, admission_request);
+    match actix_rt::time::timeout(std::time::Duration::from_millis(remaining_ms), admission).await {
         Ok(Some(guard)) => Ok(guard),
         Ok(None) => Err(ApiError::not_run(RefusalReason::QueueFull, id)),
         Err(_) => Err(ApiError::not_run(RefusalReason::DeadlinePassed, id)),
@@ -161,32 +167,33 @@
 }
 
 /// Reads the complete answer, counts its usage and returns it to the caller.
-async fn buffered_answer<S>(
+async fn buffered_response<S>(
     worker: &WorkerState,
-    mut dispatched: UpstreamResponse<S>,
-    upstream: &UpstreamRequest,
-    admission: &AdmissionGuard,
+    mut upstream_response: UpstreamResponse<S>,
+    upstream_request: &UpstreamRequest,
+    admission_guard: &AdmissionGuard,
     id: &RequestId,
 ) -> Result<HttpResponse>
 where
     S: Stream<Item = std::result::Result<Bytes, awc::error::PayloadError>> + Unpin,
 {
     #[derive(serde::Deserialize)]
-    struct CompletionAnswer {
+    struct CompletionResponse {
         #[serde(default)]
         usage: TokenUsage,
     }
-    let Ok(body) = dispatched.response.body().limit(ANSWER_BYTES_MAX).await else {
-        dispatched.guard.connection_lost().await;
+    let Ok(body) = upstream_response.response.body().limit(RESPONSE_BYTES_MAX).await else {
+        upstream_response.guard.connection_lost().await;
         return Err(ApiError { reason: RefusalReason::UpstreamLost, run_state: RunState::Ran, request_id: id.clone() });
     };
-    dispatched.guard.request_completed();
-    let tokens = serde_json::from_slice::<CompletionAnswer>(&body).map_or(0, |answer| answer.usage.completion_tokens);
-    admission.record_actual_tokens(tokens);
-    worker.shared.record_usage(&upstream.organisation, &upstream.service, tokens);
-    let mut answer = HttpResponse::build(dispatched.response.status());
-    if let Some(content_type) = dispatched.response.headers().get(CONTENT_TYPE) {
-        answer.insert_header((CONTENT_TYPE, content_type.clone()));
+    upstream_response.guard.request_completed();
+    let tokens =
+        serde_json::from_slice::<CompletionResponse>(&body).map_or(0, |completion| completion.usage.completion_tokens);
+    admission_guard.record_actual_tokens(tokens);
+    worker.shared.record_usage(&upstream_request.organisation, &upstream_request.service, tokens);
+    let mut response = HttpResponse::build(upstream_response.response.status());
+    if let Some(content_type) = upstream_response.response.headers().get(CONTENT_TYPE) {
+        response.insert_header((CONTENT_TYPE, content_type.clone()));
     }
-    Ok(answer.insert_header((REQUEST_ID_HEADER, &**id)).body(body))
+    Ok(response.insert_header((REQUEST_ID_HEADER, &**id)).body(body))
 }
--- a/crates/daemon/src/http/key_api.rs
+++ b/crates/daemon/src/http/key_api.rs
@@ -19,17 +19,17 @@
             "the hash is missing or malformed; send the SHA-256 of the key".to_owned(),
         ));
     };
-    let organisation = RecordName::Organisation(request.organisation.clone());
-    match ConfigWriter::new(&worker.kv, &worker.shared).stored_record(&organisation).await {
+    let organisation_name = RecordName::Organisation(request.organisation.clone());
+    match ConfigWriter::new(&worker.kv, &worker.shared).stored_record(&organisation_name).await {
         Ok(Some(record)) if *record != ConfigRecord::Removed => {}
         Ok(_) => {
-            let problem = format!("unknown organisation {}; apply its configuration first", request.organisation);
-            return error_response(&WriteError::Rejected(problem));
+            let message = format!("unknown organisation {}; apply its configuration first", request.organisation);
+            return error_response(&WriteError::Rejected(message));
         }
         Err(error) => return error_response(&error),
     }
-    change_keys(&worker, &request, |keys| {
-        keys.keys.insert(request.key_id.clone(), KeyEntry { hash: hash.clone(), withdrawn: false });
+    change_keys(&worker, &request, |key_set| {
+        key_set.keys.insert(request.key_id.clone(), KeyEntry { hash: hash.clone(), withdrawn: false });
         Ok(())
     })
     .await
@@ -37,7 +37,7 @@
 
 /// Handles `POST /keys/withdraw`: makes a key invalid for good.
 pub async fn withdraw(worker: web::Data<WorkerState>, request: web::Json<KeyRequest>) -> HttpResponse {
-    change_keys(&worker, &request, |keys| match keys.keys.get_mut(&request.key_id) {
+    change_keys(&worker, &request, |key_set| match key_set.keys.get_mut(&request.key_id) {
         Some(entry) => {
             entry.withdrawn = true;
             Ok(())
@@ -56,12 +56,12 @@
     let name = RecordName::Keys(request.organisation.clone());
     let writer = ConfigWriter::new(&worker.kv, &worker.shared);
     let written = writer.update(&name, &request.change_id, |stored| {
-        let mut keys = match stored {
-            Some(ConfigRecord::Keys(keys)) => keys.clone(),
+        let mut key_set = match stored {
+            Some(ConfigRecord::Keys(key_set)) => key_set.clone(),
             _ => KeySet::default(),
         };
-        edit(&mut keys)?;
-        Ok(Some(ConfigRecord::Keys(keys)))
+        edit(&mut key_set)?;
+        Ok(Some(ConfigRecord::Keys(key_set)))
     });
     match written.await {
         Ok(entry) => distribute_change(worker, entry.into_iter().collect()).await,
@@ -74,13 +74,13 @@
     let config = worker.shared.config();
     let mut keys = Vec::new();
     for entry in config.iter() {
-        if let (RecordName::Keys(organisation), ConfigRecord::Keys(set)) = (&entry.name, &*entry.record) {
-            keys.extend(set.keys.iter().map(|(key, entry)| key_body(organisation, key, entry)));
+        if let (RecordName::Keys(organisation), ConfigRecord::Keys(key_set)) = (&entry.name, &*entry.record) {
+            keys.extend(key_set.keys.iter().map(|(key_id, entry)| key_body(organisation, key_id, entry)));
         }
     }
     HttpResponse::Ok().json(KeyListResponse { keys })
 }
 
-fn key_body(organisation: &SharedName, key: &SharedName, entry: &KeyEntry) -> KeyBody {
-    KeyBody { organisation: organisation.clone(), key_id: key.clone(), withdrawn: entry.withdrawn }
+fn key_body(organisation: &SharedName, key_id: &SharedName, entry: &KeyEntry) -> KeyBody {
+    KeyBody { organisation: organisation.clone(), key_id: key_id.clone(), withdrawn: entry.withdrawn }
 }
--- a/crates/daemon/src/http/peer_api.rs
+++ b/crates/daemon/src/http/peer_api.rs
@@ -18,7 +18,7 @@
 const MESSAGE_PACK_TYPE: &str = "application/msgpack";
 
 /// Response with an encoded message.
-fn answer_response<T: Serialize>(message: &T) -> HttpResponse {
+fn encoded_response<T: Serialize>(message: &T) -> HttpResponse {
     match encode(message) {
         Ok(body) => HttpResponse::Ok().content_type(MESSAGE_PACK_TYPE).body(body),
         Err(_) => HttpResponse::InternalServerError().finish(),
@@ -34,7 +34,7 @@
 /// Handles `POST /peer/exchange`: heartbeat, configuration records and suspect marks.
 pub async fn exchange(worker: web::Data<WorkerState>, body: Bytes) -> HttpResponse {
     match decode::<ExchangeRequest>(&body) {
-        Ok(request) => answer_response(&answer_exchange(&worker.shared, request)),
+        Ok(request) => encoded_response(&answer_exchange(&worker.shared, request)),
         Err(error) => malformed_response(&error),
     }
 }
@@ -44,7 +44,7 @@
     match decode::<ClaimRequest>(&body) {
         Ok(request) => {
             let response = worker.claim_actor.send(ClaimMessage(request)).await;
-            answer_response(&response.unwrap_or(ClaimResponse::Unavailable))
+            encoded_response(&response.unwrap_or(ClaimResponse::Unavailable))
         }
         Err(error) => malformed_response(&error),
     }
@@ -54,7 +54,7 @@
 pub async fn settle(worker: web::Data<WorkerState>, body: Bytes) -> HttpResponse {
     match decode::<SettleRequest>(&body) {
         Ok(request) => match worker.claim_actor.send(SettleMessage(request)).await {
-            Ok(()) => answer_response(&()),
+            Ok(()) => encoded_response(&()),
             Err(_) => HttpResponse::ServiceUnavailable().finish(),
         },
         Err(error) => malformed_response(&error),
@@ -66,7 +66,7 @@
     match decode::<ForwardRequest>(&body) {
         Ok(request) => {
             let _inflight = worker.shared.inflight_guard();
-            answer_response(&worker.steps.serve_locally(request).await)
+            encoded_response(&worker.step_client.serve_locally(request).await)
         }
         Err(error) => malformed_response(&error),
     }
@@ -77,5 +77,5 @@
     let requested_at = worker.shared.now();
     let lines = worker.shared.usage_totals().into_iter().map(TotalsLine::from).collect();
     worker.shared.totals_requested_at_ms.store(requested_at.0, Ordering::SeqCst);
-    answer_response(&TotalsResponse { incarnation: worker.shared.process_name(), lines })
+    encoded_response(&TotalsResponse { incarnation: worker.shared.process_name(), lines })
 }
--- a/crates/daemon/src/http/plain_api.rs
+++ b/crates/daemon/src/http/plain_api.rs
@@ -29,26 +29,30 @@
 /// Priority sent to the upstream with each request.
 const PLAIN_PRIORITY: u32 = 50;
 /// Maximum size of an upstream's answer.
-const ANSWER_BYTES_MAX: usize = 8 << 20;
+const RESPONSE_BYTES_MAX: usize = 8 << 20;
 /// Maximum size of an answer that is stored to be replayed when a claimed request is repeated.
-const STORED_BYTES_MAX: usize = 64 << 10;
+const STORED_RESPONSE_BYTES_MAX: usize = 64 << 10;
 /// Time after the deadline of a claimed request at which its outcome counts as unknown if it has not been settled.
 const CLAIM_MARGIN_MS: u64 = 2_000;
 const PATH_PREFIX: &str = "/services/";
 
 /// Handles every method on `/services/SERVICE/PATH`.
-pub async fn call(worker: web::Data<WorkerState>, request: HttpRequest, payload: web::Payload) -> Result<HttpResponse> {
+pub async fn call_service(
+    worker: web::Data<WorkerState>,
+    request: HttpRequest,
+    payload: web::Payload,
+) -> Result<HttpResponse> {
     let id = worker.shared.next_request_id();
     let started_at = worker.shared.now();
-    let inflight = worker.shared.inflight_guard();
-    let prepared = prepare(&worker, &request, payload, &id).await;
-    let outcome = match prepared {
-        Ok(upstream) => {
+    let inflight_guard = worker.shared.inflight_guard();
+    let prepared_request = prepare_request(&worker, &request, payload, &id).await;
+    let outcome = match prepared_request {
+        Ok(upstream_request) => {
             // The request runs in a task of its own, so that it is not cancelled when the caller disconnects.
             let task_worker = worker.clone();
             let run_task = actix_rt::spawn(async move {
-                let outcome = run_request(&task_worker, &upstream).await;
-                drop(inflight);
+                let outcome = run_request(&task_worker, &upstream_request).await;
+                drop(inflight_guard);
                 outcome
             });
             run_task.await.unwrap_or_else(|_| {
@@ -61,33 +65,33 @@
         }
         Err(error) => Err(error),
     };
-    let outcome = outcome.map(|answer| caller_response(&answer.0, answer.1, &id));
+    let outcome = outcome.map(|response| caller_response(&response.0, response.1, &id));
     worker.record_outcome(&id, started_at, outcome)
 }
 
 /// Response to the caller. `replayed` says that the answer is from an earlier run of the claimed request.
-fn caller_response(answer: &StoredResponse, replayed: bool, id: &RequestId) -> HttpResponse {
-    let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
+fn caller_response(stored_response: &StoredResponse, replayed: bool, id: &RequestId) -> HttpResponse {
+    let status = StatusCode::from_u16(stored_response.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = HttpResponse::build(status);
     response.insert_header((REQUEST_ID_HEADER, &**id));
-    if !answer.content_type.is_empty() {
-        response.insert_header((CONTENT_TYPE, &*answer.content_type));
+    if !stored_response.content_type.is_empty() {
+        response.insert_header((CONTENT_TYPE, &*stored_response.content_type));
     }
     if replayed {
         response.insert_header((REPLAYED_HEADER, "true"));
     }
-    response.body(answer.body.clone())
+    response.body(stored_response.body.clone())
 }
 
 /// Authenticates the caller, reads the body and builds the request for the upstream.
-async fn prepare(
+async fn prepare_request(
     worker: &WorkerState,
     request: &HttpRequest,
     payload: web::Payload,
     id: &RequestId,
 ) -> Result<UpstreamRequest> {
     let shared = &worker.shared;
-    worker.check_draining(id)?;
+    worker.check_accepts_requests(id)?;
     let (service_name, path) = split_path(request, id)?;
     let service = plain_service(worker, &service_name, id)?;
     let caller = match is_open_path(&service, &path) {
@@ -127,8 +131,8 @@
 fn split_path(request: &HttpRequest, id: &RequestId) -> Result<(SharedName, String)> {
     let unknown = || ApiError::not_run(RefusalReason::ServiceUnknown, id);
     let full_path = request.uri().path_and_query().map_or("", |path| path.as_str());
-    let rest = full_path.strip_prefix(PATH_PREFIX).ok_or_else(unknown)?;
-    let (service, path) = rest.split_once('/').ok_or_else(unknown)?;
+    let service_path = full_path.strip_prefix(PATH_PREFIX).ok_or_else(unknown)?;
+    let (service, path) = service_path.split_once('/').ok_or_else(unknown)?;
     Ok((service.into(), format!("/{path}")))
 }
 
@@ -145,8 +149,9 @@
     if path.contains("..") || path.contains("//") || path.contains('%') || path.contains('\\') {
         return false;
     }
-    service.open_paths.iter().any(|open| {
-        path.strip_prefix(&**open).is_some_and(|rest| rest.is_empty() || rest.starts_with('/') || open.ends_with('/'))
+    service.open_paths.iter().any(|open_path| {
+        path.strip_prefix(&**open_path)
+            .is_some_and(|rest| rest.is_empty() || rest.starts_with('/') || open_path.ends_with('/'))
     })
 }
 
@@ -155,38 +160,38 @@
     let RequestClass::Claimed(key) = &request.class else { return Ok((forward(worker, request).await?, false)) };
     let claim_key = format!("{}/{}/{key}", request.organisation, request.service).into();
     let within_ms = request.deadline.since_ms(worker.shared.now()) + CLAIM_MARGIN_MS;
-    let ticket = match worker.claims.claim(claim_key, request.fingerprint, within_ms, &request.id).await? {
-        Ok(ticket) => ticket,
-        Err(answer) => return Ok((answer, true)),
+    let grant = match worker.claim_client.claim(claim_key, request.fingerprint, within_ms, &request.id).await? {
+        Ok(grant) => grant,
+        Err(stored_response) => return Ok((stored_response, true)),
     };
     let outcome = forward(worker, request).await;
-    settle_claim(worker, &ticket, &outcome).await;
+    settle_claim(worker, &grant, &outcome).await;
     Ok((outcome?, false))
 }
 
 /// Reports the outcome of a claimed request to the owner of the claim.
-async fn settle_claim(worker: &WorkerState, ticket: &ClaimGrant, outcome: &Result<StoredResponse>) {
+async fn settle_claim(worker: &WorkerState, grant: &ClaimGrant, outcome: &Result<StoredResponse>) {
     let state = match outcome {
-        Ok(answer) if answer.body.len() <= STORED_BYTES_MAX => SettleState::Ran(answer.clone()),
+        Ok(response) if response.body.len() <= STORED_RESPONSE_BYTES_MAX => SettleState::Ran(response.clone()),
         Ok(_) => SettleState::Lost,
         Err(error) if error.run_state == RunState::NotRun => SettleState::NotRun,
         Err(_) => SettleState::Lost,
     };
-    worker.claims.settle(ticket, state).await;
+    worker.claim_client.settle(grant, state).await;
 }
 
 /// Sends the request to an upstream and reads the complete answer.
 async fn forward(worker: &WorkerState, request: &UpstreamRequest) -> Result<StoredResponse> {
     let client =
         if request.class == RequestClass::Idempotent { &worker.upstream_client } else { &worker.non_idempotent_client };
-    let mut dispatched = dispatch(&worker.shared, client, request).await?;
+    let mut upstream_response = dispatch(&worker.shared, client, request).await?;
     let content_type =
-        dispatched.response.headers().get(CONTENT_TYPE).and_then(|value| value.to_str().ok()).unwrap_or("");
+        upstream_response.response.headers().get(CONTENT_TYPE).and_then(|value| value.to_str().ok()).unwrap_or("");
     let content_type = SharedName::from(content_type);
-    let body: Bytes = match dispatched.response.body().limit(ANSWER_BYTES_MAX).await {
+    let body: Bytes = match upstream_response.response.body().limit(RESPONSE_BYTES_MAX).await {
         Ok(body) => body,
         Err(_) => {
-            dispatched.guard.connection_lost().await;
+            upstream_response.guard.connection_lost().await;
             return Err(ApiError {
                 reason: RefusalReason::UpstreamLost,
                 run_state: RunState::Ran,
@@ -194,7 +199,7 @@
             });
         }
     };
-    dispatched.guard.request_completed();
+    upstream_response.guard.request_completed();
     worker.shared.record_usage(&request.organisation, &request.service, 0);
-    Ok(StoredResponse { status: dispatched.response.status().as_u16(), content_type, body: body.to_vec() })
+    Ok(StoredResponse { status: upstream_response.response.status().as_u16(), content_type, body: body.to_vec() })
 }
--- a/crates/daemon/src/http/public_app.rs
+++ b/crates/daemon/src/http/public_app.rs
@@ -9,12 +9,12 @@
 pub fn configure_public(app: &mut web::ServiceConfig) {
     app.route("/healthz", web::get().to(health::healthz))
         .route("/readyz", web::get().to(health::readyz))
-        .route("/v1/chat/completions", web::post().to(engine_api::complete))
-        .route("/v1/completions", web::post().to(engine_api::complete))
+        .route("/v1/chat/completions", web::post().to(engine_api::create_completion))
+        .route("/v1/completions", web::post().to(engine_api::create_completion))
         .route("/v1/steps", web::post().to(trainer_api::open_step))
         .route("/v1/steps/fetch", web::post().to(trainer_api::fetch_samples))
         .route("/v1/weights", web::post().to(trainer_api::publish_weights))
-        .route("/services/{path:.*}", web::route().to(plain_api::call))
+        .route("/services/{path:.*}", web::route().to(plain_api::call_service))
         .default_service(web::to(unknown_route));
 }
 
--- a/crates/daemon/src/http/trainer_api.rs
+++ b/crates/daemon/src/http/trainer_api.rs
@@ -17,7 +17,7 @@
 
 /// Maximum length of a trainer's name.
 const TRAINER_NAME_CHARS_MAX: usize = 64;
-/// Maximum number of samples in the answer to one fetch.
+/// Maximum number of samples in the response to one fetch.
 const FETCH_SAMPLES_MAX: usize = 4_096;
 
 /// Handles `POST /v1/steps`: opens a step.
@@ -33,8 +33,8 @@
         check_trainer_name(&open_request.trainer, &id)?;
         check_engine(&worker, &open_request.service, &id)?;
         let caller = authenticate(&worker.shared, &request, &open_request.service, &id)?;
-        let answer = worker.steps.open(caller.organisation, open_request, &id).await?;
-        Ok(json_response(&answer, &id))
+        let response = worker.step_client.open(caller.organisation, open_request, &id).await?;
+        Ok(json_response(&response, &id))
     };
     let outcome = outcome.await;
     worker.record_outcome(&id, started_at, outcome)
@@ -53,8 +53,8 @@
         check_trainer_name(&fetch_request.trainer, &id)?;
         fetch_request.samples_max = fetch_request.samples_max.clamp(1, FETCH_SAMPLES_MAX);
         let organisation = authenticate_any(&worker, &request, &id)?;
-        let answer = worker.steps.fetch(organisation, fetch_request, &id).await?;
-        Ok(json_response(&answer, &id))
+        let response = worker.step_client.fetch(organisation, fetch_request, &id).await?;
+        Ok(json_response(&response, &id))
     };
     let outcome = outcome.await;
     worker.record_outcome(&id, started_at, outcome)
@@ -96,7 +96,7 @@
         .map_err(|_| ApiError::not_run(RefusalReason::PeerUnreachable, id))?;
     if let Some(entry) = written {
         worker.shared.apply_records(vec![entry.clone()], 0);
-        push_records(&worker.shared, &worker.peers, vec![entry]).await;
+        push_records(&worker.shared, &worker.peer_client, vec![entry]).await;
     }
     Ok(worker.shared.config().published_version(&publish_request.service).max(publish_request.version))
 }
@@ -121,7 +121,7 @@
 
 /// Reads and parses the JSON body, unless the daemon refuses requests.
 async fn parse_body<T: DeserializeOwned>(worker: &WorkerState, payload: web::Payload, id: &RequestId) -> Result<T> {
-    worker.check_draining(id)?;
+    worker.check_accepts_requests(id)?;
     let body = read_body(&worker.shared, payload, id).await?;
     serde_json::from_slice(&body).map_err(|_| ApiError::not_run(RefusalReason::BodyMalformed, id))
 }
@@ -130,7 +130,7 @@
 fn check_trainer_name(name: &str, id: &RequestId) -> Result<()> {
     let is_valid = !name.is_empty()
         && name.len() <= TRAINER_NAME_CHARS_MAX
-        && name.chars().all(|c| c.is_ascii_alphanumeric() || c == '-');
+        && name.chars().all(|character| character.is_ascii_alphanumeric() || character == '-');
     if is_valid { Ok(()) } else { Err(ApiError::not_run(RefusalReason::BodyMalformed, id)) }
 }
 
@@ -141,6 +141,6 @@
     if is_engine { Ok(()) } else { Err(ApiError::not_run(RefusalReason::ServiceUnknown, id)) }
 }
 
-fn json_response<T: Serialize>(answer: &T, id: &RequestId) -> HttpResponse {
-    HttpResponse::Ok().insert_header((REQUEST_ID_HEADER, &**id)).json(answer)
+fn json_response<T: Serialize>(response: &T, id: &RequestId) -> HttpResponse {
+    HttpResponse::Ok().insert_header((REQUEST_ID_HEADER, &**id)).json(response)
 }
--- a/crates/daemon/src/http/worker_state.rs
+++ b/crates/daemon/src/http/worker_state.rs
@@ -25,15 +25,15 @@
     /// Client for requests that must not run twice, whose connections are never reused.
     pub non_idempotent_client: Client,
     /// Client for peers.
-    pub peers: PeerClient,
+    pub peer_client: PeerClient,
     /// Client for the key-value service.
     pub kv: EtcdClient,
     /// Sends claims to the daemon that owns them.
-    pub claims: ClaimClient,
+    pub claim_client: ClaimClient,
     /// Actor that holds the claims owned by this daemon.
     pub claim_actor: Addr<ClaimActor<EtcdClient>>,
     /// Sends trainers' calls to the daemon that holds the step.
-    pub steps: StepClient,
+    pub step_client: StepClient,
     /// Actor that holds the steps of this daemon.
     pub step_actor: Addr<StepActor>,
 }
@@ -46,22 +46,22 @@
         claim_actor: Addr<ClaimActor<EtcdClient>>,
         step_actor: Addr<StepActor>,
     ) -> Self {
-        let peers = PeerClient::new(shared.settings.cluster_secret.clone());
+        let peer_client = PeerClient::new(shared.settings.cluster_secret.clone());
         Self {
             upstream_client: plain_client(),
             non_idempotent_client: plain_client(),
             kv: EtcdClient::new(shared.settings.kv_address.clone(), shared.kv_calls.clone()),
-            claims: ClaimClient::new(shared.clone(), claim_actor.clone(), peers.clone()),
-            steps: StepClient::new(shared.clone(), step_actor.clone(), peers.clone()),
+            claim_client: ClaimClient::new(shared.clone(), claim_actor.clone(), peer_client.clone()),
+            step_client: StepClient::new(shared.clone(), step_actor.clone(), peer_client.clone()),
             claim_actor,
             step_actor,
-            peers,
+            peer_client,
             shared,
         }
     }
 
     /// Refuses a new request if this daemon is shutting down and the balancer has had time to notice.
-    pub fn check_draining(&self, id: &RequestId) -> Result<()> {
+    pub fn check_accepts_requests(&self, id: &RequestId) -> Result<()> {
         if self.shared.refusing_requests.load(Ordering::SeqCst) {
             return Err(crate::api_error::ApiError::not_run(RefusalReason::Draining, id));
         }
@@ -75,11 +75,11 @@
         started_at: TimePoint,
         outcome: Result<HttpResponse>,
     ) -> Result<HttpResponse> {
-        let took_ms = self.shared.now().since_ms(started_at);
-        let line = LogLine::new("request").field("request_id", &**id).field("ms", took_ms);
-        self.shared.metrics.latency_seconds.observe(took_ms as f64 / 1_000.0);
+        let duration_ms = self.shared.now().since_ms(started_at);
+        let line = LogLine::new("request").field("request_id", &**id).field("ms", duration_ms);
+        self.shared.metrics.latency_seconds.observe(duration_ms as f64 / 1_000.0);
         match &outcome {
-            Ok(answer) => line.field("status", answer.status().as_u16()).info(),
+            Ok(response) => line.field("status", response.status().as_u16()).info(),
             Err(error) => {
                 self.shared.metrics.count_refusal(error.reason);
                 line.field("status", error.reason.status())
--- a/crates/daemon/src/peer_client.rs
+++ b/crates/daemon/src/peer_client.rs
@@ -49,26 +49,26 @@
         Self { client: plain_client(), secret }
     }
 
-    /// Posts `request` to `path` of the daemon at the address `control`, and waits up to `timeout_ms` for its response.
+    /// Posts `request` to `path` of the daemon at `control_address`, and waits up to `timeout_ms` for its response.
     pub async fn call<Q: Serialize, A: DeserializeOwned>(
         &self,
-        control: &str,
+        control_address: &str,
         path: &str,
         request: &Q,
         timeout_ms: u64,
     ) -> Result<A> {
-        let body = self.call_raw(control, path, encode(request)?, timeout_ms).await?;
+        let body = self.call_raw(control_address, path, encode(request)?, timeout_ms).await?;
         Ok(decode(&body)?)
     }
 
     /// Does the same as [`call`](Self::call) with an encoded request, and returns the encoded response.
-    pub async fn call_raw(&self, control: &str, path: &str, body: Vec<u8>, timeout_ms: u64) -> Result<Bytes> {
+    pub async fn call_raw(&self, control_address: &str, path: &str, body: Vec<u8>, timeout_ms: u64) -> Result<Bytes> {
         let request = self
             .client
-            .post(format!("http://{control}{path}"))
+            .post(format!("http://{control_address}{path}"))
             .insert_header((CLUSTER_SECRET_HEADER, &*self.secret))
             .timeout(Duration::from_millis(timeout_ms));
-        let mut response = request.send_body(body).await.map_err(|error| classify(&error))?;
+        let mut response = request.send_body(body).await.map_err(|error| peer_error(&error))?;
         if !response.status().is_success() {
             return Err(PeerError::Refused(response.status().as_u16()));
         }
@@ -77,10 +77,12 @@
 }
 
 /// Classifies a failure to send a request or to receive the header of its response.
-fn classify(error: &SendRequestError) -> PeerError {
-    let SendRequestError::Connect(connect) = error else { return PeerError::Unresponsive(error.to_string()) };
-    match connect {
-        awc::error::ConnectError::Io(io) if io.kind() == io::ErrorKind::ConnectionRefused => PeerError::ProcessEnded,
+fn peer_error(error: &SendRequestError) -> PeerError {
+    let SendRequestError::Connect(connect_error) = error else { return PeerError::Unresponsive(error.to_string()) };
+    match connect_error {
+        awc::error::ConnectError::Io(io_error) if io_error.kind() == io::ErrorKind::ConnectionRefused => {
+            PeerError::ProcessEnded
+        }
         _ => PeerError::ConnectFailed(error.to_string()),
     }
 }
--- a/crates/daemon/src/running_daemon.rs
+++ b/crates/daemon/src/running_daemon.rs
@@ -37,9 +37,9 @@
 pub struct RunningDaemon {
     shared: Arc<SharedState>,
     /// Bound address of the public listener.
-    public: SocketAddr,
+    public_address: SocketAddr,
     /// Bound address of the control listener.
-    control: SocketAddr,
+    control_address: SocketAddr,
     public_server: ServerHandle,
     control_server: ServerHandle,
     order_task: Addr<PeriodicActor<OrderTask>>,
@@ -62,19 +62,19 @@
         settings.usage_address.clone(),
         settings.vm_list_address.clone(),
     );
-    let peers = PeerClient::new(settings.cluster_secret.clone());
-    let claims = ClaimActor::new(shared.clone(), kv.clone()).start();
-    let steps = StepActor::new(shared.clone()).start();
+    let peer_client = PeerClient::new(settings.cluster_secret.clone());
+    let claim_actor = ClaimActor::new(shared.clone(), kv.clone()).start();
+    let step_actor = StepActor::new(shared.clone()).start();
     PeriodicActor::new(DiscoveryTask::new(shared.clone(), provider.clone())).start();
-    PeriodicActor::new(ExchangeTask::new(shared.clone(), peers.clone(), kv.clone())).start();
+    PeriodicActor::new(ExchangeTask::new(shared.clone(), peer_client.clone(), kv.clone())).start();
     let order_task = PeriodicActor::new(OrderTask::new(shared.clone(), kv.clone(), provider.clone())).start();
-    let usage_task = PeriodicActor::new(UsageTask::new(shared.clone(), kv, peers.clone(), provider)).start();
-    actix_rt::spawn(push_suspects(shared.clone(), peers));
+    let usage_task = PeriodicActor::new(UsageTask::new(shared.clone(), kv, peer_client.clone(), provider)).start();
+    actix_rt::spawn(push_suspects(shared.clone(), peer_client));
 
     let state = shared.clone();
-    let (claim_actor, step_actor) = (claims.clone(), steps.clone());
+    let (public_claim_actor, public_step_actor) = (claim_actor.clone(), step_actor.clone());
     let public_server = HttpServer::new(move || {
-        let worker = WorkerState::new(state.clone(), claim_actor.clone(), step_actor.clone());
+        let worker = WorkerState::new(state.clone(), public_claim_actor.clone(), public_step_actor.clone());
         App::new().app_data(web::Data::new(worker)).configure(configure_public)
     })
     .workers(settings.workers)
@@ -88,7 +88,7 @@
 
     let state = shared.clone();
     let control_server = HttpServer::new(move || {
-        let worker = web::Data::new(WorkerState::new(state.clone(), claims.clone(), steps.clone()));
+        let worker = web::Data::new(WorkerState::new(state.clone(), claim_actor.clone(), step_actor.clone()));
         App::new().app_data(worker.clone()).configure(move |app| configure_control(app, &worker))
     })
     .workers(1)
@@ -100,8 +100,8 @@
     .run();
 
     let daemon = RunningDaemon {
-        public: public_address,
-        control: control_address,
+        public_address,
+        control_address,
         public_server: public_server.handle(),
         control_server: control_server.handle(),
         order_task,
@@ -120,10 +120,10 @@
 }
 
 /// Sends the marks of suspected requests to the peers at once, because a retry of the request may reach them next.
-async fn push_suspects(shared: Arc<SharedState>, peers: PeerClient) {
+async fn push_suspects(shared: Arc<SharedState>, peer_client: PeerClient) {
     loop {
         shared.suspect_added.notified().await;
-        push_records(&shared, &peers, Vec::new()).await;
+        push_records(&shared, &peer_client, Vec::new()).await;
     }
 }
 
@@ -135,13 +135,13 @@
     /// Bound address of the public listener.
     #[must_use]
     pub fn public_address(&self) -> SocketAddr {
-        self.public
+        self.public_address
     }
 
     /// Bound address of the control listener.
     #[must_use]
     pub fn control_address(&self) -> SocketAddr {
-        self.control
+        self.control_address
     }
 
     /// Waits until an operator requests the daemon to drain.
--- a/crates/daemon/src/shared_state.rs
+++ b/crates/daemon/src/shared_state.rs
@@ -34,9 +34,9 @@
     /// Metrics of this daemon.
     pub metrics: MetricSet,
     /// Queues of requests that wait for capacity on an upstream.
-    pub admission_gate: AdmissionController,
+    pub admission_controller: AdmissionController,
     /// Requests in flight on upstreams.
-    pub running_requests: InflightTable,
+    pub inflight_table: InflightTable,
     /// Number of calls to the key-value service.
     pub kv_calls: Arc<AtomicU64>,
     /// Notified when a request becomes suspected of crashing upstreams, so that its mark is sent to the peers at once.
@@ -88,8 +88,8 @@
             incarnation: clock.unix_ms(),
             clock,
             metrics: MetricSet::default(),
-            admission_gate: AdmissionController::default(),
-            running_requests: InflightTable::default(),
+            admission_controller: AdmissionController::default(),
+            inflight_table: InflightTable::default(),
             kv_calls: Arc::default(),
             suspect_added: tokio::sync::Notify::new(),
             draining: AtomicBool::new(false),
@@ -157,12 +157,12 @@
         self.config.read().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Applies configuration records. `complete` is the revision up to which the sender holds all records, or 0 if
+    /// Applies configuration records. `complete_revision` is the revision up to which the sender holds all records, or 0 if
     /// `entries` are only some of them. Returns the records that were newer than the cached ones.
-    pub fn apply_records(&self, entries: Vec<RecordEntry>, complete: u64) -> Vec<RecordEntry> {
+    pub fn apply_records(&self, entries: Vec<RecordEntry>, complete_revision: u64) -> Vec<RecordEntry> {
         let mut view = self.config.write().unwrap_or_else(PoisonError::into_inner);
         let applied = entries.into_iter().filter(|entry| view.apply(entry.clone())).collect();
-        view.revision_completed(complete);
+        view.revision_completed(complete_revision);
         self.metrics.config_revision.set(i64::try_from(view.newest_revision()).unwrap_or(i64::MAX));
         applied
     }
--- a/crates/daemon/src/step/sample_attempt.rs
+++ b/crates/daemon/src/step/sample_attempt.rs
@@ -56,23 +56,23 @@
         client: Client,
         spec: Arc<StepSpec>,
     ) -> Result<SampleResult, SampleError> {
-        let request = self.request(&shared, &spec);
-        let mut upstream = dispatch(&shared, &client, &request).await.map_err(|_| SampleError::NoResponse)?;
+        let request = self.upstream_request(&shared, &spec);
+        let mut upstream_response = dispatch(&shared, &client, &request).await.map_err(|_| SampleError::NoResponse)?;
         let mut scanner = StreamScanner::default();
         let mut sample = SampleResult { sample: self.sample, text: String::new(), segments: Vec::new() };
         let mut versions_present = true;
-        while let Some(chunk) = upstream.response.next().await {
+        while let Some(chunk) = upstream_response.response.next().await {
             let Ok(chunk) = chunk else {
-                upstream.guard.connection_lost().await;
+                upstream_response.guard.connection_lost().await;
                 return Err(SampleError::Truncated);
             };
             scanner.feed(&chunk, |data| versions_present &= append_chunk(&mut sample, data));
         }
         if !scanner.is_finished() {
-            upstream.guard.connection_lost().await;
+            upstream_response.guard.connection_lost().await;
             return Err(SampleError::Truncated);
         }
-        upstream.guard.request_completed();
+        upstream_response.guard.request_completed();
         let tokens = sample.segments.last().map_or(0, |segment| u64::from(segment.end));
         shared.record_usage(&self.organisation, &spec.service, tokens);
         if !versions_present || sample.segments.is_empty() {
@@ -83,7 +83,7 @@
 
     /// Request to an engine for the sample. Its seed depends only on the step and the sample, so that every attempt
     /// sends the same request.
-    fn request(&self, shared: &SharedState, spec: &StepSpec) -> UpstreamRequest {
+    fn upstream_request(&self, shared: &SharedState, spec: &StepSpec) -> UpstreamRequest {
         let prompt = &spec.prompts[self.sample / spec.group_size];
         let seed = fingerprint(&[self.step.as_bytes(), &self.sample.to_be_bytes()]);
         let completion = CompletionRequest {
--- a/crates/daemon/src/step/step_client.rs
+++ b/crates/daemon/src/step/step_client.rs
@@ -25,14 +25,14 @@
     shared: Arc<SharedState>,
     /// Steps that this daemon owns.
     actor: Addr<StepActor>,
-    peers: PeerClient,
+    peer_client: PeerClient,
 }
 
 impl StepClient {
     /// Creates a client; `actor` holds the steps that this daemon owns.
     #[must_use]
-    pub fn new(shared: Arc<SharedState>, actor: Addr<StepActor>, peers: PeerClient) -> Self {
-        Self { shared, actor, peers }
+    pub fn new(shared: Arc<SharedState>, actor: Addr<StepActor>, peer_client: PeerClient) -> Self {
+        Self { shared, actor, peer_client }
     }
 
     /// Opens a step on the daemon that owns it.
@@ -40,8 +40,8 @@
         let key = step_key(&organisation, &open.trainer, open.step);
         let request = ForwardRequest::Open { organisation, request_id: id.to_arc(), open };
         match self.forward(&key, request, FORWARD_TIMEOUT_MS, id).await? {
-            ForwardResponse::Opened(answer) => Ok(answer),
-            answer => Err(refusal_error(answer, id)),
+            ForwardResponse::Opened(response) => Ok(response),
+            response => Err(refusal_error(response, id)),
         }
     }
 
@@ -51,8 +51,8 @@
         let timeout_ms = fetch.wait_ms + FORWARD_TIMEOUT_MS;
         let request = ForwardRequest::Fetch { organisation, request_id: id.to_arc(), fetch };
         match self.forward(&key, request, timeout_ms, id).await? {
-            ForwardResponse::Fetched(answer) => Ok(answer),
-            answer => Err(refusal_error(answer, id)),
+            ForwardResponse::Fetched(response) => Ok(response),
+            response => Err(refusal_error(response, id)),
         }
     }
 
@@ -62,12 +62,16 @@
             ForwardRequest::Open { organisation, request_id, open } => {
                 LogLine::new("step_open").field("request_id", &request_id).info();
                 let outcome = self.actor.send(OpenStepMessage { organisation, open }).await;
-                forward_answer(outcome.unwrap_or(Err(RefusalReason::StepUnknown)), &request_id, ForwardResponse::Opened)
+                forward_response(
+                    outcome.unwrap_or(Err(RefusalReason::StepUnknown)),
+                    &request_id,
+                    ForwardResponse::Opened,
+                )
             }
             ForwardRequest::Fetch { organisation, request_id, fetch } => {
                 LogLine::new("step_fetch").field("request_id", &request_id).info();
                 let outcome = self.actor.send(FetchSamplesMessage { organisation, fetch }).await;
-                forward_answer(
+                forward_response(
                     outcome.unwrap_or(Err(RefusalReason::StepUnknown)),
                     &request_id,
                     ForwardResponse::Fetched,
@@ -85,13 +89,13 @@
         timeout_ms: u64,
         id: &RequestId,
     ) -> Result<ForwardResponse> {
-        let control = {
+        let control_address = {
             let members = self.shared.members();
             let owner = pimentoslip_kernel::highest_ranked(&format!("step/{key}"), &members.active_names()).cloned();
             owner.and_then(|owner| members.get(&owner).map(|member| member.control.clone()))
         };
-        let Some(control) = control else { return Ok(self.serve_locally(request).await) };
-        self.peers.call(&control, "/peer/forward", &request, timeout_ms).await.map_err(|error| {
+        let Some(control_address) = control_address else { return Ok(self.serve_locally(request).await) };
+        self.peer_client.call(&control_address, "/peer/forward", &request, timeout_ms).await.map_err(|error| {
             LogLine::new("forward_failed").field("request_id", &**id).field("error", error).warn();
             ApiError::not_run(RefusalReason::PeerUnreachable, id)
         })
@@ -99,16 +103,16 @@
 }
 
 /// Wraps the outcome of a call for the daemon that forwarded it.
-fn forward_answer<T>(outcome: StepOutcome<T>, id: &str, wrap: impl FnOnce(T) -> ForwardResponse) -> ForwardResponse {
+fn forward_response<T>(outcome: StepOutcome<T>, id: &str, wrap: impl FnOnce(T) -> ForwardResponse) -> ForwardResponse {
     match outcome {
-        Ok(answer) => wrap(answer),
+        Ok(response) => wrap(response),
         Err(reason) => ForwardResponse::Refused(reason.status(), Refusal::new(reason, RunState::NotRun, id)),
     }
 }
 
-/// Converts a refusal by the step's owner into one by this daemon. Any other answer becomes `PeerUnreachable`.
-fn refusal_error(answer: ForwardResponse, id: &RequestId) -> ApiError {
-    let code = match &answer {
+/// Converts a refusal by the step's owner into one by this daemon. Any other response becomes `PeerUnreachable`.
+fn refusal_error(response: ForwardResponse, id: &RequestId) -> ApiError {
+    let code = match &response {
         ForwardResponse::Refused(_, refusal) => refusal.error.code.as_str(),
         ForwardResponse::Opened(_) | ForwardResponse::Fetched(_) => "",
     };
--- a/crates/daemon/src/task/discovery_task.rs
+++ b/crates/daemon/src/task/discovery_task.rs
@@ -107,7 +107,7 @@
         };
         for (name, inflight_max) in services {
             let capacity = self.shared.routes().capacity(&name, inflight_max);
-            self.shared.admission_gate.admit_waiting(&name, capacity);
+            self.shared.admission_controller.admit_waiting(&name, capacity);
         }
     }
 }
--- a/crates/daemon/src/task/duty_lease.rs
+++ b/crates/daemon/src/task/duty_lease.rs
@@ -127,7 +127,7 @@
             .put(&self.holder_key(), nonce.clone().into_bytes(), lease)
             .put(&self.previous_holders_key(), encode_holders(&holders), 0);
         let fencing = match self.kv.commit(&txn).await {
-            Ok(answer) if answer.succeeded => Some(answer.header.revision),
+            Ok(response) if response.succeeded => Some(response.header.revision),
             Ok(_) => None,
             // The answer was lost; the stored entry shows whether this write succeeded.
             Err(_) => self.read_own_fencing(&nonce).await?,
--- a/crates/daemon/src/task/exchange_task.rs
+++ b/crates/daemon/src/task/exchange_task.rs
@@ -35,15 +35,15 @@
 /// Exchanges state with the peers and, on behalf of its failure domain, reads the stored configuration.
 pub struct ExchangeTask {
     shared: Arc<SharedState>,
-    peers: PeerClient,
+    peer_client: PeerClient,
     kv: EtcdClient,
 }
 
 impl ExchangeTask {
     /// Creates the task.
     #[must_use]
-    pub fn new(shared: Arc<SharedState>, peers: PeerClient, kv: EtcdClient) -> Self {
-        Self { shared, peers, kv }
+    pub fn new(shared: Arc<SharedState>, peer_client: PeerClient, kv: EtcdClient) -> Self {
+        Self { shared, peer_client, kv }
     }
 
     /// Whether this daemon must read the key-value service in this run. Normally only the first-ranked daemon of a
@@ -53,7 +53,7 @@
             self.shared.members().duty_rank(RELAY_DUTY, &self.shared.settings.failure_domain).unwrap_or(0) as u64;
         let now = self.shared.now();
         let age_ms = self.shared.freshness().age_ms(now);
-        rank == 0 || age_ms.is_none_or(|age| age > rank * RELAY_RANK_DELAY_MS)
+        rank == 0 || age_ms.is_none_or(|age_ms| age_ms > rank * RELAY_RANK_DELAY_MS)
     }
 
     /// Reads and applies the configuration records that were written since the last complete read.
@@ -62,11 +62,11 @@
         let since = self.shared.config().complete_revision() + 1;
         let requested_at = self.shared.now();
         match self.kv.range(&prefix, since).await {
-            Ok(answer) => {
-                let entries = answer.kvs.iter().filter_map(|entry| parse_entry(&prefix, entry)).collect();
-                let applied = self.shared.apply_records(entries, answer.header.revision);
+            Ok(response) => {
+                let entries = response.kvs.iter().filter_map(|entry| parse_entry(&prefix, entry)).collect();
+                let applied = self.shared.apply_records(entries, response.header.revision);
                 self.shared.freshness().service_read(requested_at);
-                log_applied("service", &applied);
+                log_applied_records("service", &applied);
             }
             Err(error) => LogLine::new("config_read_failed").field("error", error).warn(),
         }
@@ -75,15 +75,16 @@
     /// Peers to exchange with in this run: those chosen by the member table, and daemons on the VM list that have not
     /// been seen at their listed address.
     fn exchange_peers(&self) -> Vec<PeerAddress> {
-        let listed = self.shared.listed_daemons.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        let listed_daemons = self.shared.listed_daemons.lock().unwrap_or_else(PoisonError::into_inner).clone();
         let mut members = self.shared.members();
         let mut exchange_peers: BTreeMap<SharedName, SharedName> =
             members.next_exchange_peers().into_iter().map(|member| (member.name, member.control)).collect();
-        for (name, control) in listed {
-            let is_seen =
-                members.get(&name).is_some_and(|member| member.control == control && !member.control.is_empty());
+        for (name, control_address) in listed_daemons {
+            let is_seen = members
+                .get(&name)
+                .is_some_and(|member| member.control == control_address && !member.control.is_empty());
             if name != self.shared.settings.name && !is_seen {
-                exchange_peers.insert(name, control);
+                exchange_peers.insert(name, control_address);
             }
         }
         exchange_peers.into_iter().collect()
@@ -92,12 +93,12 @@
     /// Updates the states of the members, and the freshness of the configuration from the answers of the other daemons.
     fn update_members(&self) {
         let now = self.shared.now();
-        let listed = self.shared.listed_daemons.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        let listed_daemons = self.shared.listed_daemons.lock().unwrap_or_else(PoisonError::into_inner).clone();
         let mut members = self.shared.members();
         members.tick(now);
         let mut running_names = members.possibly_running_names();
         running_names.extend(
-            listed.into_keys().filter(|name| *name != self.shared.settings.name && members.get(name).is_none()),
+            listed_daemons.into_keys().filter(|name| *name != self.shared.settings.name && members.get(name).is_none()),
         );
         drop(members);
         if self.shared.config().complete_revision() > 0 {
@@ -112,7 +113,7 @@
     async fn run(&mut self) {
         let exchange_peers = self.exchange_peers();
         let exchanges =
-            join_all(exchange_peers.iter().map(|peer| exchange(&self.shared, &self.peers, peer, Vec::new())));
+            join_all(exchange_peers.iter().map(|peer| exchange(&self.shared, &self.peer_client, peer, Vec::new())));
         let config_read = async {
             if self.must_read_config() {
                 self.read_config().await;
@@ -130,7 +131,7 @@
     Some(RecordEntry { name: RecordName::parse(path)?, revision: entry.mod_revision, record: stored.record })
 }
 
-fn log_applied(source: &str, entries: &[RecordEntry]) {
+fn log_applied_records(source: &str, entries: &[RecordEntry]) {
     for entry in entries {
         LogLine::new("config_applied")
             .field("record", entry.name.path())
@@ -157,14 +158,19 @@
 }
 
 /// Sends `records` and this daemon's state to a peer and applies its answer. Returns true if the peer answered.
-async fn exchange(shared: &SharedState, peers: &PeerClient, peer: &PeerAddress, records: Vec<RecordEntry>) -> bool {
-    let (name, control) = peer;
+async fn exchange(
+    shared: &SharedState,
+    peer_client: &PeerClient,
+    peer: &PeerAddress,
+    records: Vec<RecordEntry>,
+) -> bool {
+    let (name, control_address) = peer;
     let Ok(body) = encode(&exchange_request(shared, records)) else { return false };
     let request_bytes = body.len();
     let requested_at = shared.now();
-    let answer = peers.call_raw(control, EXCHANGE_PATH, body, EXCHANGE_TIMEOUT_MS).await;
-    let answer = match answer {
-        Ok(answer) => answer,
+    let call_result = peer_client.call_raw(control_address, EXCHANGE_PATH, body, EXCHANGE_TIMEOUT_MS).await;
+    let response_body = match call_result {
+        Ok(response_body) => response_body,
         Err(PeerError::ProcessEnded) => {
             let now = shared.now();
             shared.members().process_ended(name, now);
@@ -172,10 +178,10 @@
         }
         Err(_) => return false,
     };
-    shared.metrics.exchange_bytes.inc_by((request_bytes + answer.len()) as u64);
-    match decode::<ExchangeResponse>(&answer) {
-        Ok(answer) => {
-            apply_answer(shared, answer, requested_at);
+    shared.metrics.exchange_bytes.inc_by((request_bytes + response_body.len()) as u64);
+    match decode::<ExchangeResponse>(&response_body) {
+        Ok(response) => {
+            apply_response(shared, response, requested_at);
             true
         }
         Err(error) => {
@@ -185,20 +191,20 @@
     }
 }
 
-fn apply_answer(shared: &SharedState, answer: ExchangeResponse, requested_at: TimePoint) {
-    let name = answer.sender.name.clone();
-    let applied = shared.apply_records(answer.records, answer.complete_revision);
-    log_applied(&name, &applied);
-    shared.freshness().peer_answered(&name, requested_at, answer.age_ms);
+fn apply_response(shared: &SharedState, response: ExchangeResponse, requested_at: TimePoint) {
+    let name = response.sender.name.clone();
+    let applied = shared.apply_records(response.records, response.complete_revision);
+    log_applied_records(&name, &applied);
+    shared.freshness().peer_answered(&name, requested_at, response.age_ms);
     let now = shared.now();
     let mut members = shared.members();
-    members.peer_seen(MemberEntry::from(answer.sender), requested_at);
-    for body in answer.members {
+    members.peer_seen(MemberEntry::from(response.sender), requested_at);
+    for body in response.members {
         members.member_reported(&MemberEntry::from(body), now);
     }
     drop(members);
     let mut suspects = shared.suspects();
-    answer.suspects.into_iter().for_each(|mark| suspects.merge(mark));
+    response.suspects.into_iter().for_each(|mark| suspects.merge(mark));
 }
 
 /// Applies the exchange request of a peer and returns the answer to it.
@@ -207,7 +213,7 @@
     let now = shared.now();
     let name = request.sender.name.clone();
     let applied = shared.apply_records(request.records, 0);
-    log_applied(&name, &applied);
+    log_applied_records(&name, &applied);
     {
         let mut suspects = shared.suspects();
         request.suspects.into_iter().for_each(|mark| suspects.merge(mark));
@@ -234,7 +240,7 @@
 /// the daemons that confirmed them, this one included, and of those that did not.
 pub async fn push_records(
     shared: &SharedState,
-    peers: &PeerClient,
+    peer_client: &PeerClient,
     records: Vec<RecordEntry>,
 ) -> (Vec<SharedName>, Vec<SharedName>) {
     let targets: Vec<PeerAddress> = shared
@@ -242,10 +248,11 @@
         .possibly_running_entries()
         .map(|member| (member.name.clone(), member.control.clone()))
         .collect();
-    let answers = join_all(targets.iter().map(|peer| exchange(shared, peers, peer, records.clone()))).await;
+    let exchange_results =
+        join_all(targets.iter().map(|peer| exchange(shared, peer_client, peer, records.clone()))).await;
     let mut confirmed = vec![shared.settings.name.clone()];
     let mut unconfirmed = Vec::new();
-    for ((name, _), answered) in targets.into_iter().zip(answers) {
+    for ((name, _), answered) in targets.into_iter().zip(exchange_results) {
         if answered { confirmed.push(name) } else { unconfirmed.push(name) }
     }
     (confirmed, unconfirmed)
--- a/crates/daemon/src/task/order_sender.rs
+++ b/crates/daemon/src/task/order_sender.rs
@@ -69,8 +69,8 @@
         format!("pimentoslip/{}/orders/{}/", self.shared.settings.site, self.failure_domain)
     }
 
-    fn order_key(&self, order: &str) -> String {
-        format!("{}{order}", self.orders_prefix())
+    fn order_key(&self, order_id: &str) -> String {
+        format!("{}{order_id}", self.orders_prefix())
     }
 
     /// Number of upstreams of `service` that were started but are not on the VM list yet.
@@ -122,15 +122,15 @@
     /// Stores an order, sends it, and stores its outcome. Returns the state reported by the provider.
     pub async fn send_order(&mut self, request: OrderRequest, authority: &OrderAuthority) -> Result<OrderState> {
         self.order_count += 1;
-        let order = format!("{}-{}-{}", self.failure_domain, authority.fencing, self.order_count).into();
-        let request = OrderRequest { order_id: order, fencing: authority.fencing, ..request };
+        let order_id = format!("{}-{}-{}", self.failure_domain, authority.fencing, self.order_count).into();
+        let request = OrderRequest { order_id, fencing: authority.fencing, ..request };
         let key = self.order_key(&request.order_id);
         let value = encode_order(&StoredOrder { request: request.clone(), answer: None })?;
         let txn =
             TxnRequest::default().expect(&authority.holder_key, authority.fencing).expect(&key, 0).put(&key, value, 0);
         let commit_result = self.kv.commit(&txn).await;
         let revision = match commit_result {
-            Ok(answer) if answer.succeeded => answer.header.revision,
+            Ok(response) if response.succeeded => response.header.revision,
             Ok(_) => return Err(PlatformError::LeaseNotFound),
             Err(error) => {
                 // The order may have been stored; it must be settled before another order is sent.
--- a/crates/daemon/src/task/usage_task.rs
+++ b/crates/daemon/src/task/usage_task.rs
@@ -34,7 +34,7 @@
 pub struct UsageTask {
     shared: Arc<SharedState>,
     kv: EtcdClient,
-    peers: PeerClient,
+    peer_client: PeerClient,
     provider: ProviderClient,
     /// Lease of the reporting duty; `None` until the site's configuration is received.
     lease: Option<DutyLease<EtcdClient>>,
@@ -71,8 +71,8 @@
 impl UsageTask {
     /// Creates the task.
     #[must_use]
-    pub fn new(shared: Arc<SharedState>, kv: EtcdClient, peers: PeerClient, provider: ProviderClient) -> Self {
-        Self { shared, kv, peers, provider, lease: None, totals: BTreeMap::new(), last_reported: None }
+    pub fn new(shared: Arc<SharedState>, kv: EtcdClient, peer_client: PeerClient, provider: ProviderClient) -> Self {
+        Self { shared, kv, peer_client, provider, lease: None, totals: BTreeMap::new(), last_reported: None }
     }
 
     /// Updates the counters of this daemon and of every daemon that answers.
@@ -81,12 +81,12 @@
         self.totals.insert(self.shared.process_name(), own_lines);
         let control_addresses: Vec<SharedName> =
             self.shared.members().possibly_running_entries().map(|member| member.control.clone()).collect();
-        let calls = control_addresses
-            .iter()
-            .map(|control| self.peers.call::<_, TotalsResponse>(control, "/peer/totals", &(), TOTALS_TIMEOUT_MS));
-        for answer in join_all(calls).await.into_iter().flatten() {
-            let lines = answer.lines.into_iter().map(UsageLine::from).collect();
-            self.totals.insert(answer.incarnation, lines);
+        let calls = control_addresses.iter().map(|control_address| {
+            self.peer_client.call::<_, TotalsResponse>(control_address, "/peer/totals", &(), TOTALS_TIMEOUT_MS)
+        });
+        for response in join_all(calls).await.into_iter().flatten() {
+            let lines = response.lines.into_iter().map(UsageLine::from).collect();
+            self.totals.insert(response.incarnation, lines);
         }
     }
 
--- a/crates/daemon/src/upstream/attempt.rs
+++ b/crates/daemon/src/upstream/attempt.rs
@@ -77,12 +77,12 @@
     AttemptError,
 > {
     let mut progress = RequestProgress::default();
-    let left_ms = request.deadline.since_ms(shared.now()).max(1);
+    let remaining_ms = request.deadline.since_ms(shared.now()).max(1);
     let url = format!("http://{}{}", guard.entry.address, request.path);
     let mut outgoing = client
         .request(request.method.clone(), url)
         .no_decompress()
-        .timeout(Duration::from_millis(left_ms))
+        .timeout(Duration::from_millis(remaining_ms))
         .insert_header((REQUEST_ID_HEADER, &**attempt_id))
         .insert_header((PRIORITY_HEADER, request.priority.to_string()));
     if request.class != RequestClass::Idempotent {
@@ -117,13 +117,14 @@
         }
     };
     progress.connection_opened();
-    let echoed = response.headers().get(REQUEST_ID_HEADER).and_then(|value| value.to_str().ok());
-    if echoed != Some(&**attempt_id) {
+    let echoed_id = response.headers().get(REQUEST_ID_HEADER).and_then(|value| value.to_str().ok());
+    if echoed_id != Some(&**attempt_id) {
         guard.attempt_failed();
         return Err(AttemptError { failure: AttemptFailure::Mismatch, progress });
     }
-    let refused = response.headers().get(RUN_STATE_HEADER).is_some_and(|value| value.as_bytes() == NOT_RUN.as_bytes());
-    if refused {
+    let is_refused =
+        response.headers().get(RUN_STATE_HEADER).is_some_and(|value| value.as_bytes() == NOT_RUN.as_bytes());
+    if is_refused {
         progress.refusal_received();
         guard.attempt_failed();
         return Err(AttemptError { failure: AttemptFailure::Refused, progress });
--- a/crates/daemon/src/upstream/dispatcher.rs
+++ b/crates/daemon/src/upstream/dispatcher.rs
@@ -75,21 +75,21 @@
     const POLL_INTERVAL: Duration = Duration::from_millis(20);
     loop {
         let now = shared.now();
-        let suspect = shared.suspects().is_suspect(request.fingerprint, now);
+        let is_suspect = shared.suspects().is_suspect(request.fingerprint, now);
         let query = RouteQuery {
             service: &request.service,
             failure_domain: &shared.settings.failure_domain,
             prefix_hash: request.prefix_hash,
             excluded: tried_upstreams,
-            exclusive: suspect,
+            exclusive: is_suspect,
             inflight_max: request.inflight_max,
         };
-        let picked = shared.with_rng(|rng| {
+        let picked_entry = shared.with_rng(|rng| {
             let mut routes = shared.routes();
             let without_exclusions = RouteQuery { excluded: &[], ..query.clone() };
             routes.pick(&query, now, rng).or_else(|| routes.pick(&without_exclusions, now, rng))
         });
-        if let Some(entry) = picked {
+        if let Some(entry) = picked_entry {
             return Some(UpstreamGuard::new(shared.clone(), entry, request.fingerprint));
         }
         let has_upstream = shared.routes().capacity(&request.service, 1) > 0;
@@ -116,9 +116,9 @@
         })
     });
     match decision {
-        RetryDecision::RetryAt(at) => {
+        RetryDecision::RetryAt(retry_at) => {
             shared.metrics.count_retry(error.failure.retry_reason());
-            actix_rt::time::sleep(Duration::from_millis(at.since_ms(now))).await;
+            actix_rt::time::sleep(Duration::from_millis(retry_at.since_ms(now))).await;
             Ok(())
         }
         RetryDecision::BudgetExhausted(_) => Err(RefusalReason::RetryExhausted),
--- a/crates/daemon/src/upstream/inflight_table.rs
+++ b/crates/daemon/src/upstream/inflight_table.rs
@@ -10,33 +10,33 @@
 /// when it crashed.
 #[derive(Debug, Default)]
 pub struct InflightTable {
-    running: Mutex<HashMap<SharedName, Vec<u64>>>,
+    by_address: Mutex<HashMap<SharedName, Vec<u64>>>,
 }
 
 impl InflightTable {
     /// Records that a request was started on the upstream at `address`.
     pub fn request_started(&self, address: &SharedName, fingerprint: u64) {
-        let mut running = self.running.lock().unwrap_or_else(PoisonError::into_inner);
-        running.entry(address.clone()).or_default().push(fingerprint);
+        let mut by_address = self.by_address.lock().unwrap_or_else(PoisonError::into_inner);
+        by_address.entry(address.clone()).or_default().push(fingerprint);
     }
 
     /// Records that a request on the upstream at `address` has ended.
     pub fn request_ended(&self, address: &SharedName, fingerprint: u64) {
-        let mut running = self.running.lock().unwrap_or_else(PoisonError::into_inner);
-        let Some(fingerprints) = running.get_mut(address) else { return };
-        if let Some(index) = fingerprints.iter().position(|running| *running == fingerprint) {
+        let mut by_address = self.by_address.lock().unwrap_or_else(PoisonError::into_inner);
+        let Some(fingerprints) = by_address.get_mut(address) else { return };
+        if let Some(index) = fingerprints.iter().position(|other| *other == fingerprint) {
             fingerprints.swap_remove(index);
         }
         if fingerprints.is_empty() {
-            running.remove(address);
+            by_address.remove(address);
         }
     }
 
     /// Fingerprints of the requests in flight on the upstream at `address`, without duplicates.
     #[must_use]
     pub fn distinct_fingerprints(&self, address: &SharedName) -> Vec<u64> {
-        let running = self.running.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut fingerprints = running.get(address).cloned().unwrap_or_default();
+        let by_address = self.by_address.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut fingerprints = by_address.get(address).cloned().unwrap_or_default();
         fingerprints.sort_unstable();
         fingerprints.dedup();
         fingerprints
--- a/crates/daemon/src/upstream/stream_body.rs
+++ b/crates/daemon/src/upstream/stream_body.rs
@@ -51,15 +51,15 @@
     token_count: u64,
     next_key_check: TimePoint,
     /// Counts the request as in flight on the upstream.
-    upstream: UpstreamGuard,
+    upstream_guard: UpstreamGuard,
     /// Keeps the request among the running ones of its service.
-    admission: AdmissionGuard,
+    admission_guard: AdmissionGuard,
     /// After an error event was sent: the error, and the delay before the connection is closed.
     failure: Option<(ApiError, Pin<Box<Sleep>>)>,
     /// Whether the body has ended.
     done: bool,
     /// Delays a planned stop of the daemon until the stream has ended.
-    _inflight: InflightGuard,
+    _inflight_guard: InflightGuard,
 }
 
 impl<S> StreamBody<S> {
@@ -67,9 +67,9 @@
     pub fn new(
         context: StreamContext,
         chunks: S,
-        upstream: UpstreamGuard,
-        admission: AdmissionGuard,
-        inflight: InflightGuard,
+        upstream_guard: UpstreamGuard,
+        admission_guard: AdmissionGuard,
+        inflight_guard: InflightGuard,
     ) -> Self {
         let next_key_check = context.shared.now().plus_ms(KEY_CHECK_INTERVAL_MS);
         Self {
@@ -78,11 +78,11 @@
             scanner: StreamScanner::default(),
             token_count: 0,
             next_key_check,
-            upstream,
-            admission,
+            upstream_guard,
+            admission_guard,
             failure: None,
             done: false,
-            _inflight: inflight,
+            _inflight_guard: inflight_guard,
         }
     }
 
@@ -125,7 +125,7 @@
     /// Records that the response was received completely.
     fn finish(&mut self) {
         self.done = true;
-        self.upstream.request_completed();
+        self.upstream_guard.request_completed();
         LogLine::new("stream_done").field("request_id", &*self.context.id).field("tokens", self.token_count).info();
     }
 }
@@ -146,11 +146,11 @@
             this.done = true;
             return Poll::Ready(Some(Err(error.clone())));
         }
-        let next = std::task::ready!(Pin::new(&mut this.chunks).poll_next(context));
+        let next_chunk = std::task::ready!(Pin::new(&mut this.chunks).poll_next(context));
         if !this.is_key_valid() {
             return Poll::Ready(Some(Ok(this.fail(RefusalReason::KeyUnknown))));
         }
-        match next {
+        match next_chunk {
             Some(Ok(chunk)) => {
                 this.scan(&chunk);
                 if this.scanner.has_overlong_line() {
@@ -167,7 +167,7 @@
                 Poll::Ready(None)
             }
             Some(Err(_)) | None => {
-                this.upstream.connection_lost_in_background();
+                this.upstream_guard.connection_lost_in_background();
                 Poll::Ready(Some(Ok(this.fail(RefusalReason::UpstreamLost))))
             }
         }
@@ -176,7 +176,7 @@
 
 impl<S> Drop for StreamBody<S> {
     fn drop(&mut self) {
-        self.admission.record_actual_tokens(self.token_count);
+        self.admission_guard.record_actual_tokens(self.token_count);
         self.context.shared.record_usage(&self.context.organisation, &self.context.service, self.token_count);
     }
 }
--- a/crates/daemon/src/upstream/upstream_guard.rs
+++ b/crates/daemon/src/upstream/upstream_guard.rs
@@ -28,7 +28,7 @@
     /// Counts the request with `fingerprint` as in flight on `entry`, which was picked for it.
     #[must_use]
     pub fn new(shared: Arc<SharedState>, entry: UpstreamEntry, fingerprint: u64) -> Self {
-        shared.running_requests.request_started(&entry.address, fingerprint);
+        shared.inflight_table.request_started(&entry.address, fingerprint);
         let started_at = shared.now();
         Self { shared, entry, fingerprint, started_at, failed: false }
     }
@@ -50,16 +50,16 @@
     /// crashed, the requests that were in flight on it are marked as suspects.
     pub async fn connection_lost(&mut self) {
         self.failed = true;
-        let running = self.shared.running_requests.distinct_fingerprints(&self.entry.address);
-        mark_suspects_if_crashed(&self.shared, &self.entry, &running).await;
+        let fingerprints = self.shared.inflight_table.distinct_fingerprints(&self.entry.address);
+        mark_suspects_if_crashed(&self.shared, &self.entry, &fingerprints).await;
     }
 
     /// Does the same as [`connection_lost`](Self::connection_lost) in a background task, for callers that cannot await.
     pub fn connection_lost_in_background(&mut self) {
         self.failed = true;
-        let running = self.shared.running_requests.distinct_fingerprints(&self.entry.address);
+        let fingerprints = self.shared.inflight_table.distinct_fingerprints(&self.entry.address);
         let (shared, entry) = (self.shared.clone(), self.entry.clone());
-        actix_rt::spawn(async move { mark_suspects_if_crashed(&shared, &entry, &running).await });
+        actix_rt::spawn(async move { mark_suspects_if_crashed(&shared, &entry, &fingerprints).await });
     }
 
     /// Records that the upstream completed the request, and removes the request's suspect mark.
@@ -82,25 +82,25 @@
     false
 }
 
-/// Probes the upstream and, if it has crashed, marks the requests with the fingerprints `running` as suspects.
-async fn mark_suspects_if_crashed(shared: &SharedState, entry: &UpstreamEntry, running: &[u64]) {
-    let dead = is_refusing_connections(entry).await;
+/// Probes the upstream and, if it has crashed, marks the requests with `fingerprints` as suspects.
+async fn mark_suspects_if_crashed(shared: &SharedState, entry: &UpstreamEntry, fingerprints: &[u64]) {
+    let has_crashed = is_refusing_connections(entry).await;
     LogLine::new("upstream_lost")
         .field("upstream", &entry.name)
-        .field("dead", dead)
-        .field("running", running.len())
+        .field("dead", has_crashed)
+        .field("running", fingerprints.len())
         .warn();
-    if dead {
+    if has_crashed {
         let now = shared.now();
         shared.routes().connection_refused(&entry.name, now);
-        shared.suspects().upstream_crashed(running, now);
+        shared.suspects().upstream_crashed(fingerprints, now);
         shared.suspect_added.notify_one();
     }
 }
 
 impl Drop for UpstreamGuard {
     fn drop(&mut self) {
-        self.shared.running_requests.request_ended(&self.entry.address, self.fingerprint);
+        self.shared.inflight_table.request_ended(&self.entry.address, self.fingerprint);
         let now = self.shared.now();
         self.shared.routes().request_ended(&self.entry.name, self.failed, now);
     }
