--- a/crates/daemon/src/admission_controller.rs
+++ b/crates/daemon/src/admission_controller.rs
@@ -8,7 +8,7 @@
 };
 use tokio::sync::oneshot;
 
-/// Requests of one service.
+/// Fair queue of one service.
 #[derive(Debug, Default)]
 struct ServiceQueue {
     queue: FairQueue,
@@ -22,7 +22,7 @@
     queues: Mutex<HashMap<SharedName, ServiceQueue>>,
 }
 
-/// A request that is to be admitted.
+/// A request to admit, with its expected cost and the limits that apply to it.
 #[derive(Clone, Debug)]
 pub struct AdmissionRequest {
     /// Organisation of the caller.
@@ -31,7 +31,7 @@
     pub weight: u64,
     /// Name of the service.
     pub service: SharedName,
-    /// Number of tokens that the request is expected to cost.
+    /// Expected number of generated tokens, which is charged to the organisation until the actual number is recorded.
     pub expected_tokens: u64,
     /// Maximum number of waiting requests of the organisation.
     pub depth_max: usize,
@@ -51,6 +51,7 @@
         self.with_queue(service, |service_queue| {
             while let Some(ticket) = service_queue.queue.admit(running_max) {
                 let admitted = service_queue.waiting.remove(&ticket).is_some_and(|sender| sender.send(()).is_ok());
+                // The request has stopped waiting.
                 if !admitted {
                     service_queue.queue.release();
                 }
@@ -74,7 +75,7 @@
         })?;
         let guard = AdmissionGuard { shared: shared.clone(), request, ticket };
         guard.admit_waiting();
-        // The sender is dropped without sending only together with the controller.
+        // The sender is only dropped without sending together with the controller, which `shared` keeps alive.
         let _ = receiver.await;
         Some(guard)
     }
--- a/crates/daemon/src/api_error.rs
+++ b/crates/daemon/src/api_error.rs
@@ -8,7 +8,7 @@
 /// Result of handling a caller's request.
 pub type Result<T> = std::result::Result<T, ApiError>;
 
-/// Value of the `Retry-After` header of refusals for which a retry can succeed.
+/// Value of the `Retry-After` header, which is sent with the statuses 429 and 503 because a retry can succeed.
 const RETRY_AFTER_SECONDS: &str = "1";
 
 /// Refusal of a caller's request.
@@ -19,7 +19,7 @@
     pub reason: RefusalReason,
     /// Whether an upstream ran the request.
     pub run_state: RunState,
-    /// Id of the request.
+    /// ID of the request.
     pub request_id: RequestId,
 }
 
--- a/crates/daemon/src/claim/claim_actor.rs
+++ b/crates/daemon/src/claim/claim_actor.rs
@@ -16,12 +16,12 @@
 use std::{collections::HashMap, sync::Arc, time::Duration};
 use tokio::sync::oneshot;
 
-/// Requests a claim from this daemon, as the owner of the claim's shard.
+/// Request for a claim, sent to this daemon as the owner of the claim's shard.
 #[derive(Message)]
 #[rtype(result = "ClaimResponse")]
 pub struct ClaimMessage(pub ClaimRequest);
 
-/// Reports how the request of a granted claim ended.
+/// Report of how the request of a granted claim ended.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct SettleMessage(pub SettleRequest);
--- a/crates/daemon/src/claim/claim_client.rs
+++ b/crates/daemon/src/claim/claim_client.rs
@@ -36,12 +36,12 @@
 #[derive(Clone, Debug)]
 pub struct ClaimGrant {
     key: SharedName,
-    /// Unique number of the attempt that was granted the claim.
+    /// Random ID of the attempt to which the claim was granted.
     grant_id: u64,
 }
 
 /// Refusal of a call that was not run itself, while an earlier call with the same idempotency key may have run. The run
-/// state is that of the earlier call, because the caller needs to know whether its order was carried out by any call.
+/// state is that of the earlier call, because it tells the caller whether the operation may have been carried out.
 fn may_have_run(reason: RefusalReason, id: &RequestId) -> ApiError {
     ApiError { reason, run_state: RunState::MayHaveRun, request_id: id.clone() }
 }
@@ -52,7 +52,7 @@
         Self { shared, actor, peer_client }
     }
 
-    /// Claims `key` for the request with `fingerprint`, which will have ended in `within_ms` milliseconds. Returns a
+    /// Claims `key` for the request with `fingerprint`, which ends within `within_ms` milliseconds. Returns a
     /// grant if the request may run, or the stored response if an earlier request with the same key has run. Returns
     /// an error if the earlier request may have run, if it was a different request, or if no owner grants the claim.
     pub async fn claim(
@@ -80,8 +80,8 @@
         refuse(RefusalReason::ClaimUnavailable)
     }
 
-    /// Reports to the shard's owner how the request of `grant` ended. If that fails, the claim stays stored and later
-    /// requests with its key are refused, because their outcome is unknown.
+    /// Reports to the shard's owner how the request of `grant` ended. If that fails, the claim stays in progress until
+    /// its deadline. Afterwards its outcome counts as unknown, and later requests with its key are refused.
     pub async fn settle(&self, grant: &ClaimGrant, state: SettleState) {
         let request = SettleRequest { key: grant.key.clone(), grant_id: grant.grant_id, state };
         for _ in 0..SETTLE_ATTEMPTS {
--- a/crates/daemon/src/claim/claim_store.rs
+++ b/crates/daemon/src/claim/claim_store.rs
@@ -26,9 +26,9 @@
 pub struct ClaimStore<K> {
     kv: K,
     shared: Arc<SharedState>,
-    /// Lease of the current batches, and the time at which the next one is granted.
+    /// ID of the lease for new batches, and the time until which it is used.
     lease: Option<(u64, pimentoslip_kernel::TimePoint)>,
-    /// Number of commits so far, which makes the keys of the batches unique.
+    /// Number of commits so far. It is part of the batch keys and makes them unique.
     commit_count: u64,
 }
 
@@ -57,7 +57,7 @@
     }
 
     /// Reads the owner record of `shard`.
-    async fn owner_record(&self, shard: u64) -> Result<OwnerRecord> {
+    async fn read_owner_record(&self, shard: u64) -> Result<OwnerRecord> {
         let response = self.kv.get(&self.owner_key(shard)).await?;
         let Some(entry) = response.kvs.first() else { return Ok(OwnerRecord::OtherProcess(0)) };
         if entry.value == self.shared.process_name().as_bytes() {
@@ -70,9 +70,9 @@
     /// commit any more claims; then the stored claims are read. Returns the revision of the owner record, and the keys
     /// and request fingerprints of the stored claims. Returns an error if another process became the owner first.
     pub async fn take_over(&self, shard: u64) -> Result<(u64, Vec<(ClaimKey, u64)>)> {
-        let epoch = match self.owner_record(shard).await? {
+        let epoch = match self.read_owner_record(shard).await? {
             OwnerRecord::OwnProcess(epoch) => epoch,
-            OwnerRecord::OtherProcess(revision) => self.write_owner(shard, revision).await?,
+            OwnerRecord::OtherProcess(revision) => self.write_owner_record(shard, revision).await?,
         };
         let mut stored = Vec::new();
         for entry in self.kv.range(&self.batch_prefix(shard), 0).await?.kvs {
@@ -85,14 +85,14 @@
     }
 
     /// Writes the owner record of `shard` if its revision is still `revision`, and returns its new revision.
-    async fn write_owner(&self, shard: u64, revision: u64) -> Result<u64> {
+    async fn write_owner_record(&self, shard: u64, revision: u64) -> Result<u64> {
         let key = self.owner_key(shard);
         let txn =
             TxnRequest::default().expect(&key, revision).put(&key, self.shared.process_name().as_bytes().to_vec(), 0);
         match self.kv.commit(&txn).await {
             Ok(response) if response.succeeded => Ok(response.header.revision),
             // Another process wrote the record first, or the response was lost. Read the record to find out.
-            Ok(_) | Err(_) => match self.owner_record(shard).await? {
+            Ok(_) | Err(_) => match self.read_owner_record(shard).await? {
                 OwnerRecord::OwnProcess(epoch) => Ok(epoch),
                 OwnerRecord::OtherProcess(_) => Err(PlatformError::LeaseNotFound),
             },
@@ -116,7 +116,8 @@
         Ok(self.kv.commit(&txn).await?.succeeded)
     }
 
-    /// Lease for a new batch. A new one is granted once the current one has been used for [`LEASE_SPAN_MS`].
+    /// Returns the ID of the lease for a new batch. Grants a new lease once the current one has been used for
+    /// [`LEASE_SPAN_MS`].
     async fn get_or_grant_lease(&mut self) -> Result<u64> {
         let now = self.shared.now();
         if let Some((lease, used_until)) = self.lease
--- a/crates/daemon/src/config_writer.rs
+++ b/crates/daemon/src/config_writer.rs
@@ -19,7 +19,7 @@
     /// The key-value service failed, and the change may or may not have been written.
     #[error("the change may or may not have been written: {0}; send it again with the same change ID")]
     Unconfirmed(#[from] PlatformError),
-    /// Every attempt was overtaken by a concurrent change of the record.
+    /// No attempt succeeded: each one was overtaken by a concurrent change of the record, or its commit failed.
     #[error("{0} was changed by others at the same time; check its content and send the change again")]
     Conflicting(String),
     /// The stored record cannot be parsed.
--- a/crates/daemon/src/daemon_settings.rs
+++ b/crates/daemon/src/daemon_settings.rs
@@ -36,9 +36,9 @@
     pub control_listen_address: SocketAddr,
     /// Address of the key-value service, as `ip:port`.
     pub kv_address: SharedName,
-    /// Address of the interface that takes orders for upstreams, as `ip:port`.
+    /// Address of the interface that accepts orders for upstreams, as `ip:port`.
     pub orders_address: SharedName,
-    /// Address of the interface that takes usage reports, as `ip:port`.
+    /// Address of the interface that accepts usage reports, as `ip:port`.
     pub usage_address: SharedName,
     /// Address of the interface that serves the VM list, as `ip:port`.
     pub vm_list_address: SharedName,
@@ -74,6 +74,7 @@
     default: Option<&'static str>,
 }
 
+/// All settings, with the flags that operators use.
 const SETTING_SPECS: &[SettingSpec] = &[
     SettingSpec {
         flag: "name",
@@ -148,8 +149,8 @@
     format!("PIMENTOSLIP_{}", flag.to_uppercase().replace('-', "_"))
 }
 
-/// Reads settings and collects all errors, so that they can be reported together. Every method returns a placeholder
-/// for an invalid setting.
+/// Reads settings and collects all errors, so that they can be reported together. The value that a method returns must
+/// not be used if the method has added an error.
 struct SettingReader<'a> {
     matches: &'a ArgMatches,
     errors: Vec<SettingError>,
--- a/crates/daemon/src/http/admin_api.rs
+++ b/crates/daemon/src/http/admin_api.rs
@@ -18,7 +18,7 @@
     time::Duration,
 };
 
-/// Time for which a change waits for confirmations before it is answered as pending.
+/// Time for which a change waits for confirmations before the response reports it as not accepted yet.
 const CONFIRM_TIMEOUT_MS: u64 = 2_500;
 const CONFIRM_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
@@ -47,8 +47,8 @@
     if accepted { HttpResponse::Ok().json(response) } else { HttpResponse::Accepted().json(response) }
 }
 
-/// Sends records until every daemon has confirmed them or the time is up. Returns the names of the daemons that
-/// confirmed, and of those that did not.
+/// Sends records until every daemon has confirmed them or [`CONFIRM_TIMEOUT_MS`] has passed. Returns the names of the
+/// daemons that confirmed, and of those that did not.
 async fn push_until_confirmed(worker: &WorkerState, entries: Vec<RecordEntry>) -> (Vec<SharedName>, Vec<SharedName>) {
     let deadline = worker.shared.now().plus_ms(CONFIRM_TIMEOUT_MS);
     loop {
@@ -69,7 +69,8 @@
     }
 }
 
-/// Writes the records that differ from the stored ones, and marks missing ones as removed. Returns the written entries.
+/// Writes the records that differ from the stored ones, and marks the stored services and organisations that are
+/// missing from the request as removed. Returns the written entries.
 async fn write_records(worker: &WorkerState, request: ApplyRequest) -> Result<Vec<RecordEntry>, WriteError> {
     let writer = ConfigWriter::new(&worker.kv, &worker.shared);
     let mut wanted: Vec<(RecordName, ConfigRecord)> =
@@ -85,7 +86,7 @@
     Ok(entries)
 }
 
-/// Names of the stored services and organisations that `wanted` lacks.
+/// Names of the stored services and organisations that are missing from `wanted`.
 async fn removed_names(
     worker: &WorkerState,
     wanted: &[(RecordName, ConfigRecord)],
--- a/crates/daemon/src/http/engine_api.rs
+++ b/crates/daemon/src/http/engine_api.rs
@@ -23,13 +23,13 @@
     engine::{CompletionRequest, TokenUsage},
 };
 
-/// Priority of callers' requests, which engines run before the samples of trainers.
+/// Priority of callers' requests. Engines run lower values first, so these run before the samples of trainers.
 const CALLER_PRIORITY: u32 = 50;
 /// Number of generated tokens assumed for a request without `max_tokens`.
 const DEFAULT_EXPECTED_TOKENS: u32 = 256;
-/// Length of the prompt prefix by which upstreams with the same prefix cached are preferred.
+/// Length of the prompt prefix that is hashed for routing, so that an upstream with this prefix cached is preferred.
 const PROMPT_PREFIX_BYTES: usize = 256;
-/// Maximum size of an answer that is not streamed.
+/// Maximum size of an upstream's response that is not streamed.
 const RESPONSE_BYTES_MAX: usize = 16 << 20;
 const EVENT_STREAM: &str = "text/event-stream";
 
@@ -166,7 +166,7 @@
     }
 }
 
-/// Reads the complete answer, counts its usage and returns it to the caller.
+/// Reads the complete response of the upstream, counts its usage and returns the response to the caller.
 async fn buffered_response<S>(
     worker: &WorkerState,
     mut upstream_response: UpstreamResponse<S>,
--- a/crates/daemon/src/http/key_api.rs
+++ b/crates/daemon/src/http/key_api.rs
@@ -16,7 +16,7 @@
 pub async fn create(worker: web::Data<WorkerState>, request: web::Json<KeyRequest>) -> HttpResponse {
     let Some(hash) = request.key_hash.clone().filter(|hash| hash.len() == HASH_CHARS) else {
         return error_response(&WriteError::Rejected(
-            "the hash is missing or malformed; send the SHA-256 of the key".to_owned(),
+            "the key hash is missing or not 64 characters long; send the SHA-256 of the key in hexadecimal".to_owned(),
         ));
     };
     let organisation_name = RecordName::Organisation(request.organisation.clone());
@@ -35,7 +35,7 @@
     .await
 }
 
-/// Handles `POST /keys/withdraw`: makes a key invalid for good.
+/// Handles `POST /keys/withdraw`: marks a stored key as withdrawn, so that it is no longer accepted.
 pub async fn withdraw(worker: web::Data<WorkerState>, request: web::Json<KeyRequest>) -> HttpResponse {
     change_keys(&worker, &request, |key_set| match key_set.keys.get_mut(&request.key_id) {
         Some(entry) => {
@@ -47,7 +47,7 @@
     .await
 }
 
-/// Applies `edit` to the stored keys of an organisation, sends the result to the peers, and returns the response.
+/// Applies `edit` to the stored keys of an organisation, sends the changed keys to the peers, and returns the response.
 async fn change_keys(
     worker: &WorkerState,
     request: &KeyRequest,
--- a/crates/daemon/src/http/peer_api.rs
+++ b/crates/daemon/src/http/peer_api.rs
@@ -17,7 +17,7 @@
 
 const MESSAGE_PACK_TYPE: &str = "application/msgpack";
 
-/// Response with an encoded message.
+/// Response whose body is the encoded `message`.
 fn encoded_response<T: Serialize>(message: &T) -> HttpResponse {
     match encode(message) {
         Ok(body) => HttpResponse::Ok().content_type(MESSAGE_PACK_TYPE).body(body),
--- a/crates/daemon/src/http/plain_api.rs
+++ b/crates/daemon/src/http/plain_api.rs
@@ -28,9 +28,9 @@
 
 /// Priority sent to the upstream with each request.
 const PLAIN_PRIORITY: u32 = 50;
-/// Maximum size of an upstream's answer.
+/// Maximum size of an upstream's response.
 const RESPONSE_BYTES_MAX: usize = 8 << 20;
-/// Maximum size of an answer that is stored to be replayed when a claimed request is repeated.
+/// Maximum size of a response that is stored with its claim, to be replayed when the request is repeated.
 const STORED_RESPONSE_BYTES_MAX: usize = 64 << 10;
 /// Time after the deadline of a claimed request at which its outcome counts as unknown if it has not been settled.
 const CLAIM_MARGIN_MS: u64 = 2_000;
@@ -69,7 +69,7 @@
     worker.record_outcome(&id, started_at, outcome)
 }
 
-/// Response to the caller. `replayed` says that the answer is from an earlier run of the claimed request.
+/// Response to the caller. `replayed` says whether it is from an earlier run of the claimed request.
 fn caller_response(stored_response: &StoredResponse, replayed: bool, id: &RequestId) -> HttpResponse {
     let status = StatusCode::from_u16(stored_response.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = HttpResponse::build(status);
@@ -143,7 +143,8 @@
     service.cloned().ok_or_else(|| ApiError::not_run(RefusalReason::ServiceUnknown, id))
 }
 
-/// Whether a path needs no key. A path that an upstream might interpret differently always needs one.
+/// Whether a path needs no key. A path with `..`, `//`, `%` or `\`, which an upstream might interpret differently,
+/// always needs one.
 fn is_open_path(service: &ServiceConfig, path: &str) -> bool {
     let path = path.split('?').next().unwrap_or("");
     if path.contains("..") || path.contains("//") || path.contains('%') || path.contains('\\') {
@@ -155,7 +156,8 @@
     })
 }
 
-/// Runs the request, under a claim if it has an idempotency key. The flag is true if the answer is from an earlier run.
+/// Runs the request, under a claim if it has an idempotency key. The flag is true if the response is from an earlier
+/// run.
 async fn run_request(worker: &WorkerState, request: &UpstreamRequest) -> Result<(StoredResponse, bool)> {
     let RequestClass::Claimed(key) = &request.class else { return Ok((forward(worker, request).await?, false)) };
     let claim_key = format!("{}/{}/{key}", request.organisation, request.service).into();
@@ -180,7 +182,7 @@
     worker.claim_client.settle(grant, state).await;
 }
 
-/// Sends the request to an upstream and reads the complete answer.
+/// Sends the request to an upstream and reads the complete response.
 async fn forward(worker: &WorkerState, request: &UpstreamRequest) -> Result<StoredResponse> {
     let client =
         if request.class == RequestClass::Idempotent { &worker.upstream_client } else { &worker.non_idempotent_client };
--- a/crates/daemon/src/http/trainer_api.rs
+++ b/crates/daemon/src/http/trainer_api.rs
@@ -79,8 +79,8 @@
     worker.record_outcome(&id, started_at, outcome)
 }
 
-/// Raises the stored published version and returns the version in effect. A lower version than the stored one changes
-/// nothing.
+/// Raises the stored published version; a version that is not higher than the stored one changes nothing. Returns the
+/// published version in this daemon's cached configuration, or the requested one if that is higher.
 async fn store_version(worker: &WorkerState, publish_request: &PublishRequest, id: &RequestId) -> Result<u64> {
     let name = RecordName::Weights(publish_request.service.clone());
     let writer = ConfigWriter::new(&worker.kv, &worker.shared);
@@ -101,7 +101,7 @@
     Ok(worker.shared.config().published_version(&publish_request.service).max(publish_request.version))
 }
 
-/// Organisation of the caller, whichever service its key is granted. Fails if it is granted none.
+/// Organisation of the caller, which may use any service. Fails if it may use none.
 fn authenticate_any(
     worker: &WorkerState,
     request: &HttpRequest,
@@ -119,14 +119,14 @@
     outcome
 }
 
-/// Reads and parses the JSON body, unless the daemon refuses requests.
+/// Reads and parses the JSON body. Fails if this daemon no longer accepts requests, or if the body is invalid.
 async fn parse_body<T: DeserializeOwned>(worker: &WorkerState, payload: web::Payload, id: &RequestId) -> Result<T> {
     worker.check_accepts_requests(id)?;
     let body = read_body(&worker.shared, payload, id).await?;
     serde_json::from_slice(&body).map_err(|_| ApiError::not_run(RefusalReason::BodyMalformed, id))
 }
 
-/// Refuses a trainer name that is empty, too long or has other characters than letters, digits and `-`.
+/// Refuses a trainer name that is empty, too long or has other characters than ASCII letters, digits and `-`.
 fn check_trainer_name(name: &str, id: &RequestId) -> Result<()> {
     let is_valid = !name.is_empty()
         && name.len() <= TRAINER_NAME_CHARS_MAX
--- a/crates/daemon/src/http/worker_state.rs
+++ b/crates/daemon/src/http/worker_state.rs
@@ -28,13 +28,13 @@
     pub peer_client: PeerClient,
     /// Client for the key-value service.
     pub kv: EtcdClient,
-    /// Sends claims to the daemon that owns them.
+    /// Client for the daemons that own the claims.
     pub claim_client: ClaimClient,
     /// Actor that holds the claims owned by this daemon.
     pub claim_actor: Addr<ClaimActor<EtcdClient>>,
-    /// Sends trainers' calls to the daemon that holds the step.
+    /// Client for the daemons that own the steps.
     pub step_client: StepClient,
-    /// Actor that holds the steps of this daemon.
+    /// Actor that holds the steps owned by this daemon.
     pub step_actor: Addr<StepActor>,
 }
 
--- a/crates/daemon/src/metric_set.rs
+++ b/crates/daemon/src/metric_set.rs
@@ -37,9 +37,9 @@
     pub kv_calls: Gauge,
     /// Number of requests being served, copied from its counter before each export.
     pub inflight: Gauge,
-    /// Group commits of claims.
+    /// Group commits of claims, including those that failed.
     pub claim_commits: Counter,
-    /// Claims stored by these group commits.
+    /// Claims in these group commits.
     pub claims: Counter,
     /// Samples delivered to trainers.
     pub samples: Counter,
--- a/crates/daemon/src/running_daemon.rs
+++ b/crates/daemon/src/running_daemon.rs
@@ -33,7 +33,7 @@
 /// Time for which a stopping server waits until its connections are closed.
 const SERVER_STOP_TIMEOUT_SECONDS: u64 = 5;
 
-/// Started daemon.
+/// Handle of a started daemon, which shuts it down.
 pub struct RunningDaemon {
     shared: Arc<SharedState>,
     /// Bound address of the public listener.
@@ -46,7 +46,8 @@
     usage_task: Addr<PeriodicActor<UsageTask>>,
 }
 
-/// Binds both listeners and starts the actors, tasks and servers on the current actix system.
+/// Binds both listeners and starts the actors, tasks and servers on the current actix system. Fails if a listener
+/// cannot be bound.
 pub async fn start(settings: DaemonSettings) -> Result<RunningDaemon> {
     let shared = SharedState::new(settings);
     let settings = &shared.settings;
@@ -119,7 +120,8 @@
     Ok(daemon)
 }
 
-/// Sends the marks of suspected requests to the peers at once, because a retry of the request may reach them next.
+/// Sends the marks of newly suspected requests to the peers at once, because a retry of the request may reach a peer
+/// next.
 async fn push_suspects(shared: Arc<SharedState>, peer_client: PeerClient) {
     loop {
         shared.suspect_added.notified().await;
--- a/crates/daemon/src/shared_state.rs
+++ b/crates/daemon/src/shared_state.rs
@@ -22,8 +22,8 @@
 /// State and fencing number of each duty, as shown on the status page.
 pub type DutyStates = BTreeMap<SharedName, (&'static str, Option<u64>)>;
 
-/// State shared by the listeners and the background tasks. A lock is only held for one decision, never across an
-/// `await`.
+/// State shared by the listeners and the background tasks. Locks are held only for a short computation, never across
+/// an `await`.
 pub struct SharedState {
     /// Settings of this daemon.
     pub settings: DaemonSettings,
@@ -45,7 +45,7 @@
     pub draining: AtomicBool,
     /// Notified when an operator requests this daemon to drain.
     pub drain_requested: tokio::sync::Notify,
-    /// Whether new requests are refused, which starts some time after the readiness probe fails.
+    /// Whether new requests are refused, which starts `drain_grace_ms` after the readiness probe fails.
     pub refusing_requests: AtomicBool,
     /// Whether the last VM list contained this daemon.
     pub is_listed: AtomicBool,
@@ -157,8 +157,8 @@
         self.config.read().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Applies configuration records. `complete_revision` is the revision up to which the sender holds all records, or 0 if
-    /// `entries` are only some of them. Returns the records that were newer than the cached ones.
+    /// Applies configuration records. `complete_revision` is the revision up to which `entries` and the cached records
+    /// contain every change, or 0 if that is not known. Returns the records that were newer than the cached ones.
     pub fn apply_records(&self, entries: Vec<RecordEntry>, complete_revision: u64) -> Vec<RecordEntry> {
         let mut view = self.config.write().unwrap_or_else(PoisonError::into_inner);
         let applied = entries.into_iter().filter(|entry| view.apply(entry.clone())).collect();
--- a/crates/daemon/src/step/sample_attempt.rs
+++ b/crates/daemon/src/step/sample_attempt.rs
@@ -12,9 +12,9 @@
 use pimentoslip_wire::engine::{ChatMessage, CompletionRequest, StreamChunk};
 use std::sync::Arc;
 
-/// Priority of samples at the engines, which run customers' requests first. Lower values run first.
+/// Priority of samples. Engines run lower values first, so callers' requests run before samples.
 const SAMPLE_PRIORITY: u32 = 200;
-/// Length of the start of the prompt that is hashed for routing.
+/// Length of the prompt prefix that is hashed for routing, so that an upstream with this prefix cached is preferred.
 const PROMPT_PREFIX_BYTES: usize = 256;
 
 /// Reason why an attempt did not generate a sample.
@@ -26,8 +26,8 @@
     /// The response ended without its terminal marker.
     #[error("the response ended before its terminal marker; the sample is run again")]
     Truncated,
-    /// The response has no tokens, a chunk without a weight version, or a malformed chunk.
-    #[error("the response has no tokens or a chunk without a weight version; check the engine's release")]
+    /// The response has no tokens, or a chunk is malformed or has no weight version.
+    #[error("the response has no tokens, or a chunk is malformed or has no weight version; check the engine's release")]
     VersionMissing,
 }
 
--- a/crates/daemon/src/step/step_actor.rs
+++ b/crates/daemon/src/step/step_actor.rs
@@ -32,13 +32,13 @@
 /// Maximum number of samples in a step.
 const STEP_SAMPLES_MAX: usize = 65_536;
 /// Share of an upstream's request slots that samples may use, as numerator and denominator. The other slots stay free
-/// for customers' requests.
+/// for callers' requests.
 const SAMPLE_SLOT_SHARE: (u64, u64) = (3, 4);
 
 /// Outcome of a trainer's call: the response, or the reason for refusing it.
 pub type StepOutcome<T> = std::result::Result<T, RefusalReason>;
 
-/// Opens a step on this daemon, its owner. Opening it again with the same specification has no effect.
+/// Request to open a step on this daemon, its owner. Opening it again with the same specification has no effect.
 #[derive(Message)]
 #[rtype(result = "StepOutcome<OpenResponse>")]
 pub struct OpenStepMessage {
@@ -48,7 +48,7 @@
     pub open: OpenRequest,
 }
 
-/// Fetches complete samples of a step that this daemon owns.
+/// Request for complete samples of a step that this daemon owns.
 #[derive(Message)]
 #[rtype(result = "StepOutcome<FetchResponse>")]
 pub struct FetchSamplesMessage {
@@ -58,12 +58,12 @@
     pub fetch: FetchRequest,
 }
 
-/// Lists the steps that this daemon owns, with their progress.
+/// Request for the list of steps that this daemon owns, with their progress.
 #[derive(Message)]
 #[rtype(result = "Vec<StepStatus>")]
 pub struct ListStepsMessage;
 
-/// Reports that an attempt at a sample ended.
+/// Report that an attempt at a sample ended.
 #[derive(Message)]
 #[rtype(result = "()")]
 struct AttemptEndedMessage {
@@ -166,7 +166,8 @@
         state.answer_fetches(&self.shared, now);
     }
 
-    /// Applies newly published weight versions, answers waiting fetches, removes idle steps and starts attempts.
+    /// Applies newly published weight versions, answers waiting fetches, removes idle steps and, unless this daemon is
+    /// shutting down, starts attempts.
     fn tick(&mut self, context: &mut Context<Self>) {
         let now = self.shared.now();
         for state in self.steps.values_mut() {
--- a/crates/daemon/src/step/step_client.rs
+++ b/crates/daemon/src/step/step_client.rs
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Sends a call to the daemon that should own the step `key`, or serves it here if that is this daemon or no
+    /// Sends a call to the daemon that should own the step `key`, or serves it locally if that is this daemon or no
     /// daemon is active.
     async fn forward(
         &self,
@@ -102,7 +102,7 @@
     }
 }
 
-/// Wraps the outcome of a call for the daemon that forwarded it.
+/// Response to the daemon that forwarded the call: the result in the variant of `wrap`, or the refusal.
 fn forward_response<T>(outcome: StepOutcome<T>, id: &str, wrap: impl FnOnce(T) -> ForwardResponse) -> ForwardResponse {
     match outcome {
         Ok(response) => wrap(response),
--- a/crates/daemon/src/step/step_state.rs
+++ b/crates/daemon/src/step/step_state.rs
@@ -37,8 +37,8 @@
 }
 
 impl StepState {
-    /// Creates a step without attempts. `staleness_bound` is the number of versions by which a sample may lag behind
-    /// the newest one; `published_version` is the newest version recorded so far.
+    /// Creates a step without attempts. `staleness_bound` is the number of weight versions by which a sample may lag
+    /// behind the newest one; `published_version` is the newest published version.
     pub fn new(
         organisation: SharedName,
         spec: StepSpec,
@@ -58,7 +58,7 @@
     }
 
     /// Answers the waiting fetches for which there are samples or whose deadline has passed, and all of them once the
-    /// step is complete.
+    /// trainer has confirmed every sample.
     pub fn answer_fetches(&mut self, shared: &SharedState, now: TimePoint) {
         let waiting_fetches = std::mem::take(&mut self.waiting_fetches);
         for fetch in waiting_fetches {
--- a/crates/daemon/src/task/discovery_task.rs
+++ b/crates/daemon/src/task/discovery_task.rs
@@ -25,7 +25,7 @@
         Self { shared, provider }
     }
 
-    /// Reads the VM list and applies it.
+    /// Reads the VM list, and updates the list of daemons and the route table.
     async fn read_vm_list(&self) {
         let list = match self.provider.vms().await {
             Ok(list) => list,
--- a/crates/daemon/src/task/domain_duty.rs
+++ b/crates/daemon/src/task/domain_duty.rs
@@ -17,7 +17,8 @@
 };
 use std::{collections::BTreeMap, sync::Arc};
 
-/// Time for which no upstream is ordered after the provider had none available for that service and price class.
+/// Time for which no further upstream of a service is ordered after the provider had none available. Counted separately
+/// for standing and reclaimable upstreams.
 const UNAVAILABLE_BACKOFF_MS: u64 = 10_000;
 
 /// Matches the running upstreams and weights of one failure domain to the configuration, while this daemon holds the
--- a/crates/daemon/src/task/duty_lease.rs
+++ b/crates/daemon/src/task/duty_lease.rs
@@ -7,10 +7,10 @@
 use pimentoslip_wire::kv::{RangeResponse, TxnRequest};
 use std::sync::{Arc, PoisonError, atomic::Ordering};
 
-/// A daemon of rank n takes a vacant duty only after n times this delay, so that a daemon of better rank takes it
-/// first.
+/// A daemon of rank n acquires a vacant duty only after n times this delay, so that a daemon of a better rank acquires
+/// it first. Rank 0 is the best.
 const RANK_DELAY_MS: u64 = 2_000;
-/// Daemons of this rank or a worse one never take the duty.
+/// Daemons of this rank or a worse one never acquire the duty.
 const RANK_LIMIT: usize = 3;
 
 /// Acquires, renews and gives up the lease of one duty.
@@ -94,7 +94,8 @@
 
     async fn acquire_if_vacant(&mut self, rank: Option<usize>) -> Result<()> {
         let Some(rank) = rank.filter(|rank| *rank < RANK_LIMIT) else { return Ok(()) };
-        // The end of a daemon that never was on the VM list could not be proved by its removal from the list.
+        // A daemon that is not on the VM list must not become a holder, because its removal from the list could not
+        // prove later that it has ended.
         if !self.shared.is_listed.load(Ordering::SeqCst) || self.shared.draining.load(Ordering::SeqCst) {
             return Ok(());
         }
@@ -173,7 +174,7 @@
         Ok(())
     }
 
-    /// Evidence on whether any previous holder can still act.
+    /// Combined evidence on whether any previous holder can still act.
     fn evidence(&self) -> HolderEvidence {
         self.previous_holders
             .iter()
--- a/crates/daemon/src/task/order_sender.rs
+++ b/crates/daemon/src/task/order_sender.rs
@@ -45,7 +45,7 @@
     failure_domain: SharedName,
     /// Fencing number under which all pending orders were settled; `None` if some may be unsettled.
     settled_fencing: Option<u64>,
-    /// Number of orders sent by this process, which makes their IDs unique.
+    /// Number of orders sent so far. It is part of the order IDs and makes them unique under one fencing number.
     order_count: u64,
     /// Started upstreams by VM that may not be on the VM list yet, and the time until which they count as running.
     starting_upstreams: BTreeMap<SharedName, (OrderRequest, TimePoint)>,
@@ -73,7 +73,7 @@
         format!("{}{order_id}", self.orders_prefix())
     }
 
-    /// Number of upstreams of `service` that were started but are not on the VM list yet.
+    /// Number of upstreams of `service`, standing or `reclaimable`, that were started but are not on the VM list yet.
     pub fn starting_count(&mut self, service: &str, reclaimable: bool) -> u32 {
         let now = self.shared.now();
         let shared = self.shared.clone();
--- a/crates/daemon/src/task/periodic_actor.rs
+++ b/crates/daemon/src/task/periodic_actor.rs
@@ -18,12 +18,12 @@
     }
 }
 
-/// Starts a run.
+/// Message that starts a run.
 #[derive(Message)]
 #[rtype(result = "()")]
 struct RunMessage;
 
-/// Stops the task after its current run; answered once the task has stopped.
+/// Message that stops the task after its current run; answered once the task has stopped.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct StopMessage;
--- a/crates/daemon/src/task/usage_task.rs
+++ b/crates/daemon/src/task/usage_task.rs
@@ -16,6 +16,7 @@
 
 /// Name of the reporting duty.
 const USAGE_DUTY: &str = "usage";
+/// Timeout of a request for a peer's usage counters.
 const TOTALS_TIMEOUT_MS: u64 = 1_000;
 /// Time after the end of a window in which its last counters may still be collected.
 const COLLECTION_GRACE_MS: u64 = 2_000;
--- a/crates/daemon/src/upstream/attempt.rs
+++ b/crates/daemon/src/upstream/attempt.rs
@@ -23,7 +23,7 @@
     Lost,
     /// No response was received before the request's deadline.
     TimedOut,
-    /// The response has no request id, or that of another request.
+    /// The response has no request ID, or that of another request.
     Mismatch,
 }
 
@@ -63,9 +63,9 @@
     )
 }
 
-/// Sends `request` with the id `attempt_id` to the guard's upstream and waits for the header of the response. Returns
-/// an error if the request could not be sent, if the response belongs to another request, or if the upstream refused
-/// the request.
+/// Sends `request` with the ID `attempt_id` to the guard's upstream and waits for the header of the response. Returns
+/// an error if no response was received before the deadline, if the response belongs to another request, or if the
+/// upstream refused the request.
 pub async fn start_attempt(
     shared: &SharedState,
     client: &Client,
--- a/crates/daemon/src/upstream/dispatcher.rs
+++ b/crates/daemon/src/upstream/dispatcher.rs
@@ -65,13 +65,14 @@
 }
 
 /// Picks an upstream, waiting for capacity until the request's deadline. Upstreams in `tried_upstreams` are picked only
-/// if there is no other one. A request that is suspected of crashing upstreams waits for an upstream that runs no other
-/// request. Returns `None` if the service has no live upstream or the deadline has passed.
+/// if no other one is available. A request that is suspected of crashing upstreams waits for an upstream on which this
+/// daemon runs no other request. Returns `None` if the service has no live upstream or the deadline has passed.
 async fn pick_upstream(
     shared: &Arc<SharedState>,
     request: &UpstreamRequest,
     tried_upstreams: &[SharedName],
 ) -> Option<UpstreamGuard> {
+    /// Interval at which a waiting request checks for capacity again.
     const POLL_INTERVAL: Duration = Duration::from_millis(20);
     loop {
         let now = shared.now();
@@ -100,7 +101,7 @@
     }
 }
 
-/// Waits until the next attempt may start. Returns the reason for the refusal if there must be none.
+/// Waits until the next attempt may start. Returns the reason for refusing the request if it must not be retried.
 async fn wait_for_retry(
     shared: &Arc<SharedState>,
     request: &UpstreamRequest,
--- a/crates/daemon/src/upstream/inflight_table.rs
+++ b/crates/daemon/src/upstream/inflight_table.rs
@@ -10,6 +10,7 @@
 /// when it crashed.
 #[derive(Debug, Default)]
 pub struct InflightTable {
+    /// Fingerprints by upstream address; a fingerprint is repeated if the request is in flight more than once.
     by_address: Mutex<HashMap<SharedName, Vec<u64>>>,
 }
 
--- a/crates/daemon/src/upstream/stream_body.rs
+++ b/crates/daemon/src/upstream/stream_body.rs
@@ -32,11 +32,11 @@
     pub shared: Arc<SharedState>,
     /// Organisation of the caller.
     pub organisation: SharedName,
-    /// Id of the caller's key.
+    /// ID of the caller's key.
     pub key_id: SharedName,
     /// Name of the service.
     pub service: SharedName,
-    /// Id of the request.
+    /// ID of the request.
     pub id: RequestId,
 }
 
@@ -52,13 +52,13 @@
     next_key_check: TimePoint,
     /// Counts the request as in flight on the upstream.
     upstream_guard: UpstreamGuard,
-    /// Keeps the request among the running ones of its service.
+    /// Counts the request as running in the fair queue of its service.
     admission_guard: AdmissionGuard,
     /// After an error event was sent: the error, and the delay before the connection is closed.
     failure: Option<(ApiError, Pin<Box<Sleep>>)>,
     /// Whether the body has ended.
     done: bool,
-    /// Delays a planned stop of the daemon until the stream has ended.
+    /// Delays a shutdown of the daemon until the stream has ended.
     _inflight_guard: InflightGuard,
 }
 
--- a/crates/daemon/src/upstream/upstream_request.rs
+++ b/crates/daemon/src/upstream/upstream_request.rs
@@ -8,7 +8,7 @@
 /// A caller's request, reduced to the parts that the upstream may see, with the data that routing needs.
 #[derive(Clone, Debug)]
 pub struct UpstreamRequest {
-    /// Id of the request. Each attempt adds a suffix to it, which the upstream's response must echo.
+    /// ID of the request. Each attempt adds a suffix to it, which the upstream's response must echo.
     pub id: RequestId,
     /// Organisation that owns the caller's key; a fixed one on routes that need no key.
     pub organisation: SharedName,
