--- a/crates/daemon/src/admission_controller.rs
+++ b/crates/daemon/src/admission_controller.rs
@@ -51,7 +51,7 @@
         self.with_queue(service, |service_queue| {
             while let Some(ticket) = service_queue.queue.admit(running_max) {
                 let admitted = service_queue.waiting.remove(&ticket).is_some_and(|sender| sender.send(()).is_ok());
-                // The request has stopped waiting.
+                // A request that has stopped waiting frees its place again.
                 if !admitted {
                     service_queue.queue.release();
                 }
--- a/crates/daemon/src/claim/claim_client.rs
+++ b/crates/daemon/src/claim/claim_client.rs
@@ -27,7 +27,7 @@
 #[derive(Clone)]
 pub struct ClaimClient {
     shared: Arc<SharedState>,
-    /// Claim shards that this daemon owns.
+    /// Actor that holds the claim shards owned by this daemon.
     actor: Addr<ClaimActor<EtcdClient>>,
     peer_client: PeerClient,
 }
@@ -52,9 +52,10 @@
         Self { shared, actor, peer_client }
     }
 
-    /// Claims `key` for the request with `fingerprint`, which ends within `within_ms` milliseconds. Returns a
-    /// grant if the request may run, or the stored response if an earlier request with the same key has run. Returns
-    /// an error if the earlier request may have run, if it was a different request, or if no owner grants the claim.
+    /// Claims `key` for the request with `fingerprint`, which ends within `within_ms` milliseconds. Returns a grant if
+    /// the request may run, or the stored response if an earlier request with the same key has run. Returns an error if
+    /// the earlier request may have run, if it was a different request, or if the claim could not be obtained in
+    /// [`CLAIM_ATTEMPTS`] attempts.
     pub async fn claim(
         &self,
         key: SharedName,
--- a/crates/daemon/src/http/engine_api.rs
+++ b/crates/daemon/src/http/engine_api.rs
@@ -102,6 +102,7 @@
         .ok_or_else(|| ApiError::not_run(RefusalReason::ServiceUnknown, id))
 }
 
+/// Request to an upstream for the completion. Fails if the caller's idempotency key is invalid.
 fn upstream_request(
     worker: &WorkerState,
     request: &HttpRequest,
--- a/crates/daemon/src/step/step_client.rs
+++ b/crates/daemon/src/step/step_client.rs
@@ -23,7 +23,7 @@
 #[derive(Clone)]
 pub struct StepClient {
     shared: Arc<SharedState>,
-    /// Steps that this daemon owns.
+    /// Actor that holds the steps owned by this daemon.
     actor: Addr<StepActor>,
     peer_client: PeerClient,
 }
