--- a/crates/daemon/src/http/trainer_api.rs
+++ b/crates/daemon/src/http/trainer_api.rs
@@ -101,7 +101,7 @@
     Ok(worker.shared.config().published_version(&publish_request.service).max(publish_request.version))
 }
 
-/// Organisation of the caller, which may use any service. Fails if it may use none.
+/// Organisation of the caller, which must be allowed to use at least one service.
 fn authenticate_any(
     worker: &WorkerState,
     request: &HttpRequest,
