--- a/crates/daemon/src/admission_controller.rs
+++ b/crates/daemon/src/admission_controller.rs
@@ -8,7 +8,7 @@
 };
 use tokio::sync::oneshot;
 
-/// Requests of one service.
+/// Fair queue of one service.
 #[derive(Debug, Default)]
 struct ServiceQueue {
     queue: FairQueue,
@@ -19,10 +19,10 @@
 /// Fair queues of the requests that wait or run, one for each service.
 #[derive(Debug, Default)]
 pub struct AdmissionController {
-    services: Mutex<HashMap<SharedName, ServiceQueue>>,
+    queues: Mutex<HashMap<SharedName, ServiceQueue>>,
 }
 
-/// A request that is to be admitted.
+/// A request to admit, with its expected cost and the limits that apply to it.
 #[derive(Clone, Debug)]
 pub struct AdmissionRequest {
     /// Organisation of the caller.
@@ -31,7 +31,7 @@
     pub weight: u64,
     /// Name of the service.
     pub service: SharedName,
-    /// Number of tokens that the request is expected to cost.
+    /// Expected number of generated tokens, which is charged to the organisation until the actual number is recorded.
     pub expected_tokens: u64,
     /// Maximum number of waiting requests of the organisation.
     pub depth_max: usize,
@@ -42,8 +42,8 @@
 impl AdmissionController {
     /// Calls `act` with the queue of `service` while holding the lock.
     fn with_queue<R>(&self, service: &SharedName, act: impl FnOnce(&mut ServiceQueue) -> R) -> R {
-        let mut services = self.services.lock().unwrap_or_else(PoisonError::into_inner);
-        act(services.entry(service.clone()).or_default())
+        let mut queues = self.queues.lock().unwrap_or_else(PoisonError::into_inner);
+        act(queues.entry(service.clone()).or_default())
     }
 
     /// Admits waiting requests of `service` until `running_max` requests are running.
@@ -51,6 +51,7 @@
         self.with_queue(service, |service_queue| {
             while let Some(ticket) = service_queue.queue.admit(running_max) {
                 let admitted = service_queue.waiting.remove(&ticket).is_some_and(|sender| sender.send(()).is_ok());
+                // A request that has stopped waiting frees its place again.
                 if !admitted {
                     service_queue.queue.release();
                 }
@@ -62,7 +63,7 @@
     /// future is dropped, the request leaves the queue.
     pub async fn wait_for_admission(shared: &Arc<SharedState>, request: AdmissionRequest) -> Option<AdmissionGuard> {
         let (sender, receiver) = oneshot::channel();
-        let ticket = shared.admission_gate.with_queue(&request.service, |service_queue| {
+        let ticket = shared.admission_controller.with_queue(&request.service, |service_queue| {
             let ticket = service_queue.queue.enqueue(
                 &request.organisation,
                 request.weight,
@@ -74,7 +75,7 @@
         })?;
         let guard = AdmissionGuard { shared: shared.clone(), request, ticket };
         guard.admit_waiting();
-        // The sender is dropped without sending only together with the controller.
+        // The sender is only dropped without sending together with the controller, which `shared` keeps alive.
         let _ = receiver.await;
         Some(guard)
     }
@@ -91,7 +92,7 @@
     /// Replaces the expected cost that was charged to the organisation by the actual number of `tokens`.
     pub fn record_actual_tokens(&self, tokens: u64) {
         let request = &self.request;
-        self.shared.admission_gate.with_queue(&request.service, |service_queue| {
+        self.shared.admission_controller.with_queue(&request.service, |service_queue| {
             service_queue.queue.adjust_cost(&request.organisation, request.weight, request.expected_tokens, tokens);
         });
     }
@@ -99,15 +100,15 @@
     /// Admits as many waiting requests as the service's upstreams have capacity for.
     fn admit_waiting(&self) {
         let running_max = self.shared.routes().capacity(&self.request.service, self.request.inflight_max);
-        self.shared.admission_gate.admit_waiting(&self.request.service, running_max);
+        self.shared.admission_controller.admit_waiting(&self.request.service, running_max);
     }
 }
 
 impl Drop for AdmissionGuard {
     fn drop(&mut self) {
-        self.shared.admission_gate.with_queue(&self.request.service, |service_queue| {
-            let waiting = service_queue.waiting.remove(&self.ticket).is_some();
-            if waiting {
+        self.shared.admission_controller.with_queue(&self.request.service, |service_queue| {
+            let is_waiting = service_queue.waiting.remove(&self.ticket).is_some();
+            if is_waiting {
                 service_queue.queue.cancel(self.ticket);
             } else {
                 service_queue.queue.release();
--- a/crates/daemon/src/daemon_settings.rs
+++ b/crates/daemon/src/daemon_settings.rs
@@ -36,9 +36,9 @@
     pub control_listen_address: SocketAddr,
     /// Address of the key-value service, as `ip:port`.
     pub kv_address: SharedName,
-    /// Address of the interface that takes orders for upstreams, as `ip:port`.
+    /// Address of the interface that accepts orders for upstreams, as `ip:port`.
     pub orders_address: SharedName,
-    /// Address of the interface that takes usage reports, as `ip:port`.
+    /// Address of the interface that accepts usage reports, as `ip:port`.
     pub usage_address: SharedName,
     /// Address of the interface that serves the VM list, as `ip:port`.
     pub vm_list_address: SharedName,
@@ -74,7 +74,8 @@
     default: Option<&'static str>,
 }
 
-const SPECS: &[SettingSpec] = &[
+/// All settings, with the flags that operators use.
+const SETTING_SPECS: &[SettingSpec] = &[
     SettingSpec {
         flag: "name",
         help: "Name of this daemon, equal to the name of its VM on the VM list",
@@ -132,7 +133,7 @@
 /// Command line of the daemon.
 #[must_use]
 pub fn command() -> Command {
-    let args = SPECS.iter().map(|spec| {
+    let args = SETTING_SPECS.iter().map(|spec| {
         let arg =
             Arg::new(spec.flag).long(spec.flag).env(variable_name(spec.flag)).help(spec.help).hide_env_values(true);
         match spec.default {
@@ -148,8 +149,8 @@
     format!("PIMENTOSLIP_{}", flag.to_uppercase().replace('-', "_"))
 }
 
-/// Reads settings and collects all errors, so that they can be reported together. Every method returns a placeholder
-/// for an invalid setting.
+/// Reads settings and collects all errors, so that they can be reported together. The value that a method returns must
+/// not be used if the method has added an error.
 struct SettingReader<'a> {
     matches: &'a ArgMatches,
     errors: Vec<SettingError>,
@@ -185,7 +186,7 @@
         })
     }
 
-    fn endpoint(&mut self, flag: &'static str) -> SharedName {
+    fn address_text(&mut self, flag: &'static str) -> SharedName {
         self.address(flag).to_string().into()
     }
 
@@ -256,10 +257,10 @@
             site: reader.text("site"),
             listen_address: reader.address("listen"),
             control_listen_address: reader.address("control-listen"),
-            kv_address: reader.endpoint("kv"),
-            orders_address: reader.endpoint("orders"),
-            usage_address: reader.endpoint("usage"),
-            vm_list_address: reader.endpoint("vms"),
+            kv_address: reader.address_text("kv"),
+            orders_address: reader.address_text("orders"),
+            usage_address: reader.address_text("usage"),
+            vm_list_address: reader.address_text("vms"),
             cluster_secret: reader.secret("cluster-secret"),
             operator_key: reader.secret("operator-key"),
             route_policy: reader.route_policy("route-policy"),
--- a/crates/daemon/src/shared_state.rs
+++ b/crates/daemon/src/shared_state.rs
@@ -22,8 +22,8 @@
 /// State and fencing number of each duty, as shown on the status page.
 pub type DutyStates = BTreeMap<SharedName, (&'static str, Option<u64>)>;
 
-/// State shared by the listeners and the background tasks. A lock is only held for one decision, never across an
-/// `await`.
+/// State shared by the listeners and the background tasks. Locks are held only for a short computation, never across
+/// an `await`.
 pub struct SharedState {
     /// Settings of this daemon.
     pub settings: DaemonSettings,
@@ -34,9 +34,9 @@
     /// Metrics of this daemon.
     pub metrics: MetricSet,
     /// Queues of requests that wait for capacity on an upstream.
-    pub admission_gate: AdmissionController,
+    pub admission_controller: AdmissionController,
     /// Requests in flight on upstreams.
-    pub running_requests: InflightTable,
+    pub inflight_table: InflightTable,
     /// Number of calls to the key-value service.
     pub kv_calls: Arc<AtomicU64>,
     /// Notified when a request becomes suspected of crashing upstreams, so that its mark is sent to the peers at once.
@@ -45,7 +45,7 @@
     pub draining: AtomicBool,
     /// Notified when an operator requests this daemon to drain.
     pub drain_requested: tokio::sync::Notify,
-    /// Whether new requests are refused, which starts some time after the readiness probe fails.
+    /// Whether new requests are refused, which starts `drain_grace_ms` after the readiness probe fails.
     pub refusing_requests: AtomicBool,
     /// Whether the last VM list contained this daemon.
     pub is_listed: AtomicBool,
@@ -88,8 +88,8 @@
             incarnation: clock.unix_ms(),
             clock,
             metrics: MetricSet::default(),
-            admission_gate: AdmissionController::default(),
-            running_requests: InflightTable::default(),
+            admission_controller: AdmissionController::default(),
+            inflight_table: InflightTable::default(),
             kv_calls: Arc::default(),
             suspect_added: tokio::sync::Notify::new(),
             draining: AtomicBool::new(false),
@@ -157,12 +157,12 @@
         self.config.read().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Applies configuration records. `complete` is the revision up to which the sender holds all records, or 0 if
-    /// `entries` are only some of them. Returns the records that were newer than the cached ones.
-    pub fn apply_records(&self, entries: Vec<RecordEntry>, complete: u64) -> Vec<RecordEntry> {
+    /// Applies configuration records. `complete_revision` is the revision up to which `entries` and the cached records
+    /// contain every change, or 0 if that is not known. Returns the records that were newer than the cached ones.
+    pub fn apply_records(&self, entries: Vec<RecordEntry>, complete_revision: u64) -> Vec<RecordEntry> {
         let mut view = self.config.write().unwrap_or_else(PoisonError::into_inner);
         let applied = entries.into_iter().filter(|entry| view.apply(entry.clone())).collect();
-        view.revision_completed(complete);
+        view.revision_completed(complete_revision);
         self.metrics.config_revision.set(i64::try_from(view.newest_revision()).unwrap_or(i64::MAX));
         applied
     }
--- a/crates/daemon/src/task/discovery_task.rs
+++ b/crates/daemon/src/task/discovery_task.rs
@@ -25,7 +25,7 @@
         Self { shared, provider }
     }
 
-    /// Reads the VM list and applies it.
+    /// Reads the VM list, and updates the list of daemons and the route table.
     async fn read_vm_list(&self) {
         let list = match self.provider.vm_list().await {
             Ok(list) => list,
@@ -107,7 +107,7 @@
         };
         for (name, inflight_max) in services {
             let capacity = self.shared.routes().capacity(&name, inflight_max);
-            self.shared.admission_gate.admit_waiting(&name, capacity);
+            self.shared.admission_controller.admit_waiting(&name, capacity);
         }
     }
 }
--- a/crates/daemon/src/upstream/dispatcher.rs
+++ b/crates/daemon/src/upstream/dispatcher.rs
@@ -65,31 +65,32 @@
 }
 
 /// Picks an upstream, waiting for capacity until the request's deadline. Upstreams in `tried_upstreams` are picked only
-/// if there is no other one. A request that is suspected of crashing upstreams waits for an upstream that runs no other
-/// request. Returns `None` if the service has no live upstream or the deadline has passed.
+/// if no other one is available. A request that is suspected of crashing upstreams waits for an upstream on which this
+/// daemon runs no other request. Returns `None` if the service has no live upstream or the deadline has passed.
 async fn pick_upstream(
     shared: &Arc<SharedState>,
     request: &UpstreamRequest,
     tried_upstreams: &[SharedName],
 ) -> Option<UpstreamGuard> {
+    /// Interval at which a waiting request checks for capacity again.
     const POLL_INTERVAL: Duration = Duration::from_millis(20);
     loop {
         let now = shared.now();
-        let suspect = shared.suspects().is_suspect(request.fingerprint, now);
+        let is_suspect = shared.suspects().is_suspect(request.fingerprint, now);
         let query = RouteQuery {
             service: &request.service,
             failure_domain: &shared.settings.failure_domain,
             prefix_hash: request.prefix_hash,
             excluded: tried_upstreams,
-            exclusive: suspect,
+            exclusive: is_suspect,
             inflight_max: request.inflight_max,
         };
-        let picked = shared.with_rng(|rng| {
+        let picked_entry = shared.with_rng(|rng| {
             let mut routes = shared.routes();
             let without_exclusions = RouteQuery { excluded: &[], ..query.clone() };
             routes.pick(&query, now, rng).or_else(|| routes.pick(&without_exclusions, now, rng))
         });
-        if let Some(entry) = picked {
+        if let Some(entry) = picked_entry {
             return Some(UpstreamGuard::new(shared.clone(), entry, request.fingerprint));
         }
         let has_upstream = shared.routes().capacity(&request.service, 1) > 0;
@@ -100,7 +101,7 @@
     }
 }
 
-/// Waits until the next attempt may start. Returns the reason for the refusal if there must be none.
+/// Waits until the next attempt may start. Returns the reason for refusing the request if it must not be retried.
 async fn wait_for_retry(
     shared: &Arc<SharedState>,
     request: &UpstreamRequest,
@@ -116,9 +117,9 @@
         })
     });
     match decision {
-        RetryDecision::RetryAt(at) => {
+        RetryDecision::RetryAt(retry_at) => {
             shared.metrics.count_retry(error.failure.retry_reason());
-            actix_rt::time::sleep(Duration::from_millis(at.since_ms(now))).await;
+            actix_rt::time::sleep(Duration::from_millis(retry_at.since_ms(now))).await;
             Ok(())
         }
         RetryDecision::BudgetExhausted(_) => Err(RefusalReason::RetryExhausted),
