--- a/crates/daemon/src/step/sample_attempt.rs
+++ b/crates/daemon/src/step/sample_attempt.rs
@@ -27,7 +27,9 @@
     #[error("the response ended before its terminal marker; the sample is run again")]
     Truncated,
     /// The response has no tokens, or a chunk is malformed or has no weight version.
-    #[error("the response has no tokens, or a chunk is malformed or named no weight version; check the engine's release")]
+    #[error(
+        "the response has no tokens, or a chunk is malformed or named no weight version; check the engine's release"
+    )]
     VersionMissing,
 }
 
