--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,11 +1,11 @@
-//! Clients of the platform's interfaces, and the clock for anything with an owner.
+//! Clients of the platform's interfaces, and the clock for leases and deadlines.
 
 mod call_timeout;
 mod deadline_body;
 mod etcd_client;
 mod http_client;
 mod key_value_client;
-mod owner_clock;
+mod lease_clock;
 mod platform_error;
 mod provider_client;
 mod strict_stream;
@@ -13,8 +13,8 @@
 pub use call_timeout::CallTimeout;
 pub use deadline_body::DeadlineBody;
 pub use etcd_client::EtcdClient;
-pub use http_client::{client_with_user_timeout, plain_client};
+pub use http_client::{client_with_tcp_user_timeout, plain_client};
 pub use key_value_client::KeyValueClient;
-pub use owner_clock::OwnerClock;
+pub use lease_clock::LeaseClock;
 pub use platform_error::{PlatformError, Result};
 pub use provider_client::ProviderClient;
--- a/crates/daemon/src/http/worker_state.rs
+++ b/crates/daemon/src/http/worker_state.rs
@@ -1,4 +1,4 @@
-//! What one serving thread holds.
+//! State and clients of one thread that serves requests.
 
 use crate::{
     api_error::Result,
@@ -16,67 +16,72 @@
 use pimentoslip_telemetry::LogLine;
 use std::sync::{Arc, atomic::Ordering};
 
-/// Clients belong to their thread; the rest is shared.
+/// State of one serving thread: its own clients, and references to the state and actors of the daemon.
 pub struct WorkerState {
-    /// State of the daemon.
+    /// State shared by the whole daemon.
     pub shared: Arc<SharedState>,
-    /// Client for upstreams.
-    pub client: Client,
-    /// Client for requests that may run once, which keeps no connection open.
-    pub once_client: Client,
+    /// Client for requests that may be repeated, which reuses connections to upstreams.
+    pub upstream_client: Client,
+    /// Client for requests that must not run twice, whose connections are never reused.
+    pub non_idempotent_client: Client,
     /// Client for peers.
-    pub peers: PeerClient,
+    pub peer_client: PeerClient,
     /// Client for the key-value service.
     pub kv: EtcdClient,
-    /// Way to claims.
-    pub claims: ClaimClient,
-    /// This daemon's own claims.
+    /// Client for the daemons that own the claims.
+    pub claim_client: ClaimClient,
+    /// Actor that holds the claims owned by this daemon.
     pub claim_actor: Addr<ClaimActor<EtcdClient>>,
-    /// Way to steps.
-    pub steps: StepClient,
-    /// This daemon's own steps.
+    /// Client for the daemons that own the steps.
+    pub step_client: StepClient,
+    /// Actor that holds the steps owned by this daemon.
     pub step_actor: Addr<StepActor>,
 }
 
 impl WorkerState {
-    /// Creates the clients of a thread.
+    /// Creates the state of a thread, with new clients.
     #[must_use]
     pub fn new(
         shared: Arc<SharedState>,
         claim_actor: Addr<ClaimActor<EtcdClient>>,
         step_actor: Addr<StepActor>,
     ) -> Self {
-        let peers = PeerClient::new(shared.settings.cluster_secret.clone());
+        let peer_client = PeerClient::new(shared.settings.cluster_secret.clone());
         Self {
-            client: plain_client(),
-            once_client: plain_client(),
-            kv: EtcdClient::new(shared.settings.kv.clone(), shared.kv_calls.clone()),
-            claims: ClaimClient::new(shared.clone(), claim_actor.clone(), peers.clone()),
-            steps: StepClient::new(shared.clone(), step_actor.clone(), peers.clone()),
+            upstream_client: plain_client(),
+            non_idempotent_client: plain_client(),
+            kv: EtcdClient::new(shared.settings.kv_address.clone(), shared.kv_calls.clone()),
+            claim_client: ClaimClient::new(shared.clone(), claim_actor.clone(), peer_client.clone()),
+            step_client: StepClient::new(shared.clone(), step_actor.clone(), peer_client.clone()),
             claim_actor,
             step_actor,
-            peers,
+            peer_client,
             shared,
         }
     }
 
-    /// Refuses new work once the balancer had time to notice that this daemon leaves.
-    pub fn check_draining(&self, id: &RequestId) -> Result<()> {
-        if self.shared.closed.load(Ordering::SeqCst) {
+    /// Refuses a new request if this daemon is shutting down and the balancer has had time to notice.
+    pub fn check_accepts_requests(&self, id: &RequestId) -> Result<()> {
+        if self.shared.refusing_requests.load(Ordering::SeqCst) {
             return Err(crate::api_error::ApiError::not_run(RefusalReason::Draining, id));
         }
         Ok(())
     }
 
-    /// Counts and logs the outcome of a caller's request.
-    pub fn finish(&self, id: &RequestId, began: TimePoint, outcome: Result<HttpResponse>) -> Result<HttpResponse> {
-        let took_ms = self.shared.now().since_ms(began);
-        let line = LogLine::new("request").field("request_id", &**id).field("ms", took_ms);
-        self.shared.metrics.latency.observe(took_ms as f64 / 1_000.0);
+    /// Counts and logs the outcome of a caller's request, and returns it.
+    pub fn record_outcome(
+        &self,
+        id: &RequestId,
+        started_at: TimePoint,
+        outcome: Result<HttpResponse>,
+    ) -> Result<HttpResponse> {
+        let duration_ms = self.shared.now().since_ms(started_at);
+        let line = LogLine::new("request").field("request_id", &**id).field("ms", duration_ms);
+        self.shared.metrics.latency_seconds.observe(duration_ms as f64 / 1_000.0);
         match &outcome {
-            Ok(answer) => line.field("status", answer.status().as_u16()).info(),
+            Ok(response) => line.field("status", response.status().as_u16()).info(),
             Err(error) => {
-                self.shared.metrics.refused(error.reason);
+                self.shared.metrics.count_refusal(error.reason);
                 line.field("status", error.reason.status())
                     .field("reason", error.reason.code())
                     .field("run_state", error.run_state.as_str())
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,4 +1,4 @@
-//! The daemon: one on each entry VM, all alike.
+//! The daemon that serves callers and trainers. One runs on each entry VM, and any of them can serve any call.
 
 mod admission_controller;
 mod api_error;
@@ -15,6 +15,6 @@
 mod task;
 mod upstream;
 
-pub use daemon_settings::{DaemonSettings, SettingFault, command};
+pub use daemon_settings::{DaemonSettings, SettingError, command};
 pub use pimentoslip_telemetry::{LogLine, disable_logs, init_stderr_logs};
 pub use running_daemon::{Result, RunningDaemon, start};
--- a/crates/daemon/src/running_daemon.rs
+++ b/crates/daemon/src/running_daemon.rs
@@ -1,4 +1,4 @@
-//! Starts a daemon and stops it gracefully.
+//! Starts a daemon and shuts it down gracefully.
 
 use crate::{
     DaemonSettings,
@@ -7,7 +7,7 @@
     peer_client::PeerClient,
     shared_state::SharedState,
     step::StepActor,
-    task::{ExchangeTask, ListingTask, OrderTask, PeriodicActor, StopMessage, UsageTask, push_records},
+    task::{DiscoveryTask, ExchangeTask, OrderTask, PeriodicActor, StopMessage, UsageTask, push_records},
 };
 use actix::{Actor, Addr};
 use actix_web::{App, HttpServer, dev::ServerHandle, web};
@@ -23,84 +23,90 @@
 /// Result of starting a daemon.
 pub type Result<T> = anyhow::Result<T>;
 
-const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
-const KEEP_ALIVE: Duration = Duration::from_secs(30);
-const POLL: Duration = Duration::from_millis(20);
-/// Longest wait for another daemon to take the reporting duty over and gather.
-const GATHER_MS: u64 = 15_000;
-const SERVER_STOP_SECONDS: u64 = 5;
-
-/// A daemon that serves.
+const REQUEST_HEADER_TIMEOUT: Duration = Duration::from_secs(10);
+const CONNECTION_KEEP_ALIVE: Duration = Duration::from_secs(30);
+/// Interval at which a shutdown checks whether it may proceed.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum time for which a shutdown waits until another daemon has taken over the reporting duty and collected the
+/// usage counters.
+const USAGE_COLLECTION_TIMEOUT_MS: u64 = 15_000;
+/// Time for which a stopping server waits until its connections are closed.
+const SERVER_STOP_TIMEOUT_SECONDS: u64 = 5;
+
+/// Handle of a started daemon, which shuts it down.
 pub struct RunningDaemon {
     shared: Arc<SharedState>,
-    public: SocketAddr,
-    control: SocketAddr,
+    /// Bound address of the public listener.
+    public_address: SocketAddr,
+    /// Bound address of the control listener.
+    control_address: SocketAddr,
     public_server: ServerHandle,
     control_server: ServerHandle,
-    orders: Addr<PeriodicActor<OrderTask>>,
-    usage: Addr<PeriodicActor<UsageTask>>,
+    order_task: Addr<PeriodicActor<OrderTask>>,
+    usage_task: Addr<PeriodicActor<UsageTask>>,
 }
 
-/// Binds both listeners and starts all parts on the current system.
+/// Binds both listeners and starts the actors, tasks and servers on the current actix system. Fails if a listener
+/// cannot be bound.
 pub async fn start(settings: DaemonSettings) -> Result<RunningDaemon> {
     let shared = SharedState::new(settings);
     let settings = &shared.settings;
-    let public = bind(settings.listen, "--listen")?;
-    let control = bind(settings.control_listen, "--control-listen")?;
-    let (public_address, control_address) = (public.local_addr()?, control.local_addr()?);
-    shared.bound(control_address.to_string().into());
+    let public_listener = bind(settings.listen_address, "--listen")?;
+    let control_listener = bind(settings.control_listen_address, "--control-listen")?;
+    let (public_address, control_address) = (public_listener.local_addr()?, control_listener.local_addr()?);
+    shared.set_control_address(control_address.to_string().into());
 
-    let kv = EtcdClient::new(settings.kv.clone(), shared.kv_calls.clone());
+    let kv = EtcdClient::new(settings.kv_address.clone(), shared.kv_calls.clone());
     let provider = ProviderClient::new(
         shared.clock.clone(),
-        settings.orders.clone(),
-        settings.usage.clone(),
-        settings.vms.clone(),
+        settings.orders_address.clone(),
+        settings.usage_address.clone(),
+        settings.vm_list_address.clone(),
     );
-    let peers = PeerClient::new(settings.cluster_secret.clone());
-    let claims = ClaimActor::new(shared.clone(), kv.clone()).start();
-    let steps = StepActor::new(shared.clone()).start();
-    PeriodicActor::new(ListingTask::new(shared.clone(), provider.clone())).start();
-    PeriodicActor::new(ExchangeTask::new(shared.clone(), peers.clone(), kv.clone())).start();
-    let orders = PeriodicActor::new(OrderTask::new(shared.clone(), kv.clone(), provider.clone())).start();
-    let usage = PeriodicActor::new(UsageTask::new(shared.clone(), kv, peers.clone(), provider)).start();
-    actix_rt::spawn(share_suspicions(shared.clone(), peers));
+    let peer_client = PeerClient::new(settings.cluster_secret.clone());
+    let claim_actor = ClaimActor::new(shared.clone(), kv.clone()).start();
+    let step_actor = StepActor::new(shared.clone()).start();
+    PeriodicActor::new(DiscoveryTask::new(shared.clone(), provider.clone())).start();
+    PeriodicActor::new(ExchangeTask::new(shared.clone(), peer_client.clone(), kv.clone())).start();
+    let order_task = PeriodicActor::new(OrderTask::new(shared.clone(), kv.clone(), provider.clone())).start();
+    let usage_task = PeriodicActor::new(UsageTask::new(shared.clone(), kv, peer_client.clone(), provider)).start();
+    actix_rt::spawn(push_suspects(shared.clone(), peer_client));
 
     let state = shared.clone();
-    let (claim_actor, step_actor) = (claims.clone(), steps.clone());
+    let (public_claim_actor, public_step_actor) = (claim_actor.clone(), step_actor.clone());
     let public_server = HttpServer::new(move || {
-        let worker = WorkerState::new(state.clone(), claim_actor.clone(), step_actor.clone());
+        let worker = WorkerState::new(state.clone(), public_claim_actor.clone(), public_step_actor.clone());
         App::new().app_data(web::Data::new(worker)).configure(configure_public)
     })
     .workers(settings.workers)
     .max_connections(settings.connections_max)
-    .client_request_timeout(HEADER_TIMEOUT)
-    .keep_alive(KEEP_ALIVE)
-    .shutdown_timeout(SERVER_STOP_SECONDS)
+    .client_request_timeout(REQUEST_HEADER_TIMEOUT)
+    .keep_alive(CONNECTION_KEEP_ALIVE)
+    .shutdown_timeout(SERVER_STOP_TIMEOUT_SECONDS)
     .disable_signals()
-    .listen(public)?
+    .listen(public_listener)?
     .run();
 
     let state = shared.clone();
     let control_server = HttpServer::new(move || {
-        let worker = web::Data::new(WorkerState::new(state.clone(), claims.clone(), steps.clone()));
+        let worker = web::Data::new(WorkerState::new(state.clone(), claim_actor.clone(), step_actor.clone()));
         App::new().app_data(worker.clone()).configure(move |app| configure_control(app, &worker))
     })
     .workers(1)
-    .client_request_timeout(HEADER_TIMEOUT)
-    .keep_alive(KEEP_ALIVE)
-    .shutdown_timeout(SERVER_STOP_SECONDS)
+    .client_request_timeout(REQUEST_HEADER_TIMEOUT)
+    .keep_alive(CONNECTION_KEEP_ALIVE)
+    .shutdown_timeout(SERVER_STOP_TIMEOUT_SECONDS)
     .disable_signals()
-    .listen(control)?
+    .listen(control_listener)?
     .run();
 
     let daemon = RunningDaemon {
-        public: public_address,
-        control: control_address,
+        public_address,
+        control_address,
         public_server: public_server.handle(),
         control_server: control_server.handle(),
-        orders,
-        usage,
+        order_task,
+        usage_task,
         shared,
     };
     actix_rt::spawn(public_server);
@@ -114,11 +120,12 @@
     Ok(daemon)
 }
 
-/// Tells peers of a suspected request before it reaches them.
-async fn share_suspicions(shared: Arc<SharedState>, peers: PeerClient) {
+/// Sends the marks of newly suspected requests to the peers at once, because a retry of the request may reach a peer
+/// next.
+async fn push_suspects(shared: Arc<SharedState>, peer_client: PeerClient) {
     loop {
-        shared.suspicion.notified().await;
-        push_records(&shared, &peers, Vec::new()).await;
+        shared.suspect_added.notified().await;
+        push_records(&shared, &peer_client, Vec::new()).await;
     }
 }
 
@@ -127,49 +134,51 @@
 }
 
 impl RunningDaemon {
-    /// Address for callers.
+    /// Bound address of the public listener.
     #[must_use]
-    pub fn public(&self) -> SocketAddr {
-        self.public
+    pub fn public_address(&self) -> SocketAddr {
+        self.public_address
     }
 
-    /// Address for peers and operators.
+    /// Bound address of the control listener.
     #[must_use]
-    pub fn control(&self) -> SocketAddr {
-        self.control
+    pub fn control_address(&self) -> SocketAddr {
+        self.control_address
     }
 
-    /// Waits until an operator asks the daemon to leave.
-    pub async fn drain_asked(&self) {
-        self.shared.drain_asked.notified().await;
+    /// Waits until an operator requests the daemon to drain.
+    pub async fn wait_for_drain_request(&self) {
+        self.shared.drain_requested.notified().await;
     }
 
-    /// Waits until the reporter has this daemon's last usage counters, as long as there may be a reporter.
-    async fn wait_gathered(&self) {
-        let counted = self.shared.now();
-        let deadline = counted.plus_ms(GATHER_MS);
-        let gathered = || self.shared.gathered_at.load(Ordering::SeqCst) > counted.0;
-        while !gathered() && self.shared.members().active_names().len() > 1 && self.shared.now() < deadline {
-            actix_rt::time::sleep(POLL).await;
+    /// Waits until the holder of the reporting duty has collected this daemon's last usage counters. Does not wait when
+    /// no other daemon is running.
+    async fn wait_for_usage_collection(&self) {
+        let counted_at = self.shared.now();
+        let deadline = counted_at.plus_ms(USAGE_COLLECTION_TIMEOUT_MS);
+        let is_collected = || self.shared.totals_requested_at_ms.load(Ordering::SeqCst) > counted_at.0;
+        while !is_collected() && self.shared.members().active_names().len() > 1 && self.shared.now() < deadline {
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Leaves the balancer, gives duties up, waits for every request, and stops.
+    /// Shuts the daemon down: lets the balancer notice, refuses new requests, gives up its duties, waits for the
+    /// running requests and the collection of the usage counters, and stops the servers.
     pub async fn shut_down(self) {
         let settings = &self.shared.settings;
-        LogLine::new("draining").field("inflight", self.shared.inflight()).info();
+        LogLine::new("draining").field("inflight", self.shared.inflight_count()).info();
         self.shared.draining.store(true, Ordering::SeqCst);
         actix_rt::time::sleep(Duration::from_millis(settings.drain_grace_ms)).await;
-        self.shared.closed.store(true, Ordering::SeqCst);
-        // An actor that has gone holds no duty.
-        let _ = self.orders.send(StopMessage).await;
-        let _ = self.usage.send(StopMessage).await;
+        self.shared.refusing_requests.store(true, Ordering::SeqCst);
+        // An actor that has already stopped holds no duty.
+        let _ = self.order_task.send(StopMessage).await;
+        let _ = self.usage_task.send(StopMessage).await;
         let deadline = self.shared.now().plus_ms(settings.drain_timeout_ms);
-        while self.shared.inflight() > 0 && self.shared.now() < deadline {
-            actix_rt::time::sleep(POLL).await;
+        while self.shared.inflight_count() > 0 && self.shared.now() < deadline {
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
-        self.wait_gathered().await;
-        LogLine::new("stopping").field("inflight", self.shared.inflight()).info();
+        self.wait_for_usage_collection().await;
+        LogLine::new("stopping").field("inflight", self.shared.inflight_count()).info();
         self.public_server.stop(true).await;
         self.control_server.stop(true).await;
     }
--- a/crates/daemon/src/step/step_client.rs
+++ b/crates/daemon/src/step/step_client.rs
@@ -1,4 +1,4 @@
-//! The way from an entry daemon to the home of a step.
+//! Forwards trainers' calls to the daemons that own their steps.
 
 use super::{FetchSamplesMessage, OpenStepMessage, StepActor, step_actor::StepOutcome, step_key};
 use crate::{
@@ -11,98 +11,111 @@
 use pimentoslip_kernel::{RefusalReason, RunState, SharedName};
 use pimentoslip_telemetry::LogLine;
 use pimentoslip_wire::{
-    caller::{FetchAnswer, FetchRequest, OpenAnswer, OpenRequest, Refusal},
-    peer::{ForwardAnswer, ForwardRequest},
+    caller::{FetchRequest, FetchResponse, OpenRequest, OpenResponse, Refusal},
+    peer::{ForwardRequest, ForwardResponse},
 };
 use std::sync::Arc;
 
-const FORWARD_MARGIN_MS: u64 = 3_000;
+/// Timeout of a forwarded call, in addition to the time for which the call itself may wait.
+const FORWARD_TIMEOUT_MS: u64 = 3_000;
 
-/// Passes trainers' calls to the home of their step. Not shared between threads.
+/// Client for the owners of steps, which may be this daemon. Each thread has its own.
 #[derive(Clone)]
 pub struct StepClient {
     shared: Arc<SharedState>,
+    /// Actor that holds the steps owned by this daemon.
     actor: Addr<StepActor>,
-    peers: PeerClient,
+    peer_client: PeerClient,
 }
 
 impl StepClient {
-    /// Creates a gate; `actor` is this daemon's own.
+    /// Creates a client; `actor` holds the steps that this daemon owns.
     #[must_use]
-    pub fn new(shared: Arc<SharedState>, actor: Addr<StepActor>, peers: PeerClient) -> Self {
-        Self { shared, actor, peers }
+    pub fn new(shared: Arc<SharedState>, actor: Addr<StepActor>, peer_client: PeerClient) -> Self {
+        Self { shared, actor, peer_client }
     }
 
-    /// Opens a step at its home.
-    pub async fn open(&self, organisation: SharedName, open: OpenRequest, id: &RequestId) -> Result<OpenAnswer> {
+    /// Opens a step on the daemon that owns it.
+    pub async fn open(&self, organisation: SharedName, open: OpenRequest, id: &RequestId) -> Result<OpenResponse> {
         let key = step_key(&organisation, &open.trainer, open.step);
         let request = ForwardRequest::Open { organisation, request_id: id.to_arc(), open };
-        match self.forward(&key, request, FORWARD_MARGIN_MS, id).await? {
-            ForwardAnswer::Opened(answer) => Ok(answer),
-            answer => Err(unexpected(answer, id)),
+        match self.forward(&key, request, FORWARD_TIMEOUT_MS, id).await? {
+            ForwardResponse::Opened(response) => Ok(response),
+            response => Err(refusal_error(response, id)),
         }
     }
 
-    /// Fetches samples from a step's home.
-    pub async fn fetch(&self, organisation: SharedName, fetch: FetchRequest, id: &RequestId) -> Result<FetchAnswer> {
+    /// Fetches samples from the daemon that owns the step.
+    pub async fn fetch(&self, organisation: SharedName, fetch: FetchRequest, id: &RequestId) -> Result<FetchResponse> {
         let key = step_key(&organisation, &fetch.trainer, fetch.step);
-        let timeout_ms = fetch.wait_ms + FORWARD_MARGIN_MS;
+        let timeout_ms = fetch.wait_ms + FORWARD_TIMEOUT_MS;
         let request = ForwardRequest::Fetch { organisation, request_id: id.to_arc(), fetch };
         match self.forward(&key, request, timeout_ms, id).await? {
-            ForwardAnswer::Fetched(answer) => Ok(answer),
-            answer => Err(unexpected(answer, id)),
+            ForwardResponse::Fetched(response) => Ok(response),
+            response => Err(refusal_error(response, id)),
         }
     }
 
-    /// Serves a call whose home is this daemon.
-    pub async fn serve_locally(&self, request: ForwardRequest) -> ForwardAnswer {
+    /// Serves a call for a step that this daemon owns.
+    pub async fn serve_locally(&self, request: ForwardRequest) -> ForwardResponse {
         match request {
             ForwardRequest::Open { organisation, request_id, open } => {
                 LogLine::new("step_open").field("request_id", &request_id).info();
                 let outcome = self.actor.send(OpenStepMessage { organisation, open }).await;
-                answer(outcome.unwrap_or(Err(RefusalReason::StepUnknown)), &request_id, ForwardAnswer::Opened)
+                forward_response(
+                    outcome.unwrap_or(Err(RefusalReason::StepUnknown)),
+                    &request_id,
+                    ForwardResponse::Opened,
+                )
             }
             ForwardRequest::Fetch { organisation, request_id, fetch } => {
                 LogLine::new("step_fetch").field("request_id", &request_id).info();
                 let outcome = self.actor.send(FetchSamplesMessage { organisation, fetch }).await;
-                answer(outcome.unwrap_or(Err(RefusalReason::StepUnknown)), &request_id, ForwardAnswer::Fetched)
+                forward_response(
+                    outcome.unwrap_or(Err(RefusalReason::StepUnknown)),
+                    &request_id,
+                    ForwardResponse::Fetched,
+                )
             }
         }
     }
 
+    /// Sends a call to the daemon that should own the step `key`, or serves it locally if that is this daemon or no
+    /// daemon is active.
     async fn forward(
         &self,
         key: &str,
         request: ForwardRequest,
         timeout_ms: u64,
         id: &RequestId,
-    ) -> Result<ForwardAnswer> {
-        let control = {
+    ) -> Result<ForwardResponse> {
+        let control_address = {
             let members = self.shared.members();
-            let home = pimentoslip_kernel::highest_ranked(&format!("step/{key}"), &members.active_names()).cloned();
-            home.and_then(|home| members.get(&home).map(|member| member.control.clone()))
+            let owner = pimentoslip_kernel::highest_ranked(&format!("step/{key}"), &members.active_names()).cloned();
+            owner.and_then(|owner| members.get(&owner).map(|member| member.control.clone()))
         };
-        let Some(control) = control else { return Ok(self.serve_locally(request).await) };
-        self.peers.call(&control, "/peer/forward", &request, timeout_ms).await.map_err(|error| {
+        let Some(control_address) = control_address else { return Ok(self.serve_locally(request).await) };
+        self.peer_client.call(&control_address, "/peer/forward", &request, timeout_ms).await.map_err(|error| {
             LogLine::new("forward_failed").field("request_id", &**id).field("error", error).warn();
             ApiError::not_run(RefusalReason::PeerUnreachable, id)
         })
     }
 }
 
-fn answer<T>(outcome: StepOutcome<T>, id: &str, wrap: impl FnOnce(T) -> ForwardAnswer) -> ForwardAnswer {
+/// Response to the daemon that forwarded the call: the result in the variant of `wrap`, or the refusal.
+fn forward_response<T>(outcome: StepOutcome<T>, id: &str, wrap: impl FnOnce(T) -> ForwardResponse) -> ForwardResponse {
     match outcome {
-        Ok(answer) => wrap(answer),
-        Err(reason) => ForwardAnswer::Refused(reason.status(), Refusal::new(reason, RunState::NotRun, id)),
+        Ok(response) => wrap(response),
+        Err(reason) => ForwardResponse::Refused(reason.status(), Refusal::new(reason, RunState::NotRun, id)),
     }
 }
 
-/// Turns a refusal by the home into one by this daemon.
-fn unexpected(answer: ForwardAnswer, id: &RequestId) -> ApiError {
-    let code = match &answer {
-        ForwardAnswer::Refused(_, refusal) => refusal.error.code.as_str(),
-        ForwardAnswer::Opened(_) | ForwardAnswer::Fetched(_) => "",
+/// Converts a refusal by the step's owner into one by this daemon. Any other response becomes `PeerUnreachable`.
+fn refusal_error(response: ForwardResponse, id: &RequestId) -> ApiError {
+    let code = match &response {
+        ForwardResponse::Refused(_, refusal) => refusal.error.code.as_str(),
+        ForwardResponse::Opened(_) | ForwardResponse::Fetched(_) => "",
     };
-    let known = RefusalReason::ALL.iter().find(|reason| reason.code() == code);
-    ApiError::not_run(known.copied().unwrap_or(RefusalReason::PeerUnreachable), id)
+    let reason = RefusalReason::ALL.iter().find(|reason| reason.code() == code);
+    ApiError::not_run(reason.copied().unwrap_or(RefusalReason::PeerUnreachable), id)
 }
--- a/crates/daemon/src/task/exchange_task.rs
+++ b/crates/daemon/src/task/exchange_task.rs
@@ -1,4 +1,5 @@
-//! Heartbeats, configuration and suspicions, exchanged with peers and read from the platform's service.
+//! Exchanges heartbeats, configuration and suspect marks with peers, and reads the configuration from the platform's
+//! key-value service.
 
 use super::PeriodicTask;
 use crate::{
@@ -13,7 +14,7 @@
 use pimentoslip_wire::{
     decode, encode,
     kv::KeyValue,
-    peer::{ExchangeAnswer, ExchangeRequest, MemberBody},
+    peer::{ExchangeRequest, ExchangeResponse, MemberBody},
 };
 use std::{
     collections::BTreeMap,
@@ -22,108 +23,116 @@
 
 const EXCHANGE_TIMEOUT_MS: u64 = 700;
 const EXCHANGE_PATH: &str = "/peer/exchange";
-/// A daemon of rank n in its failure domain reads the service itself when its knowledge is older than n of these.
-const RELAY_STEP_MS: u64 = 700;
+/// A daemon of rank n in its failure domain reads the key-value service itself once its configuration is older than n
+/// times this.
+const RELAY_RANK_DELAY_MS: u64 = 700;
+/// Name by which the daemons of a failure domain are ranked for reading the key-value service.
 const RELAY_DUTY: &str = "relay";
 
-/// Whom to exchange with: name and control address.
+/// Name and control address of a peer.
 type PeerAddress = (SharedName, SharedName);
 
-/// Asks peers in rounds.
+/// Exchanges state with the peers and, on behalf of its failure domain, reads the stored configuration.
 pub struct ExchangeTask {
     shared: Arc<SharedState>,
-    peers: PeerClient,
+    peer_client: PeerClient,
     kv: EtcdClient,
 }
 
 impl ExchangeTask {
     /// Creates the task.
     #[must_use]
-    pub fn new(shared: Arc<SharedState>, peers: PeerClient, kv: EtcdClient) -> Self {
-        Self { shared, peers, kv }
+    pub fn new(shared: Arc<SharedState>, peer_client: PeerClient, kv: EtcdClient) -> Self {
+        Self { shared, peer_client, kv }
     }
 
-    /// Whether this daemon reads the service in this round, on behalf of its failure domain.
-    fn reads_service(&self) -> bool {
+    /// Whether this daemon must read the key-value service in this run. Normally only the first-ranked daemon of a
+    /// failure domain does; the others receive its configuration by exchange.
+    fn must_read_config(&self) -> bool {
         let rank =
             self.shared.members().duty_rank(RELAY_DUTY, &self.shared.settings.failure_domain).unwrap_or(0) as u64;
         let now = self.shared.now();
         let age_ms = self.shared.freshness().age_ms(now);
-        rank == 0 || age_ms.is_none_or(|age| age > rank * RELAY_STEP_MS)
+        rank == 0 || age_ms.is_none_or(|age_ms| age_ms > rank * RELAY_RANK_DELAY_MS)
     }
 
-    async fn read_service(&self) {
+    /// Reads and applies the configuration records that were written since the last complete read.
+    async fn read_config(&self) {
         let prefix = config_prefix(&self.shared.settings.site);
         let since = self.shared.config().complete_revision() + 1;
-        let asked_at = self.shared.now();
+        let requested_at = self.shared.now();
         match self.kv.range(&prefix, since).await {
-            Ok(answer) => {
-                let entries = answer.kvs.iter().filter_map(|entry| parse_entry(&prefix, entry)).collect();
-                let new = self.shared.apply(entries, answer.header.revision);
-                self.shared.freshness().service_read(asked_at);
-                log_applied("service", &new);
+            Ok(response) => {
+                let entries = response.kvs.iter().filter_map(|entry| parse_entry(&prefix, entry)).collect();
+                let applied = self.shared.apply_records(entries, response.header.revision);
+                self.shared.freshness().service_read(requested_at);
+                log_applied_records("service", &applied);
             }
             Err(error) => LogLine::new("config_read_failed").field("error", error).warn(),
         }
     }
 
-    /// Peers of this round, and those on the platform's list that were never heard.
-    fn round(&self) -> Vec<PeerAddress> {
-        let listed = self.shared.listed_entries.lock().unwrap_or_else(PoisonError::into_inner).clone();
+    /// Peers to exchange with in this run: those chosen by the member table, and daemons on the VM list that have not
+    /// been seen at their listed address.
+    fn exchange_peers(&self) -> Vec<PeerAddress> {
+        let listed_daemons = self.shared.listed_daemons.lock().unwrap_or_else(PoisonError::into_inner).clone();
         let mut members = self.shared.members();
-        let mut round: BTreeMap<SharedName, SharedName> =
+        let mut exchange_peers: BTreeMap<SharedName, SharedName> =
             members.next_exchange_peers().into_iter().map(|member| (member.name, member.control)).collect();
-        for (name, control) in listed {
-            let known =
-                members.get(&name).is_some_and(|member| member.control == control && !member.control.is_empty());
-            if name != self.shared.settings.name && !known {
-                round.insert(name, control);
+        for (name, control_address) in listed_daemons {
+            let is_seen = members
+                .get(&name)
+                .is_some_and(|member| member.control == control_address && !member.control.is_empty());
+            if name != self.shared.settings.name && !is_seen {
+                exchange_peers.insert(name, control_address);
             }
         }
-        round.into_iter().collect()
+        exchange_peers.into_iter().collect()
     }
 
-    /// Judges members, and raises freshness when every other daemon was heard.
-    fn judge(&self) {
+    /// Updates the states of the members, and the freshness of the configuration from the answers of the other daemons.
+    fn update_members(&self) {
         let now = self.shared.now();
-        let listed = self.shared.listed_entries.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        let listed_daemons = self.shared.listed_daemons.lock().unwrap_or_else(PoisonError::into_inner).clone();
         let mut members = self.shared.members();
         members.tick(now);
-        let mut running = members.possibly_running_names();
-        running.extend(
-            listed.into_keys().filter(|name| *name != self.shared.settings.name && members.get(name).is_none()),
+        let mut running_names = members.possibly_running_names();
+        running_names.extend(
+            listed_daemons.into_keys().filter(|name| *name != self.shared.settings.name && members.get(name).is_none()),
         );
         drop(members);
         if self.shared.config().complete_revision() > 0 {
-            self.shared.freshness().update_from_peers(&running, now);
+            self.shared.freshness().update_from_peers(&running_names, now);
         }
     }
 }
 
 impl PeriodicTask for ExchangeTask {
-    const PERIOD_MS: u64 = 500;
+    const PAUSE_MS: u64 = 500;
 
     async fn run(&mut self) {
-        let round = self.round();
-        let exchanges = join_all(round.iter().map(|peer| exchange(&self.shared, &self.peers, peer, Vec::new())));
-        let read = async {
-            if self.reads_service() {
-                self.read_service().await;
+        let exchange_peers = self.exchange_peers();
+        let exchanges =
+            join_all(exchange_peers.iter().map(|peer| exchange(&self.shared, &self.peer_client, peer, Vec::new())));
+        let config_read = async {
+            if self.must_read_config() {
+                self.read_config().await;
             }
         };
-        futures_util::future::join(exchanges, read).await;
-        self.judge();
+        futures_util::future::join(exchanges, config_read).await;
+        self.update_members();
     }
 }
 
+/// Parses a stored configuration record; `None` if its key or value is malformed.
 fn parse_entry(prefix: &str, entry: &KeyValue) -> Option<RecordEntry> {
     let path = std::str::from_utf8(&entry.key).ok()?.strip_prefix(prefix)?;
     let stored: StoredRecord = serde_json::from_slice(&entry.value).ok()?;
     Some(RecordEntry { name: RecordName::parse(path)?, revision: entry.mod_revision, record: stored.record })
 }
 
-fn log_applied(source: &str, new: &[RecordEntry]) {
-    for entry in new {
+fn log_applied_records(source: &str, entries: &[RecordEntry]) {
+    for entry in entries {
         LogLine::new("config_applied")
             .field("record", entry.name.path())
             .field("revision", entry.revision)
@@ -132,30 +141,36 @@
     }
 }
 
-fn question(shared: &SharedState, records: Vec<RecordEntry>) -> ExchangeRequest {
+fn exchange_request(shared: &SharedState, records: Vec<RecordEntry>) -> ExchangeRequest {
     let now = shared.now();
     ExchangeRequest {
-        from: shared.me(),
-        complete: shared.config().complete_revision(),
+        sender: shared.own_member(),
+        complete_revision: shared.config().complete_revision(),
         records,
         suspects: shared.suspects().active_marks(now),
         members_digest: members_digest(shared),
     }
 }
 
+/// Digest of the members, by which peers detect that they hold the same ones.
 fn members_digest(shared: &SharedState) -> u64 {
     shared.members().digest(shared.incarnation)
 }
 
-/// Asks one peer, giving it `records`. True when it answered.
-async fn exchange(shared: &SharedState, peers: &PeerClient, peer: &PeerAddress, records: Vec<RecordEntry>) -> bool {
-    let (name, control) = peer;
-    let Ok(body) = encode(&question(shared, records)) else { return false };
-    let sent = body.len();
-    let asked_at = shared.now();
-    let answer = peers.call_raw(control, EXCHANGE_PATH, body, EXCHANGE_TIMEOUT_MS).await;
-    let answer = match answer {
-        Ok(answer) => answer,
+/// Sends `records` and this daemon's state to a peer and applies its answer. Returns true if the peer answered.
+async fn exchange(
+    shared: &SharedState,
+    peer_client: &PeerClient,
+    peer: &PeerAddress,
+    records: Vec<RecordEntry>,
+) -> bool {
+    let (name, control_address) = peer;
+    let Ok(body) = encode(&exchange_request(shared, records)) else { return false };
+    let request_bytes = body.len();
+    let requested_at = shared.now();
+    let call_result = peer_client.call_raw(control_address, EXCHANGE_PATH, body, EXCHANGE_TIMEOUT_MS).await;
+    let response_body = match call_result {
+        Ok(response_body) => response_body,
         Err(PeerError::ProcessEnded) => {
             let now = shared.now();
             shared.members().process_ended(name, now);
@@ -163,10 +178,10 @@
         }
         Err(_) => return false,
     };
-    shared.metrics.exchange_bytes.inc_by((sent + answer.len()) as u64);
-    match decode::<ExchangeAnswer>(&answer) {
-        Ok(answer) => {
-            take_answer(shared, answer, asked_at);
+    shared.metrics.exchange_bytes.inc_by((request_bytes + response_body.len()) as u64);
+    match decode::<ExchangeResponse>(&response_body) {
+        Ok(response) => {
+            apply_response(shared, response, requested_at);
             true
         }
         Err(error) => {
@@ -176,56 +191,56 @@
     }
 }
 
-fn take_answer(shared: &SharedState, answer: ExchangeAnswer, asked_at: TimePoint) {
-    let name = answer.from.name.clone();
-    let new = shared.apply(answer.records, answer.complete);
-    log_applied(&name, &new);
-    shared.freshness().peer_answered(&name, asked_at, answer.age_ms);
+fn apply_response(shared: &SharedState, response: ExchangeResponse, requested_at: TimePoint) {
+    let name = response.sender.name.clone();
+    let applied = shared.apply_records(response.records, response.complete_revision);
+    log_applied_records(&name, &applied);
+    shared.freshness().peer_answered(&name, requested_at, response.age_ms);
     let now = shared.now();
     let mut members = shared.members();
-    members.peer_seen(MemberEntry::from(answer.from), asked_at);
-    for body in answer.members {
+    members.peer_seen(MemberEntry::from(response.sender), requested_at);
+    for body in response.members {
         members.member_reported(&MemberEntry::from(body), now);
     }
     drop(members);
     let mut suspects = shared.suspects();
-    answer.suspects.into_iter().for_each(|mark| suspects.merge(mark));
+    response.suspects.into_iter().for_each(|mark| suspects.merge(mark));
 }
 
-/// Answers a peer's exchange.
+/// Applies the exchange request of a peer and returns the answer to it.
 #[must_use]
-pub fn answer_exchange(shared: &SharedState, request: ExchangeRequest) -> ExchangeAnswer {
+pub fn answer_exchange(shared: &SharedState, request: ExchangeRequest) -> ExchangeResponse {
     let now = shared.now();
-    let name = request.from.name.clone();
-    let new = shared.apply(request.records, 0);
-    log_applied(&name, &new);
+    let name = request.sender.name.clone();
+    let applied = shared.apply_records(request.records, 0);
+    log_applied_records(&name, &applied);
     {
         let mut suspects = shared.suspects();
         request.suspects.into_iter().for_each(|mark| suspects.merge(mark));
     }
-    shared.members().peer_seen(MemberEntry::from(request.from), now);
-    let members = if members_digest(shared) == request.members_digest { Vec::new() } else { known_members(shared) };
+    shared.members().peer_seen(MemberEntry::from(request.sender), now);
+    let members = if members_digest(shared) == request.members_digest { Vec::new() } else { member_bodies(shared) };
     let age_ms = shared.freshness().age_ms(now);
     let config = shared.config();
-    ExchangeAnswer {
-        from: shared.me(),
-        complete: config.complete_revision(),
-        records: config.entries_since(request.complete),
+    ExchangeResponse {
+        sender: shared.own_member(),
+        complete_revision: config.complete_revision(),
+        records: config.entries_since(request.complete_revision),
         age_ms,
         suspects: shared.suspects().active_marks(now),
         members,
     }
 }
 
-fn known_members(shared: &SharedState) -> Vec<MemberBody> {
+fn member_bodies(shared: &SharedState) -> Vec<MemberBody> {
     shared.members().iter().map(MemberBody::from).collect()
 }
 
-/// Gives every daemon that may be running the new records at once. Names of those that confirmed, and of
-/// those that did not.
+/// Sends new records to every daemon that may be running, without waiting for the next exchange. Returns the names of
+/// the daemons that confirmed them, this one included, and of those that did not.
 pub async fn push_records(
     shared: &SharedState,
-    peers: &PeerClient,
+    peer_client: &PeerClient,
     records: Vec<RecordEntry>,
 ) -> (Vec<SharedName>, Vec<SharedName>) {
     let targets: Vec<PeerAddress> = shared
@@ -233,10 +248,11 @@
         .possibly_running_entries()
         .map(|member| (member.name.clone(), member.control.clone()))
         .collect();
-    let answers = join_all(targets.iter().map(|peer| exchange(shared, peers, peer, records.clone()))).await;
+    let exchange_results =
+        join_all(targets.iter().map(|peer| exchange(shared, peer_client, peer, records.clone()))).await;
     let mut confirmed = vec![shared.settings.name.clone()];
     let mut unconfirmed = Vec::new();
-    for ((name, _), answered) in targets.into_iter().zip(answers) {
+    for ((name, _), answered) in targets.into_iter().zip(exchange_results) {
         if answered { confirmed.push(name) } else { unconfirmed.push(name) }
     }
     (confirmed, unconfirmed)
--- a/crates/daemon/src/task/order_task.rs
+++ b/crates/daemon/src/task/order_task.rs
@@ -1,4 +1,4 @@
-//! Orders upstreams and weights in each failure domain whose duty this daemon holds.
+//! Starts and stops upstreams and updates weights in each failure domain whose ordering duty this daemon holds.
 
 use super::{PeriodicTask, domain_duty::DomainDuty};
 use crate::shared_state::SharedState;
@@ -7,7 +7,7 @@
 use pimentoslip_kernel::{SharedName, SiteConfig};
 use std::{collections::BTreeMap, sync::Arc};
 
-/// Takes part in the ordering duty of every failure domain.
+/// Competes for the ordering duty of every failure domain and performs those that this daemon holds.
 pub struct OrderTask {
     shared: Arc<SharedState>,
     kv: EtcdClient,
@@ -22,7 +22,8 @@
         Self { shared, kv, provider, duties: BTreeMap::new() }
     }
 
-    fn add_domains(&mut self, site: &SiteConfig) {
+    /// Adds the duties of failure domains that are new in the configuration.
+    fn add_missing_duties(&mut self, site: &SiteConfig) {
         for domain in &site.failure_domains {
             let (kv, shared) = (self.kv.clone(), self.shared.clone());
             let provider = self.provider.clone();
@@ -34,14 +35,14 @@
 }
 
 impl PeriodicTask for OrderTask {
-    const PERIOD_MS: u64 = 500;
+    const PAUSE_MS: u64 = 500;
 
     async fn run(&mut self) {
         let Some(site) = self.shared.config().site().cloned() else { return };
-        self.add_domains(&site);
+        self.add_missing_duties(&site);
         let (shared, provider) = (&self.shared, &self.provider);
-        let rounds = self.duties.iter_mut().map(|(domain, duty)| duty.round(shared, provider, &site, domain));
-        join_all(rounds).await;
+        let ticks = self.duties.iter_mut().map(|(domain, duty)| duty.tick(shared, provider, &site, domain));
+        join_all(ticks).await;
     }
 
     async fn stop(&mut self) {
--- a/crates/edge/src/duty/duty_task.rs
+++ b/crates/edge/src/duty/duty_task.rs
@@ -1,14 +1,14 @@
-//! Acquires the duty when no daemon holds it, and does its work while this daemon is the holder.
+//! Acquires the duty when no daemon holds it, and performs its work while this daemon is the holder.
 
 use super::{load_duty::LoadDuty, retire_duty::RetireDuty, size_duty::SizeDuty, usage_duty::UsageDuty};
 use crate::{edge_metrics::EdgeMetrics, edge_state::EdgeState, store::StoreAccess};
 use awc::Client;
 use pimentoslip_kernel::{DutyHistory, DutyTerm, LeaseStatus, TimePoint, fingerprint};
-use pimentoslip_platform::{CommitOutcome, StoreCommit, StoreItem};
+use pimentoslip_platform::{CommitOutcome, StoreCommit, StoreEntry};
 use pimentoslip_telemetry::LogLine;
 use pimentoslip_wire::{
     decode, encode,
-    stored::{DaemonEntry, DutyEntry, KeyLayout},
+    stored::{DaemonEntry, DutyHistoryEntry, KeyLayout},
 };
 use std::{cell::RefCell, rc::Rc, sync::Arc, time::Duration};
 
@@ -25,32 +25,32 @@
 /// duty.
 pub type SharedTerm = Rc<RefCell<Option<DutyTerm>>>;
 
-/// Acquires the duty and does its work until the daemon drains.
-pub async fn hold_duty(state: Arc<EdgeState>, upstreams: Client, store: StoreAccess) {
+/// Acquires the duty and performs its work until the daemon drains.
+pub async fn hold_duty(state: Arc<EdgeState>, upstream_client: Client, store: StoreAccess) {
     let term: SharedTerm = Rc::default();
-    let mut loads = LoadDuty::new(state.clone(), upstreams, term.clone());
-    let mut usage = UsageDuty::new(state.clone(), store.clone(), term.clone());
-    let mut sizes = SizeDuty::new(state.clone(), store.clone(), term.clone());
-    let mut retire = RetireDuty::new(state.clone(), store.clone());
+    let mut load_duty = LoadDuty::new(state.clone(), upstream_client, term.clone());
+    let mut usage_duty = UsageDuty::new(state.clone(), store.clone(), term.clone());
+    let mut size_duty = SizeDuty::new(state.clone(), store.clone(), term.clone());
+    let mut retire_duty = RetireDuty::new(state.clone(), store.clone());
     let mut vacant_since: Option<TimePoint> = None;
     while !state.is_draining() {
         let _ = actix_rt::time::timeout(PASS_PERIOD, state.upstreams_changed.notified()).await;
         let now = state.now();
         if refresh_term(&state, &term) {
-            loads.tick();
-            sizes.tick().await;
-            usage.tick().await;
-            retire.tick().await;
+            load_duty.tick();
+            size_duty.tick().await;
+            usage_duty.tick().await;
+            retire_duty.tick().await;
             vacant_since = None;
             continue;
         }
-        let Some(replaces) = replaceable_revision(&state) else {
+        let Some(replaced_revision) = replaceable_revision(&state) else {
             vacant_since = None;
             continue;
         };
         let since = *vacant_since.get_or_insert(now);
-        if replaces > 0 || now >= since.plus_ms(acquire_delay_ms(&state)) {
-            acquire(&state, &store, &term, replaces).await;
+        if replaced_revision > 0 || now >= since.plus_ms(acquire_delay_ms(&state)) {
+            acquire_duty(&state, &store, &term, replaced_revision).await;
             vacant_since = None;
         }
     }
@@ -58,9 +58,9 @@
     EdgeMetrics::global().duty_held.set(0);
 }
 
-/// How long this daemon waits before it acquires a vacant duty, in milliseconds.
+/// Time in milliseconds for which the duty must be vacant before this daemon acquires it.
 fn acquire_delay_ms(state: &EdgeState) -> u64 {
-    match &state.lease().last_holder {
+    match &state.lease_view().last_holder {
         Some(last_holder) if *last_holder == state.settings.vm => 0,
         Some(_) => PREVIOUS_HOLDER_WAIT_MS + fingerprint(&[state.settings.vm.as_bytes()]) % ACQUIRE_SPREAD_MS,
         None => fingerprint(&[state.settings.vm.as_bytes()]) % ACQUIRE_SPREAD_MS,
@@ -69,14 +69,14 @@
 
 /// Updates the term from the current lease. Returns whether this process still holds the duty.
 fn refresh_term(state: &EdgeState, term: &SharedTerm) -> bool {
-    let standing = {
-        let view = state.lease();
-        let recorded = view.duty.as_ref().map(|(revision, _)| *revision);
-        LeaseStatus { lease: view.lease, expires_at: view.ends_at, duty_revision: recorded }
+    let status = {
+        let view = state.lease_view();
+        let observed_revision = view.duty.as_ref().map(|(revision, _)| *revision);
+        LeaseStatus { lease: view.lease, expires_at: view.ends_at, duty_revision: observed_revision }
     };
     let mut term = term.borrow_mut();
     let Some(current) = term.as_mut() else { return false };
-    if current.refresh(standing) {
+    if current.refresh(status) {
         return true;
     }
     LogLine::new("duty_lost").field("fencing_token", current.fencing_token).warn();
@@ -90,7 +90,7 @@
 /// yet.
 fn replaceable_revision(state: &EdgeState) -> Option<u64> {
     state.config()?;
-    let view = state.lease();
+    let view = state.lease_view();
     match &view.duty {
         None => Some(0),
         Some((revision, holder)) => {
@@ -100,11 +100,11 @@
     }
 }
 
-/// Commits this process as the holder, under its lease and in place of the entry with the revision `replaces`, and
-/// starts a term.
-async fn acquire(state: &EdgeState, store: &StoreAccess, term: &SharedTerm, replaces: u64) {
+/// Commits this process as the holder, under its lease and in place of the entry with the revision `replaced_revision`
+/// (0 for none), and starts a term.
+async fn acquire_duty(state: &EdgeState, store: &StoreAccess, term: &SharedTerm, replaced_revision: u64) {
     let (lease, ends_at) = {
-        let view = state.lease();
+        let view = state.lease_view();
         (view.lease, view.ends_at)
     };
     let (Some(lease), Ok(entry)) = (lease, encode(&state.daemon_entry())) else { return };
@@ -118,28 +118,28 @@
     let unix_ms = state.unix_ms();
     let wait_ms = history.handover_wait_ms(&state.settings.vm, unix_ms, state.settings.handover_ms);
     let previous = history.last_holder().map_or_else(|| "nobody".into(), Clone::clone);
-    let history_entry = match encode(&DutyEntry::from(&history.with_acquisition(state.settings.vm.clone(), unix_ms))) {
-        Ok(entry) => entry,
-        Err(error) => {
-            LogLine::new("duty_not_taken").field("reason", error).warn();
-            return;
-        }
-    };
-    let commit = StoreCommit::default().expect(KeyLayout::DUTY, replaces).put(KeyLayout::DUTY, entry, lease).put(
-        KeyLayout::DUTY_HISTORY,
-        history_entry,
-        0,
-    );
+    let history_entry =
+        match encode(&DutyHistoryEntry::from(&history.with_acquisition(state.settings.vm.clone(), unix_ms))) {
+            Ok(entry) => entry,
+            Err(error) => {
+                LogLine::new("duty_not_taken").field("reason", error).warn();
+                return;
+            }
+        };
+    let commit = StoreCommit::default()
+        .expect(KeyLayout::DUTY_HOLDER_KEY, replaced_revision)
+        .put(KeyLayout::DUTY_HOLDER_KEY, entry, lease)
+        .put(KeyLayout::DUTY_HISTORY_KEY, history_entry, 0);
     let revision = match store.commit(&commit).await {
-        Ok(CommitOutcome::Done(revision)) => revision,
-        Ok(CommitOutcome::Conflict(items)) => {
+        Ok(CommitOutcome::Committed(revision)) => revision,
+        Ok(CommitOutcome::Conflict(store_entries)) => {
             // An earlier commit of this process may have succeeded without a response.
-            let is_own = |item: &&StoreItem| {
-                item.lease == lease
-                    && decode::<DaemonEntry>(&item.value).is_ok_and(|entry| entry == state.daemon_entry())
+            let is_own = |store_entry: &&StoreEntry| {
+                store_entry.lease == lease
+                    && decode::<DaemonEntry>(&store_entry.value).is_ok_and(|entry| entry == state.daemon_entry())
             };
-            let Some(item) = items.iter().find(is_own) else { return };
-            item.revision
+            let Some(store_entry) = store_entries.iter().find(is_own) else { return };
+            store_entry.revision
         }
         Err(error) => {
             LogLine::new("duty_not_taken").field("reason", error).warn();
@@ -154,11 +154,11 @@
         .info();
     EdgeMetrics::global().duty_held.set(1);
     *term.borrow_mut() = Some(DutyTerm::start(revision, lease, now, ends_at, wait_ms));
-    state.lease().duty_observed(revision, state.daemon_entry());
+    state.lease_view().duty_observed(revision, state.daemon_entry());
 }
 
 /// Reads the previous holders of the duty from the store.
 async fn read_history(store: &StoreAccess) -> anyhow::Result<DutyHistory> {
-    let Some(item) = store.get(KeyLayout::DUTY_HISTORY).await? else { return Ok(DutyHistory::default()) };
-    Ok(decode::<DutyEntry>(&item.value)?.into())
+    let Some(store_entry) = store.get(KeyLayout::DUTY_HISTORY_KEY).await? else { return Ok(DutyHistory::default()) };
+    Ok(decode::<DutyHistoryEntry>(&store_entry.value)?.into())
 }
--- a/crates/edge/src/duty/size_duty.rs
+++ b/crates/edge/src/duty/size_duty.rs
@@ -3,7 +3,7 @@
 use super::duty_task::SharedTerm;
 use crate::{edge_state::EdgeState, store::StoreAccess};
 use pimentoslip_kernel::{SamplerRecord, ScalingOrder, ScalingOutcome, ScalingPlanner, SharedName, standing_counts};
-use pimentoslip_platform::{CommitOutcome, DutyCall, DutyClient, DutyOutcome, SizeOrder, StoreCommit};
+use pimentoslip_platform::{CommitOutcome, DutyAuthority, DutyCallOutcome, DutyClient, ScaleRequest, StoreCommit};
 use pimentoslip_telemetry::LogLine;
 use pimentoslip_wire::{
     decode, encode,
@@ -28,17 +28,18 @@
 /// Plan and floor of one service.
 #[derive(Debug, Default)]
 struct SizedService {
-    /// Computes the due orders, and waits between repeated ones.
+    /// Computes the due orders, and backs off after an order before it repeats it.
     planner: ScalingPlanner,
-    /// Number of standing upstreams that are kept in each failure domain; `None` until it has been read or stored.
+    /// Number of standing upstreams, which the platform may not reclaim, that are kept in each failure domain. `None`
+    /// until it has been read or stored.
     floor: Option<BTreeMap<SharedName, u64>>,
 }
 
 impl SizeDuty {
-    /// Creates the duty, which sends orders while `term` allows it.
+    /// Creates the size duty, which sends orders while `term` allows it.
     #[must_use]
     pub fn new(state: Arc<EdgeState>, store: StoreAccess, term: SharedTerm) -> Self {
-        let provider = state.settings.provider.map(DutyClient::new);
+        let provider = state.settings.provider_address.map(DutyClient::new);
         Self { state, provider, term, store, services: BTreeMap::new() }
     }
 
@@ -63,8 +64,8 @@
 
     /// The upstreams of `service` in the platform's list.
     fn upstreams(&self, service: &str) -> Vec<SamplerRecord> {
-        let samplers = self.state.upstreams();
-        samplers.records().filter(|record| *record.service == *service).cloned().collect()
+        let table = self.state.upstreams();
+        table.records().filter(|record| *record.service == *service).cloned().collect()
     }
 
     /// Number of items of unfinished batch jobs whose route leads to `service`. All items of a step should run at once.
@@ -76,26 +77,26 @@
             let rule = config.route(&entry.host, &entry.path);
             rule.is_some_and(|rule| rule.targets.iter().any(|target| *target.service == *service))
         });
-        routed.map(|entry| entry.items as u64).sum()
+        routed.map(|entry| entry.item_count as u64).sum()
     }
 }
 
 /// Reads the stored floor of the service, or stores the standing upstreams that run now as its floor. `None` if that
-/// failed; the next pass repeats it.
+/// failed; the next pass tries it again.
 async fn read_or_store_floor(
     store: &StoreAccess,
     service: &SharedName,
     upstreams: &[SamplerRecord],
 ) -> Option<BTreeMap<SharedName, u64>> {
-    let key = KeyLayout::floor(service);
+    let key = KeyLayout::floor_key(service);
     let current = FloorEntry { standing: standing_counts(upstreams) };
     let floor = async {
-        if let Some(item) = store.get(&key).await? {
-            return Ok(decode::<FloorEntry>(&item.value)?);
+        if let Some(store_entry) = store.get(&key).await? {
+            return Ok(decode::<FloorEntry>(&store_entry.value)?);
         }
         let commit = StoreCommit::default().expect(key.clone(), 0).put(key.clone(), encode(&current)?, 0);
         match store.commit(&commit).await? {
-            CommitOutcome::Done(_) => Ok(current.clone()),
+            CommitOutcome::Committed(_) => Ok(current.clone()),
             CommitOutcome::Conflict(_) => {
                 anyhow::bail!("another daemon stored the floor at the same time; it is read in the next pass")
             }
@@ -110,8 +111,8 @@
     }
 }
 
-/// Sends an order to the platform and logs the outcome, with the demand that led to it. Fails without a call if the
-/// term does not allow one now.
+/// Sends an order to the platform and logs the outcome, with the demand that led to it. Returns `Failed` without a call
+/// if the term does not allow one now.
 async fn send_order(
     state: &Arc<EdgeState>,
     provider: &DutyClient,
@@ -121,17 +122,17 @@
     demand: u64,
 ) -> ScalingOutcome {
     let now = state.now();
-    let active_term = term.borrow().filter(|term| term.may_act(now, DutyClient::CALL_MS));
+    let active_term = term.borrow().filter(|term| term.may_act(now, DutyClient::CALL_TIMEOUT_MS));
     let Some(term) = active_term else { return ScalingOutcome::Failed };
     let _call_guard = state.track_duty_call();
-    let duty_call = DutyCall { holder: &state.settings.vm, fencing_token: term.fencing_token };
-    let message = SizeOrder {
+    let authority = DutyAuthority { holder: &state.settings.vm, fencing_token: term.fencing_token };
+    let message = ScaleRequest {
         service: service.clone(),
         failure_domain: order.failure_domain.clone(),
         reclaimable: order.reclaimable,
-        desired: order.desired,
+        desired_count: order.desired,
     };
-    let outcome = provider.scale(duty_call, &message).await;
+    let outcome = provider.scale(authority, &message).await;
     LogLine::new("upstreams_ordered")
         .field("service", service)
         .field("failure_domain", &order.failure_domain)
@@ -142,8 +143,8 @@
         .field("result", format!("{outcome:?}").to_lowercase())
         .info();
     match outcome {
-        DutyOutcome::Accepted => ScalingOutcome::Accepted,
-        DutyOutcome::Refused(NONE_AVAILABLE_STATUS) => ScalingOutcome::Unavailable,
-        DutyOutcome::Refused(_) | DutyOutcome::Unanswered => ScalingOutcome::Failed,
+        DutyCallOutcome::Accepted => ScalingOutcome::Accepted,
+        DutyCallOutcome::Refused(NONE_AVAILABLE_STATUS) => ScalingOutcome::Unavailable,
+        DutyCallOutcome::Refused(_) | DutyCallOutcome::Unanswered => ScalingOutcome::Failed,
     }
 }
--- a/crates/edge/src/duty/usage_collector.rs
+++ b/crates/edge/src/duty/usage_collector.rs
@@ -6,7 +6,7 @@
 use pimentoslip_wire::{
     encode,
     peer::UsagePush,
-    stored::{KeyLayout, UsagePart, UsageParts},
+    stored::{KeyLayout, UsageBatchEntry, UsageBatchesEntry},
 };
 use std::{cell::RefCell, collections::BTreeMap, rc::Rc, sync::Arc, time::Duration};
 use tokio::sync::oneshot;
@@ -65,17 +65,17 @@
         receiver.await.unwrap_or(false)
     }
 
-    /// Writes all pending counts, and reports the outcome to those who wait for it.
+    /// Writes all pending counts, and sends the outcome to the tasks that wait for it.
     async fn flush(&self) {
         let pending = self.pending.take();
-        let mut windows: BTreeMap<u64, Vec<UsagePart>> = BTreeMap::new();
+        let mut windows: BTreeMap<u64, Vec<UsageBatchEntry>> = BTreeMap::new();
         for entry in &pending {
-            windows.entry(entry.push.window).or_default().push(entry.push.part.clone());
+            windows.entry(entry.push.window).or_default().push(entry.push.batch.clone());
         }
         let mut all_written = true;
-        let windows: Vec<(u64, Vec<UsagePart>)> = windows.into_iter().collect();
+        let windows: Vec<(u64, Vec<UsageBatchEntry>)> = windows.into_iter().collect();
         for window_group in windows.chunks(WINDOWS_PER_COMMIT_MAX) {
-            all_written &= write_parts(&self.state, &self.store, window_group).await;
+            all_written &= write_batches(&self.state, &self.store, window_group).await;
         }
         for entry in pending {
             // A daemon whose call has timed out writes its counts itself, so a closed channel is ignored.
@@ -84,28 +84,29 @@
     }
 }
 
-/// Stores the counts of the windows in one commit. Returns false if they may not be stored.
-pub async fn write_parts(state: &EdgeState, store: &StoreAccess, windows: &[(u64, Vec<UsagePart>)]) -> bool {
+/// Stores the batches of counts of each window in one commit. Returns false if it is not certain that they are stored.
+pub async fn write_batches(state: &EdgeState, store: &StoreAccess, windows: &[(u64, Vec<UsageBatchEntry>)]) -> bool {
     let mut commit = StoreCommit::default();
-    for (window, parts) in windows {
-        let value = match encode(&UsageParts { parts: parts.clone() }) {
+    for (window, batches) in windows {
+        let value = match encode(&UsageBatchesEntry { batches: batches.clone() }) {
             Ok(value) => value,
             Err(error) => {
                 LogLine::new("usage_not_encoded").field("window", window).field("reason", error).warn();
                 return false;
             }
         };
-        let key = KeyLayout::count(*window, &state.settings.vm, state.incarnation, state.next_usage_write_number());
+        let key =
+            KeyLayout::usage_count_key(*window, &state.settings.vm, state.incarnation, state.next_usage_write_number());
         commit = commit.put(key, value, 0);
     }
-    let parts: usize = windows.iter().map(|(_, parts)| parts.len()).sum();
+    let batch_count: usize = windows.iter().map(|(_, batches)| batches.len()).sum();
     match store.commit(&commit).await {
         Ok(_) => {
-            LogLine::new("usage_recorded").field("windows", windows.len()).field("parts", parts).info();
+            LogLine::new("usage_recorded").field("windows", windows.len()).field("parts", batch_count).info();
             true
         }
         Err(error) => {
-            LogLine::new("usage_not_recorded").field("parts", parts).field("reason", error).warn();
+            LogLine::new("usage_not_recorded").field("parts", batch_count).field("reason", error).warn();
             false
         }
     }
--- a/crates/edge/src/duty/usage_duty.rs
+++ b/crates/edge/src/duty/usage_duty.rs
@@ -4,23 +4,26 @@
 use super::duty_task::SharedTerm;
 use crate::{edge_state::EdgeState, store::StoreAccess};
 use pimentoslip_kernel::{SharedName, UsageTally};
-use pimentoslip_platform::{CommitOutcome, DutyCall, DutyClient, DutyOutcome, RangePage, StoreCommit, StoreItem};
+use pimentoslip_platform::{
+    CommitOutcome, DutyAuthority, DutyCallOutcome, DutyClient, RangePage, StoreCommit, StoreEntry,
+};
 use pimentoslip_telemetry::LogLine;
 use pimentoslip_wire::{
     decode, encode,
-    stored::{KeyLayout, UsageEntry, UsageParts},
+    stored::{KeyLayout, SealedUsageEntry, UsageBatchesEntry},
 };
 use serde::de::DeserializeOwned;
 use std::{collections::BTreeMap, sync::Arc};
 
 /// A window is sealed this long after its end; by then, all daemons have stored their counts.
 const SEAL_DELAY_MS: u64 = 5_000;
-/// Number of past windows that a new holder checks: it reports the sealed ones again, and seals those after them.
+/// Number of past windows that a new holder checks: it reports the sealed ones once more, and seals those after
+/// the last sealed one.
 const LOOK_BACK_WINDOWS: u64 = 6;
 /// Number of sealed windows that are kept in the store, so that a report can be checked for some minutes.
 const SEALED_WINDOWS_KEPT: u64 = 64;
 /// Largest number of entries removed by one commit; below the platform's limit on the size of a commit.
-const REMOVALS_MAX: usize = 24;
+const REMOVALS_PER_COMMIT_MAX: usize = 24;
 
 /// Seals and reports usage windows in their order.
 pub struct UsageDuty {
@@ -38,17 +41,17 @@
 }
 
 impl UsageDuty {
-    /// Creates the duty, which reports while `term` allows it.
+    /// Creates the usage duty, which reports while `term` allows it.
     #[must_use]
     pub fn new(state: Arc<EdgeState>, store: StoreAccess, term: SharedTerm) -> Self {
-        let provider = state.settings.provider.map(DutyClient::new);
+        let provider = state.settings.provider_address.map(DutyClient::new);
         Self { state, store, provider, term, fencing_token: 0, next_window: None, unreported: BTreeMap::new() }
     }
 
     /// Seals the next window if it is due, and reports sealed windows.
     pub async fn tick(&mut self) {
         let now = self.state.now();
-        let active_term = self.term.borrow().filter(|term| term.may_act(now, DutyClient::CALL_MS));
+        let active_term = self.term.borrow().filter(|term| term.may_act(now, DutyClient::CALL_TIMEOUT_MS));
         let (Some(term), true) = (active_term, self.provider.is_some()) else { return };
         if self.fencing_token != term.fencing_token {
             self.fencing_token = term.fencing_token;
@@ -69,7 +72,7 @@
         if self.next_window.is_some() {
             return self.next_window;
         }
-        let page = match self.store.range(KeyLayout::SEALED).await {
+        let page = match self.store.range(KeyLayout::SEALED_USAGE_PREFIX).await {
             Ok(page) => page,
             Err(error) => {
                 LogLine::new("usage_read_failed").field("reason", error).warn();
@@ -78,11 +81,11 @@
         };
         let current = self.state.usage().window_at(self.state.unix_ms());
         let mut last_sealed = None;
-        for item in page.items {
-            let Some(window) = KeyLayout::sealed_window(&item.key) else { continue };
+        for store_entry in page.entries {
+            let Some(window) = KeyLayout::parse_sealed_usage_key(&store_entry.key) else { continue };
             last_sealed = last_sealed.max(Some(window));
             if window + LOOK_BACK_WINDOWS >= current
-                && let Some(entry) = decode_logged::<UsageEntry>(&item)
+                && let Some(entry) = decode_logged::<SealedUsageEntry>(&store_entry)
             {
                 // The previous holder may have sealed this window without reporting it.
                 self.unreported.insert(window, entry.counts);
@@ -96,36 +99,36 @@
     /// Sums a window's counts and stores the sums by one write that can succeed only once. Returns whether the window
     /// is sealed.
     async fn seal(&mut self, window: u64) -> bool {
-        let page = match self.store.range(&KeyLayout::counts(window)).await {
+        let page = match self.store.range(&KeyLayout::usage_counts_prefix(window)).await {
             Ok(page) => page,
             Err(error) => {
                 LogLine::new("usage_read_failed").field("window", window).field("reason", error).warn();
                 return false;
             }
         };
-        let parts = unique_parts(&page);
-        let batch_count = parts.len();
-        let counts = UsageTally::sum_counts(parts.into_values());
-        let value = match encode(&UsageEntry { counts: counts.clone() }) {
+        let batches = unique_batches(&page);
+        let batch_count = batches.len();
+        let counts = UsageTally::sum_counts(batches.into_values());
+        let value = match encode(&SealedUsageEntry { counts: counts.clone() }) {
             Ok(value) => value,
             Err(error) => {
                 LogLine::new("usage_not_sealed").field("window", window).field("reason", error).warn();
                 return false;
             }
         };
-        let key = KeyLayout::sealed(window);
+        let key = KeyLayout::sealed_usage_key(window);
         let mut commit = StoreCommit::default().expect(key.clone(), 0).put(key, value, 0);
-        for item in page.items.iter().take(REMOVALS_MAX) {
-            commit = commit.remove(item.key.clone());
+        for store_entry in page.entries.iter().take(REMOVALS_PER_COMMIT_MAX) {
+            commit = commit.remove(store_entry.key.clone());
         }
         if let Some(expired_window) = window.checked_sub(SEALED_WINDOWS_KEPT) {
-            commit = commit.remove(KeyLayout::sealed(expired_window));
+            commit = commit.remove(KeyLayout::sealed_usage_key(expired_window));
         }
         let counts = match self.store.commit(&commit).await {
-            Ok(CommitOutcome::Done(_)) => counts,
-            Ok(CommitOutcome::Conflict(items)) => {
-                // The window is sealed already, by whichever daemon; the stored sums are reported.
-                let sealed = items.first().and_then(decode_logged::<UsageEntry>);
+            Ok(CommitOutcome::Committed(_)) => counts,
+            Ok(CommitOutcome::Conflict(store_entries)) => {
+                // The window is sealed already, by this or another daemon; the stored sums are reported.
+                let sealed = store_entries.first().and_then(decode_logged::<SealedUsageEntry>);
                 let Some(sealed) = sealed else { return false };
                 sealed.counts
             }
@@ -148,10 +151,12 @@
         let Some(provider) = self.provider.clone() else { return };
         while let Some((window, counts)) = self.unreported.first_key_value() {
             let now = self.state.now();
-            let Some(term) = self.term.borrow().filter(|term| term.may_act(now, DutyClient::CALL_MS)) else { return };
-            let duty_call = DutyCall { holder: &self.state.settings.vm, fencing_token: term.fencing_token };
+            let Some(term) = self.term.borrow().filter(|term| term.may_act(now, DutyClient::CALL_TIMEOUT_MS)) else {
+                return;
+            };
+            let authority = DutyAuthority { holder: &self.state.settings.vm, fencing_token: term.fencing_token };
             let call_guard = self.state.track_duty_call();
-            let outcome = provider.report(duty_call, *window, counts).await;
+            let outcome = provider.report_usage(authority, *window, counts).await;
             drop(call_guard);
             LogLine::new("usage_reported")
                 .field("window", window)
@@ -160,30 +165,30 @@
                 .info();
             match outcome {
                 // A report that was refused with one of these statuses is refused permanently, so it is not sent again.
-                DutyOutcome::Accepted | DutyOutcome::Refused(400 | 404 | 409 | 412 | 422) => {
+                DutyCallOutcome::Accepted | DutyCallOutcome::Refused(400 | 404 | 409 | 412 | 422) => {
                     let window = *window;
                     self.unreported.remove(&window);
                 }
-                DutyOutcome::Refused(_) | DutyOutcome::Unanswered => return,
+                DutyCallOutcome::Refused(_) | DutyCallOutcome::Unanswered => return,
             }
         }
     }
 }
 
-/// Batches of counts by daemon, incarnation and number of the batch. A batch may be stored in several entries and
-/// counts once.
-fn unique_parts(page: &RangePage) -> BTreeMap<(SharedName, u64, u64), BTreeMap<SharedName, u64>> {
-    let entries = page.items.iter().filter_map(decode_logged::<UsageParts>);
-    let parts = entries.flat_map(|entry| entry.parts);
-    parts.map(|part| ((part.daemon, part.incarnation, part.number), part.counts)).collect()
+/// Counts of each batch, by daemon, incarnation and number of the batch. A batch that is stored in several entries is
+/// returned once.
+fn unique_batches(page: &RangePage) -> BTreeMap<(SharedName, u64, u64), BTreeMap<SharedName, u64>> {
+    let entries = page.entries.iter().filter_map(decode_logged::<UsageBatchesEntry>);
+    let batches = entries.flat_map(|entry| entry.batches);
+    batches.map(|batch| ((batch.daemon, batch.incarnation, batch.number), batch.counts)).collect()
 }
 
 /// Decodes a stored entry. `None` if it is malformed, which is logged.
-fn decode_logged<T: DeserializeOwned>(item: &StoreItem) -> Option<T> {
-    match decode(&item.value) {
+fn decode_logged<T: DeserializeOwned>(store_entry: &StoreEntry) -> Option<T> {
+    match decode(&store_entry.value) {
         Ok(entry) => Some(entry),
         Err(error) => {
-            LogLine::new("entry_unreadable").field("key", &item.key).field("reason", error).warn();
+            LogLine::new("entry_unreadable").field("key", &store_entry.key).field("reason", error).warn();
             None
         }
     }
--- a/crates/edge/src/edge_state.rs
+++ b/crates/edge/src/edge_state.rs
@@ -1,7 +1,7 @@
 //! State shared by all listeners and tasks of a daemon.
 
 use crate::{edge_metrics::EdgeMetrics, job::JobIndex, steady_time::SteadyTime};
-use pimentoslip_client::OwnerClock;
+use pimentoslip_client::LeaseClock;
 use pimentoslip_kernel::{
     OwnershipTable, PathSelector, RunReports, SamplerTable, SharedName, TimePoint, TrafficConfig, UsageTally,
     fingerprint,
@@ -27,7 +27,7 @@
     /// Settings read from the settings file at start.
     pub settings: ProcessSettings,
     /// Clock for leases, deadlines and ownership; it counts the time for which the VM was suspended.
-    pub clock: Arc<OwnerClock>,
+    pub clock: Arc<LeaseClock>,
     /// Start of this process in milliseconds since the Unix epoch.
     pub incarnation: u64,
     /// Whether this daemon is draining before it stops.
@@ -47,11 +47,11 @@
     ownership: Mutex<OwnershipTable>,
     jobs: Mutex<JobIndex>,
     usage: Mutex<UsageTally>,
-    lease: Mutex<LeaseView>,
-    store_path: Mutex<PathSelector>,
+    lease_view: Mutex<LeaseView>,
+    path_selector: Mutex<PathSelector>,
     store_reconnected_at: Mutex<Option<TimePoint>>,
     usage_write_count: AtomicU64,
-    run_board: Mutex<RunReports>,
+    run_reports: Mutex<RunReports>,
     pending_duty_calls: AtomicUsize,
 }
 
@@ -105,7 +105,7 @@
     /// Creates the state of a daemon; its incarnation is the current time.
     #[must_use]
     pub fn new(settings: ProcessSettings) -> Arc<Self> {
-        let clock = Arc::new(OwnerClock::default());
+        let clock = Arc::new(LeaseClock::default());
         let incarnation = clock.unix_ms();
         Arc::new(Self {
             incarnation,
@@ -120,13 +120,13 @@
             newest_versions: Mutex::default(),
             retired_vms: Mutex::default(),
             ownership: Mutex::new(OwnershipTable::new(settings.vm.clone(), incarnation)),
-            jobs: Mutex::new(JobIndex::new(settings.memory_bytes / RESULTS_MEMORY_DIVISOR)),
+            jobs: Mutex::new(JobIndex::new(settings.memory_limit_bytes / RESULTS_MEMORY_DIVISOR)),
             usage: Mutex::new(UsageTally::new(settings.usage_window_ms)),
-            lease: Mutex::default(),
-            store_path: Mutex::new(PathSelector::new(fingerprint(&[settings.vm.as_bytes()]))),
+            lease_view: Mutex::default(),
+            path_selector: Mutex::new(PathSelector::new(fingerprint(&[settings.vm.as_bytes()]))),
             store_reconnected_at: Mutex::default(),
             usage_write_count: AtomicU64::new(0),
-            run_board: Mutex::default(),
+            run_reports: Mutex::default(),
             pending_duty_calls: AtomicUsize::new(0),
             settings,
             clock,
@@ -136,7 +136,7 @@
     /// Current time of the monotonic clock, in milliseconds since boot.
     #[must_use]
     pub fn now(&self) -> TimePoint {
-        self.clock.steady()
+        self.clock.since_boot()
     }
 
     /// Wall-clock time in milliseconds since the Unix epoch; a jump of the VM's clock takes effect only if it lasts.
@@ -172,7 +172,7 @@
         lock(&self.newest_versions)
     }
 
-    /// Locks the list of VMs that operators want to retire and that must hold no durable data any more.
+    /// Locks the list of VMs that operators have requested to retire.
     pub fn retired_vms(&self) -> MutexGuard<'_, Vec<SharedName>> {
         lock(&self.retired_vms)
     }
@@ -187,19 +187,19 @@
         lock(&self.jobs)
     }
 
-    /// Locks the counts of served requests, which are billed by usage window and organisation.
+    /// Locks the counts of requests that upstreams may have run, by usage window and organisation.
     pub fn usage(&self) -> MutexGuard<'_, UsageTally> {
         lock(&self.usage)
     }
 
     /// Locks the state of this daemon's lease and of the duty.
-    pub fn lease(&self) -> MutexGuard<'_, LeaseView> {
-        lock(&self.lease)
+    pub fn lease_view(&self) -> MutexGuard<'_, LeaseView> {
+        lock(&self.lease_view)
     }
 
-    /// Locks the choice of the path to the store: direct or relayed through a peer.
-    pub fn store_path(&self) -> MutexGuard<'_, PathSelector> {
-        lock(&self.store_path)
+    /// Locks the selector of the path to the store: direct or relayed through a peer.
+    pub fn path_selector(&self) -> MutexGuard<'_, PathSelector> {
+        lock(&self.path_selector)
     }
 
     /// Records that the direct path to the store works again since `at`.
@@ -213,9 +213,10 @@
         *lock(&self.store_reconnected_at)
     }
 
-    /// Locks the numbers of batch items that other daemons run at each upstream.
-    pub fn run_board(&self) -> MutexGuard<'_, RunReports> {
-        lock(&self.run_board)
+    /// Locks the latest report of each daemon: the number of its requests in progress at each upstream that serves
+    /// models.
+    pub fn run_reports(&self) -> MutexGuard<'_, RunReports> {
+        lock(&self.run_reports)
     }
 
     /// Counts a call made under the duty as pending until the guard is dropped.
@@ -241,7 +242,7 @@
     /// while draining.
     #[must_use]
     pub fn is_lease_valid(&self) -> bool {
-        !self.is_draining() && self.lease().ends_at > self.now()
+        !self.is_draining() && self.lease_view().ends_at > self.now()
     }
 
     /// Whether this daemon is draining before it stops.
--- a/crates/edge/src/http/peer_api.rs
+++ b/crates/edge/src/http/peer_api.rs
@@ -1,7 +1,7 @@
 //! Control API through which daemons call each other.
 
 use crate::{
-    job::{ResultsQuery, SubmittedJob, accept_pushed_job, local_item, local_results},
+    job::{ResultsQuery, SubmittedJob, accept_job, local_item, local_results},
     store::RELAY_PATH,
     worker_parts::WorkerParts,
 };
@@ -11,12 +11,12 @@
 use pimentoslip_telemetry::LogLine;
 use pimentoslip_wire::{
     CodecError, decode, encode,
-    peer::{ItemRequest, JobPush, NewsRequest, ResultsRequest, RunReport, UsagePush},
+    peer::{ChangesRequest, ItemRequest, JobPush, ResultsRequest, RunReport, UsagePush},
 };
 use serde::Serialize;
 use std::sync::Arc;
 
-/// Largest request body in bytes: a pushed job with its submission, which the configured limit on request bodies bounds
+/// Largest request body: a pushed job with its submission, which the configured limit on request bodies bounds
 /// to 32 MB by default.
 pub const PUSH_BYTES_MAX: usize = 33 << 20;
 
@@ -24,23 +24,23 @@
 pub async fn relay_store_call(parts: web::Data<WorkerParts>, request: HttpRequest, body: web::Bytes) -> HttpResponse {
     let path = request.uri().path_and_query().map(ToString::to_string).unwrap_or_default();
     let Some(store_path) = path.strip_prefix(RELAY_PATH) else { return HttpResponse::NotFound().finish() };
-    if !parts.state.store_path().is_direct_available() {
+    if !parts.state.path_selector().is_direct_available() {
         return HttpResponse::ServiceUnavailable().finish();
     }
-    match parts.relay_client.pass_on(request.method().clone(), store_path, body).await {
+    match parts.relay_client.relay_call(request.method().clone(), store_path, body).await {
         Ok((status, body)) => {
             let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
             HttpResponse::build(status).content_type("application/json").body(body)
         }
-        Err(StoreError::NotDone { .. }) => HttpResponse::ServiceUnavailable().finish(),
+        Err(StoreError::NotApplied { .. }) => HttpResponse::ServiceUnavailable().finish(),
         Err(_) => HttpResponse::BadGateway().finish(),
     }
 }
 
 /// Responds to a peer with changes of the store.
 pub async fn read_changes(parts: web::Data<WorkerParts>, body: web::Bytes) -> HttpResponse {
-    match decode::<NewsRequest>(&body) {
-        Ok(request) => message_response(&parts.change_hub.answer(request).await),
+    match decode::<ChangesRequest>(&body) {
+        Ok(request) => message_response(&parts.change_hub.changes_response(request).await),
         Err(error) => malformed_response(&error),
     }
 }
@@ -52,8 +52,8 @@
         Err(error) => return malformed_response(&error),
     };
     let wait_until = parts.state.now().plus_ms(request.wait_ms);
-    let read = ResultsQuery { position: request.position, bytes_max: request.bytes_max, wait_until };
-    message_response(&local_results(&parts.state, &request.job, &read).await)
+    let query = ResultsQuery { position: request.position, bytes_max: request.bytes_max, wait_until };
+    message_response(&local_results(&parts.state, &request.job, &query).await)
 }
 
 /// Responds to a peer with the body of an item of a job that this daemon owns.
@@ -64,12 +64,12 @@
     }
 }
 
-/// Records the numbers of batch items that a peer runs at each upstream.
+/// Records the number of requests that a peer has in progress at each upstream.
 pub async fn receive_runs(parts: web::Data<WorkerParts>, body: web::Bytes) -> HttpResponse {
     match decode::<RunReport>(&body) {
         Ok(report) => {
             let now = parts.state.now();
-            parts.state.run_board().runs_reported(report.daemon, report.runs, now);
+            parts.state.run_reports().runs_reported(report.daemon, report.runs, now);
             message_response(&true)
         }
         Err(error) => malformed_response(&error),
@@ -102,18 +102,21 @@
 }
 
 /// Receives a job that this process owns from the daemon that accepted or previously owned it. Responds with 409 if the
-/// job is meant for an earlier process or this daemon is draining.
+/// job was sent to another incarnation of this daemon, or if this daemon is draining.
 pub async fn receive_job(parts: web::Data<WorkerParts>, body: web::Bytes) -> HttpResponse {
     let state = &parts.state;
     let push: JobPush = match decode(&body) {
         Ok(push) => push,
         Err(error) => return malformed_response(&error),
     };
-    if push.incarnation != state.incarnation || state.is_draining() {
+    if push.owner_incarnation != state.incarnation || state.is_draining() {
         return HttpResponse::Conflict().finish();
     }
-    let owner =
-        OwnerRecord { daemon: state.settings.vm.clone(), incarnation: push.incarnation, revision: push.revision };
+    let owner = OwnerRecord {
+        daemon: state.settings.vm.clone(),
+        incarnation: push.owner_incarnation,
+        revision: push.ownership_revision,
+    };
     let submission = match decode_submission(&push.body) {
         Ok(submission) => Arc::new(submission),
         Err(error) => {
@@ -123,6 +126,6 @@
     };
     let job =
         SubmittedJob { id: push.job, entry: push.entry, placement_key: "".into(), body: push.body.into(), submission };
-    accept_pushed_job(state, &job, Some(owner), push.state);
+    accept_job(state, &job, Some(owner), push.ledger_state);
     HttpResponse::Ok().finish()
 }
--- a/crates/edge/src/job/ledger_writer.rs
+++ b/crates/edge/src/job/ledger_writer.rs
@@ -3,19 +3,19 @@
 use super::owned_job::OwnedJob;
 use bytes::Bytes;
 use pimentoslip_kernel::TimePoint;
-use pimentoslip_platform::{CommitOutcome, StoreCommit, StoreItem};
+use pimentoslip_platform::{CommitOutcome, StoreCommit, StoreEntry};
 use pimentoslip_telemetry::LogLine;
 use pimentoslip_wire::{
     CodecResult, encode,
-    stored::{KeyLayout, ResultsEntry, TextsEntry},
+    stored::{KeyLayout, ResultsEntry, TextCheckpointEntry},
 };
 
-/// Least time between two writes, so that one write stores several results.
+/// Shortest time between two writes, so that one write stores several results.
 const WRITE_PERIOD_MS: u64 = 400;
 /// Time after a write until a checkpoint is stored without any result; bounds the work that is lost when another daemon
-/// takes the job over.
+/// takes over the job.
 const CHECKPOINT_PERIOD_MS: u64 = 800;
-/// Largest results of one write; below the platform's limit on the size of a value.
+/// Largest total size of the results of one write; below the platform's limit on the size of a value.
 const CHUNK_BYTES_MAX: usize = 600_000;
 /// Size at which a checkpoint is closed, so that only its last text exceeds it; below the platform's limit on the size
 /// of a value.
@@ -87,17 +87,17 @@
 fn results_write(job: &OwnedJob) -> Option<ResultsWrite> {
     let mut ledger = job.ledger.borrow_mut();
     let chunk = ledger.next_chunk(CHUNK_BYTES_MAX)?;
-    let entry = ResultsEntry::of(chunk, |index| job.submission.items[index].id.clone());
+    let entry = ResultsEntry::from_chunk(chunk, |index| job.submission.items[index].id.clone());
     let value = encoded_entry(job, encode(&entry))?;
-    Some(ResultsWrite { key: KeyLayout::chunk(&job.id, entry.first), entry, value })
+    Some(ResultsWrite { key: KeyLayout::results_key(&job.id, entry.first_position), entry, value })
 }
 
 /// The next text checkpoint, if there is one.
 fn checkpoint_write(job: &OwnedJob) -> Option<CheckpointWrite> {
     let mut ledger = job.ledger.borrow_mut();
     let (number, checkpoint) = ledger.next_checkpoint(CHECKPOINT_BYTES_MAX)?;
-    let value = encoded_entry(job, encode(&TextsEntry::from(checkpoint)))?;
-    Some(CheckpointWrite { key: KeyLayout::text(&job.id, number), number, value })
+    let value = encoded_entry(job, encode(&TextCheckpointEntry::from(checkpoint)))?;
+    Some(CheckpointWrite { key: KeyLayout::text_checkpoint_key(&job.id, number), number, value })
 }
 
 /// The encoded entry. `None` if it could not be encoded, which is logged.
@@ -118,23 +118,23 @@
     results: Option<&ResultsWrite>,
     checkpoint: Option<&CheckpointWrite>,
 ) -> WriteOutcome {
-    let mut commit = StoreCommit::default().expect(KeyLayout::owner(&job.id), job.owner_revision.get());
+    let mut commit = StoreCommit::default().expect(KeyLayout::owner_key(&job.id), job.owner_revision.get());
     let results_put = results.map(|write| (&write.key, &write.value));
     let checkpoint_put = checkpoint.map(|write| (&write.key, &write.value));
     for (key, value) in results_put.into_iter().chain(checkpoint_put) {
         commit = commit.expect(key.clone(), 0).put(key.clone(), value.clone(), 0);
     }
     match job.store.commit(&commit).await {
-        Ok(CommitOutcome::Done(revision)) => {
+        Ok(CommitOutcome::Committed(revision)) => {
             results.into_iter().for_each(|results| results_stored(job, &results.entry, revision));
             checkpoint.into_iter().for_each(|checkpoint| checkpoint_stored(job, checkpoint, revision));
             WriteOutcome::Continue
         }
-        Ok(CommitOutcome::Conflict(items)) => resolve_conflict(job, results, checkpoint, &items),
+        Ok(CommitOutcome::Conflict(store_entries)) => resolve_conflict(job, results, checkpoint, &store_entries),
         Err(error) => {
             LogLine::new("ledger_not_written")
                 .field("job", &job.id)
-                .field("first", results.map_or(0, |results| results.entry.first))
+                .field("first", results.map_or(0, |results| results.entry.first_position))
                 .field("texts", checkpoint.map_or(0, |checkpoint| checkpoint.number))
                 .field("reason", error)
                 .warn();
@@ -143,31 +143,33 @@
     }
 }
 
-/// Resolves a conflict by comparing the stored `items` with those to be written. An earlier write may have succeeded
-/// without a response; equal items count as stored. Or the ownership entry has changed; the job's next pass finds out
-/// whether this daemon is still the owner.
+/// Resolves a conflict by comparing `store_entries`, which the store holds, with the values to be written. An earlier
+/// write may have succeeded without a response; equal values count as stored. If the ownership entry has changed
+/// instead, the next pass over the job checks whether this daemon is still the owner.
 fn resolve_conflict(
     job: &OwnedJob,
     results: Option<&ResultsWrite>,
     checkpoint: Option<&CheckpointWrite>,
-    items: &[StoreItem],
+    store_entries: &[StoreEntry],
 ) -> WriteOutcome {
-    let stored_item = |key: &str| items.iter().find(|item| item.key == key);
+    let stored_entry = |key: &str| store_entries.iter().find(|store_entry| store_entry.key == key);
     if let Some(checkpoint) = checkpoint
-        && let Some(item) = stored_item(&checkpoint.key)
+        && let Some(store_entry) = stored_entry(&checkpoint.key)
     {
-        if item.value == checkpoint.value {
-            checkpoint_stored(job, checkpoint, item.revision);
+        if store_entry.value == checkpoint.value {
+            checkpoint_stored(job, checkpoint, store_entry.revision);
         } else {
             LogLine::new("texts_conflict").field("job", &job.id).field("number", checkpoint.number).warn();
             job.ledger.borrow_mut().checkpoint_conflicted(checkpoint.number);
         }
     }
     let Some(results) = results else { return WriteOutcome::Continue };
-    match stored_item(&results.key) {
-        Some(item) if item.value == results.value => results_stored(job, &results.entry, item.revision),
+    match stored_entry(&results.key) {
+        Some(store_entry) if store_entry.value == results.value => {
+            results_stored(job, &results.entry, store_entry.revision)
+        }
         Some(_) => {
-            LogLine::new("results_conflict").field("job", &job.id).field("first", results.entry.first).warn();
+            LogLine::new("results_conflict").field("job", &job.id).field("first", results.entry.first_position).warn();
             return WriteOutcome::Superseded;
         }
         None => {}
@@ -179,15 +181,15 @@
 fn results_stored(job: &OwnedJob, entry: &ResultsEntry, revision: u64) {
     LogLine::new("results_listed")
         .field("job", &job.id)
-        .field("first", entry.first)
-        .field("next", entry.next())
+        .field("first", entry.first_position)
+        .field("next", entry.next_position())
         .field("revision", revision)
         .info();
-    job.ledger.borrow_mut().chunk_stored(entry.first);
+    job.ledger.borrow_mut().chunk_stored(entry.first_position);
     {
         let mut jobs = job.state.jobs();
-        jobs.chunk_stored(&job.id, entry.first, entry.next());
-        jobs.append_results(&job.id, entry.first, &entry.results);
+        jobs.chunk_stored(&job.id, entry.first_position, entry.next_position());
+        jobs.append_results(&job.id, entry.first_position, &entry.results);
     }
     job.state.results_listed.notify_waiters();
 }
--- a/crates/edge/src/lease_task.rs
+++ b/crates/edge/src/lease_task.rs
@@ -10,7 +10,8 @@
 };
 use std::{sync::Arc, time::Duration};
 
-/// Time to live of the lease in milliseconds; other daemons take over a dead daemon's jobs after it.
+/// Time to live of the lease, unless the settings require a longer one; other daemons take over a dead daemon's jobs
+/// after it.
 pub const LEASE_TTL_MS: u64 = 3_000;
 /// Interval between renewals; the lease survives two lost ones.
 const RENEW_INTERVAL: Duration = Duration::from_millis(900);
@@ -21,7 +22,7 @@
 pub async fn maintain_lease(state: Arc<EdgeState>, store: StoreAccess) {
     let lease_ms = LEASE_TTL_MS.max(state.settings.lease_ms_min);
     while !state.is_draining() {
-        let current_lease = state.lease().lease;
+        let current_lease = state.lease_view().lease;
         let requested_at = state.now();
         let delay = match current_lease {
             None => acquire_lease(&state, &store, lease_ms).await,
@@ -30,7 +31,7 @@
                     lease_renewed(&state, lease, requested_at.plus_ms(lease_ms));
                     RENEW_INTERVAL
                 }
-                Err(StoreError::LeaseGone) => {
+                Err(StoreError::LeaseNotFound) => {
                     LogLine::new("lease_lost").field("lease", lease).warn();
                     lease_lost(&state);
                     Duration::ZERO
@@ -47,7 +48,7 @@
 
 /// Extends `lease` until `ends_at`, if it is still the current one.
 fn lease_renewed(state: &EdgeState, lease: u64, ends_at: TimePoint) {
-    let mut view = state.lease();
+    let mut view = state.lease_view();
     if view.lease == Some(lease) {
         view.ends_at = ends_at;
     }
@@ -55,7 +56,7 @@
 
 /// Clears the lease, so that a new one is acquired.
 fn lease_lost(state: &EdgeState) {
-    let mut view = state.lease();
+    let mut view = state.lease_view();
     view.lease = None;
     view.ends_at = TimePoint(0);
 }
@@ -70,11 +71,11 @@
             return RETRY_DELAY;
         }
     };
-    let control = state.settings.control.map(|address| address.to_string()).unwrap_or_default();
+    let control_address = state.settings.control_address.map(|address| address.to_string()).unwrap_or_default();
     let presence = PresenceEntry {
         incarnation: state.incarnation,
         lease,
-        control: control.into(),
+        control_address: control_address.into(),
         failure_domain: state.settings.failure_domain.clone(),
         region: state.settings.region.clone(),
     };
@@ -85,13 +86,13 @@
             return RETRY_DELAY;
         }
     };
-    let commit = StoreCommit::default().put(KeyLayout::daemon(&state.settings.vm), entry, lease);
+    let commit = StoreCommit::default().put(KeyLayout::presence_key(&state.settings.vm), entry, lease);
     if let Err(error) = store.commit(&commit).await {
         LogLine::new("presence_not_recorded").field("reason", error).warn();
         return RETRY_DELAY;
     }
     LogLine::new("lease_granted").field("lease", lease).info();
-    let mut view = state.lease();
+    let mut view = state.lease_view();
     view.lease = Some(lease);
     view.ends_at = requested_at.plus_ms(lease_ms);
     RENEW_INTERVAL
@@ -99,8 +100,8 @@
 
 /// Revokes the lease, so that other daemons can take over at once.
 pub async fn revoke_lease(state: &EdgeState, store: &StoreAccess) {
-    let current_lease = state.lease().lease.take();
-    state.lease().ends_at = TimePoint(0);
+    let current_lease = state.lease_view().lease.take();
+    state.lease_view().ends_at = TimePoint(0);
     let Some(lease) = current_lease else { return };
     match store.revoke_lease(lease).await {
         Ok(()) => LogLine::new("lease_ended").field("lease", lease).info(),
--- a/crates/edge/src/store/change_feed.rs
+++ b/crates/edge/src/store/change_feed.rs
@@ -7,9 +7,9 @@
 };
 use bytes::Bytes;
 use pimentoslip_kernel::{SharedName, TimePoint};
-use pimentoslip_platform::{Result, StoreChange, StoreError, StoreItem, WatchBatch};
+use pimentoslip_platform::{Result, StoreChange, StoreEntry, StoreError, WatchBatch};
 use pimentoslip_telemetry::LogLine;
-use pimentoslip_wire::peer::{NewsAnswer, NewsChange, NewsEntry, NewsRequest};
+use pimentoslip_wire::peer::{ChangeBody, ChangesRequest, ChangesResponse, EntryBody};
 use std::{cell::RefCell, collections::HashMap, rc::Rc, sync::Arc};
 
 /// Path of the control listener at which peers request store changes.
@@ -46,8 +46,8 @@
     /// Name of the peer.
     daemon: SharedName,
     /// Address of the peer's control listener.
-    control: SharedName,
-    /// Whether the peer watches for the whole region, not only for one failure domain.
+    control_address: SharedName,
+    /// Whether the peer watches for its region, not only for its failure domain.
     watches_region: bool,
 }
 
@@ -71,7 +71,7 @@
     }
 
     /// Changes of keys with `prefix` after `revision`. Waits a limited time for the first one, so the batch may be
-    /// empty. Fails with `HistoryGone` if the store no longer has the changes since `revision`.
+    /// empty. Fails with `HistoryCompacted` if the store no longer has the changes since `revision`.
     pub async fn next_changes(&self, prefix: &str, revision: u64) -> Result<WatchBatch> {
         let mut is_retry = false;
         for source in self.watch_sources() {
@@ -80,14 +80,18 @@
                 (false, true) => REGION_WAIT_MS,
                 (false, false) => PEER_WAIT_MS,
             };
-            let request = NewsRequest { prefix: prefix.to_owned(), revision, wait_ms };
-            match self.peer_client.call(&source.control, CHANGES_PATH, &request, wait_ms + RESPONSE_SLACK_MS).await {
-                Ok(NewsAnswer::Changes { changes, revision }) => {
+            let request = ChangesRequest { prefix: prefix.to_owned(), revision, wait_ms };
+            match self
+                .peer_client
+                .call(&source.control_address, CHANGES_PATH, &request, wait_ms + RESPONSE_SLACK_MS)
+                .await
+            {
+                Ok(ChangesResponse::Changes { changes, revision }) => {
                     return Ok(WatchBatch { changes: changes.into_iter().map(store_change).collect(), revision });
                 }
-                Ok(NewsAnswer::HistoryGone) => return Err(StoreError::HistoryGone),
+                Ok(ChangesResponse::HistoryCompacted) => return Err(StoreError::HistoryCompacted),
                 // The peer has already tried the watcher of the region. Only this VM's own path is left.
-                Ok(NewsAnswer::StoreAway) => break,
+                Ok(ChangesResponse::StoreUnreachable) => break,
                 Err(error) => self.source_unresponsive(&source.daemon, &error),
             }
             is_retry = true;
@@ -107,7 +111,7 @@
             sources.into_iter().filter(|(daemon, _)| backoff_until.get(*daemon).is_none_or(|until| *until <= now));
         let watch_source = |(daemon, presence): (&SharedName, &pimentoslip_kernel::DaemonPresence)| WatchSource {
             daemon: daemon.clone(),
-            control: presence.control.clone(),
+            control_address: presence.control.clone(),
             watches_region: Some(daemon) == region_watcher.as_ref(),
         };
         available.map(watch_source).collect()
@@ -122,30 +126,30 @@
 }
 
 /// The wire message for a change of a store entry.
-pub fn change_message(change: &StoreChange) -> NewsChange {
+pub fn change_message(change: &StoreChange) -> ChangeBody {
     match change {
-        StoreChange::Written(item) => NewsChange {
-            key: item.key.clone(),
-            revision: item.revision,
-            written: Some(NewsEntry {
-                value: item.value.to_vec(),
-                created_revision: item.created_rev,
-                lease: item.lease,
+        StoreChange::Written(store_entry) => ChangeBody {
+            key: store_entry.key.clone(),
+            revision: store_entry.revision,
+            written: Some(EntryBody {
+                value: store_entry.value.to_vec(),
+                created_revision: store_entry.created_revision,
+                lease: store_entry.lease,
             }),
         },
-        StoreChange::Removed { key, revision } => NewsChange { key: key.clone(), revision: *revision, written: None },
+        StoreChange::Removed { key, revision } => ChangeBody { key: key.clone(), revision: *revision, written: None },
     }
 }
 
 /// The change of a store entry that a wire message describes.
-fn store_change(change: NewsChange) -> StoreChange {
-    let NewsChange { key, revision, written } = change;
+fn store_change(change: ChangeBody) -> StoreChange {
+    let ChangeBody { key, revision, written } = change;
     match written {
-        Some(entry) => StoreChange::Written(StoreItem {
+        Some(entry) => StoreChange::Written(StoreEntry {
             key,
             value: Bytes::from(entry.value),
             revision,
-            created_rev: entry.created_revision,
+            created_revision: entry.created_revision,
             lease: entry.lease,
         }),
         None => StoreChange::Removed { key, revision },
--- a/crates/edge/src/store/change_hub.rs
+++ b/crates/edge/src/store/change_hub.rs
@@ -6,7 +6,7 @@
     future::{LocalBoxFuture, Shared},
 };
 use pimentoslip_platform::{Result, StoreError, WatchBatch};
-use pimentoslip_wire::peer::{NewsAnswer, NewsRequest};
+use pimentoslip_wire::peer::{ChangesRequest, ChangesResponse};
 use std::{cell::RefCell, collections::HashMap, rc::Rc, time::Duration};
 
 /// Number of cached watches beyond which completed ones are dropped; daemons follow three prefixes and are at most some
@@ -26,7 +26,7 @@
 
 impl std::fmt::Debug for ChangeHub {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        formatter.debug_struct("NewsHub").finish_non_exhaustive()
+        formatter.debug_struct("ChangeHub").finish_non_exhaustive()
     }
 }
 
@@ -37,8 +37,9 @@
         Self { feed, watches: Rc::default() }
     }
 
-    /// Responds to another daemon: with changes as soon as there are any, or with none once its wait has passed.
-    pub async fn answer(&self, request: NewsRequest) -> NewsAnswer {
+    /// The response to another daemon's request: changes as soon as there are any, or none once the requested wait has
+    /// passed.
+    pub async fn changes_response(&self, request: ChangesRequest) -> ChangesResponse {
         let key = (request.prefix, request.revision);
         let shared_watch = self.join_watch(&key);
         let batch = match actix_rt::time::timeout(Duration::from_millis(request.wait_ms), shared_watch).await {
@@ -46,12 +47,12 @@
             Err(_) => Rc::new(Ok(WatchBatch { changes: Vec::new(), revision: key.1 })),
         };
         match &*batch {
-            Ok(batch) => NewsAnswer::Changes {
+            Ok(batch) => ChangesResponse::Changes {
                 changes: batch.changes.iter().map(change_message).collect(),
                 revision: batch.revision,
             },
-            Err(StoreError::HistoryGone) => NewsAnswer::HistoryGone,
-            Err(_) => NewsAnswer::StoreAway,
+            Err(StoreError::HistoryCompacted) => ChangesResponse::HistoryCompacted,
+            Err(_) => ChangesResponse::StoreUnreachable,
         }
     }
 
--- a/crates/edge/src/store/store_access.rs
+++ b/crates/edge/src/store/store_access.rs
@@ -3,7 +3,7 @@
 use crate::edge_state::EdgeState;
 use pimentoslip_kernel::{ServicePath, SharedName, TimePoint, rank};
 use pimentoslip_platform::{
-    CommitOutcome, RangePage, Result, StoreClient, StoreCommit, StoreError, StoreItem, WatchBatch,
+    CommitOutcome, RangePage, Result, StoreClient, StoreCommit, StoreEntry, StoreError, WatchBatch,
 };
 use pimentoslip_telemetry::LogLine;
 use std::{cell::RefCell, collections::HashMap, net::SocketAddr, rc::Rc, sync::Arc};
@@ -38,13 +38,13 @@
     /// The same access, whose calls are counted under `purpose`.
     #[must_use]
     pub fn with_purpose(&self, purpose: &'static str) -> Self {
-        Self { direct_client: self.direct_client.purposed(purpose), relay_clients: Rc::default(), ..self.clone() }
+        Self { direct_client: self.direct_client.with_purpose(purpose), relay_clients: Rc::default(), ..self.clone() }
     }
 
     /// The path and client of the next call; `None` while calls back off because the store is unreachable, or if the
     /// chosen peer has no usable address.
     fn next_path(&self) -> Option<(ServicePath, StoreClient)> {
-        let path = self.state.store_path().next_path(self.state.now(), || self.ranked_peers())?;
+        let path = self.state.path_selector().next_path(self.state.now(), || self.ranked_peers())?;
         match &path {
             ServicePath::Direct => Some((path, self.direct_client.clone())),
             ServicePath::Relay(peer) => {
@@ -65,26 +65,28 @@
 
     /// A client whose calls are relayed through `peer`; `None` if the peer has no usable control address.
     fn relay_client(&self, peer: &SharedName) -> Option<StoreClient> {
-        let control = self.state.ownership().daemon(peer)?.control.clone();
-        let address = control.parse::<SocketAddr>().ok()?;
+        let control_address = self.state.ownership().daemon(peer)?.control.clone();
+        let address = control_address.parse::<SocketAddr>().ok()?;
         let mut relay_clients = self.relay_clients.borrow_mut();
-        let client = relay_clients.entry(control).or_insert_with(|| self.direct_client.through(address, RELAY_PATH));
+        let client = relay_clients
+            .entry(control_address)
+            .or_insert_with(|| self.direct_client.relayed_through(address, RELAY_PATH));
         Some(client.clone())
     }
 
-    /// Updates the choice of path with the result of a call, and logs when the direct path stops or starts working.
+    /// Records the result of a call for the selection of paths, and logs when the direct path stops or starts working.
     fn record_result<T>(&self, path: &ServicePath, started_at: TimePoint, result: &Result<T>) {
         let now = self.state.now();
-        let mut choice = self.state.store_path();
+        let mut selector = self.state.path_selector();
         match result {
-            Err(error @ (StoreError::NotDone { .. } | StoreError::Unknown { .. })) => {
-                if choice.call_failed(path, started_at, now) {
+            Err(error @ (StoreError::NotApplied { .. } | StoreError::OutcomeUnknown { .. })) => {
+                if selector.call_failed(path, started_at, now) {
                     LogLine::new("store_path_lost").field("path", path).field("reason", error).warn();
                 }
             }
             _ => {
-                if choice.call_succeeded(path, now) {
-                    drop(choice);
+                if selector.call_succeeded(path, now) {
+                    drop(selector);
                     self.state.store_reconnected(now);
                     LogLine::new("store_path_regained").field("path", path).info();
                 }
@@ -99,13 +101,13 @@
         repeatable: bool,
         call: impl AsyncFn(&StoreClient, &ServicePath) -> Result<T>,
     ) -> Result<T> {
-        let Some((path, client)) = self.next_path() else { return Err(backing_off()) };
+        let Some((path, client)) = self.next_path() else { return Err(backoff_error()) };
         let started_at = self.state.now();
         let result = call(&client, &path).await;
         self.record_result(&path, started_at, &result);
         let should_retry = match &result {
-            Err(StoreError::NotDone { .. }) => true,
-            Err(StoreError::Unknown { .. }) => repeatable,
+            Err(StoreError::NotApplied { .. }) => true,
+            Err(StoreError::OutcomeUnknown { .. }) => repeatable,
             _ => false,
         };
         if !should_retry {
@@ -119,13 +121,13 @@
     }
 
     /// Reads the entry of `key`; see [`StoreClient::get`].
-    pub async fn get(&self, key: &str) -> Result<Option<StoreItem>> {
+    pub async fn get(&self, key: &str) -> Result<Option<StoreEntry>> {
         self.call(true, async |client, _| client.get(key).await).await
     }
 
-    /// Reads one page of the entries below `prefix`; see [`StoreClient::page`].
+    /// Reads one page of the entries below `prefix`; see [`StoreClient::range_page`].
     pub async fn page(&self, prefix: &str, after: Option<&str>) -> Result<RangePage> {
-        self.call(true, async |client, _| client.page(prefix, after).await).await
+        self.call(true, async |client, _| client.range_page(prefix, after).await).await
     }
 
     /// Reads all entries below `prefix`; see [`StoreClient::range`].
@@ -148,23 +150,23 @@
         self.call(false, async |client, _| client.commit(commit).await).await
     }
 
-    /// Requests a lease with a time to live of `ttl_ms`; see [`StoreClient::grant`].
+    /// Requests a lease with a time to live of `ttl_ms`; see [`StoreClient::grant_lease`].
     pub async fn grant_lease(&self, ttl_ms: u64) -> Result<u64> {
-        self.call(false, async |client, _| client.grant(ttl_ms).await).await
+        self.call(false, async |client, _| client.grant_lease(ttl_ms).await).await
     }
 
-    /// Renews a lease; see [`StoreClient::keep`].
+    /// Renews a lease; see [`StoreClient::renew_lease`].
     pub async fn renew_lease(&self, lease: u64) -> Result<()> {
-        self.call(true, async |client, _| client.keep(lease).await).await
+        self.call(true, async |client, _| client.renew_lease(lease).await).await
     }
 
-    /// Revokes a lease, which removes the entries bound to it; see [`StoreClient::end`].
+    /// Revokes a lease, which removes the entries bound to it; see [`StoreClient::revoke_lease`].
     pub async fn revoke_lease(&self, lease: u64) -> Result<()> {
-        self.call(true, async |client, _| client.end(lease).await).await
+        self.call(true, async |client, _| client.revoke_lease(lease).await).await
     }
 }
 
 /// The error of a call that was not made because the store was unreachable a moment ago.
-fn backing_off() -> StoreError {
-    StoreError::NotDone { problem: "backing off, as the store was unreachable a moment ago".to_owned() }
+fn backoff_error() -> StoreError {
+    StoreError::NotApplied { problem: "backing off, as the store was unreachable a moment ago".to_owned() }
 }
--- a/crates/edge/src/store/upstream_keys.rs
+++ b/crates/edge/src/store/upstream_keys.rs
@@ -3,7 +3,7 @@
 use super::PrefixHandler;
 use crate::edge_state::EdgeState;
 use pimentoslip_kernel::{SharedName, TimePoint};
-use pimentoslip_platform::{RangePage, StoreChange, StoreItem, UPSTREAM_PREFIX, decode_record, upstream_id};
+use pimentoslip_platform::{RangePage, StoreChange, StoreEntry, UPSTREAM_PREFIX, decode_upstream_record, upstream_id};
 use pimentoslip_telemetry::LogLine;
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -27,10 +27,10 @@
     }
 
     /// Applies the entry of an upstream that is in the snapshot or was written after it.
-    fn entry_written(&mut self, item: &StoreItem) {
-        let Some(id) = upstream_id(&item.key) else { return };
+    fn entry_written(&mut self, store_entry: &StoreEntry) {
+        let Some(id) = upstream_id(&store_entry.key) else { return };
         self.missing.remove(id);
-        match decode_record(id, &item.value) {
+        match decode_upstream_record(id, &store_entry.value) {
             Ok(record) => {
                 let mut upstreams = self.state.upstreams();
                 let previous = upstreams.get(id);
@@ -42,7 +42,7 @@
                         .field("address", &record.address)
                         .field("failure_domain", &record.failure_domain)
                         .field("state", format!("{:?}", record.state).to_lowercase())
-                        .field("revision", item.revision)
+                        .field("revision", store_entry.revision)
                         .info();
                 }
                 upstreams.upsert(record);
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Removes an upstream whose entry is gone, or postpones that around an outage of the store.
+    /// Removes an upstream whose entry was removed from the store. Around an outage of the store, that is postponed
+    /// until the end of the grace period.
     fn entry_removed(&mut self, id: &str, now: TimePoint) {
         let keep_until = self.relist_deadline(now);
         if now < keep_until {
@@ -69,7 +70,7 @@
 impl UpstreamKeys {
     /// Time until which an entry that is missing now may be written again because of an outage of the store.
     fn relist_deadline(&self, now: TimePoint) -> TimePoint {
-        if !self.state.store_path().is_direct_available() {
+        if !self.state.path_selector().is_direct_available() {
             return now.plus_ms(RELIST_GRACE_MS);
         }
         self.state.store_reconnected_at().map_or(TimePoint(0), |at| at.plus_ms(RELIST_GRACE_MS))
@@ -81,10 +82,10 @@
     const BATCH_DELAY_MS: u64 = 0;
 
     fn apply_snapshot(&mut self, page: RangePage, now: TimePoint) {
-        for item in &page.items {
-            self.entry_written(item);
+        for store_entry in &page.entries {
+            self.entry_written(store_entry);
         }
-        let is_listed = |id: &str| page.items.iter().any(|item| upstream_id(&item.key) == Some(id));
+        let is_listed = |id: &str| page.entries.iter().any(|store_entry| upstream_id(&store_entry.key) == Some(id));
         let delisted: Vec<SharedName> =
             self.state.upstreams().records().map(|record| record.id.clone()).filter(|id| !is_listed(id)).collect();
         for id in delisted {
@@ -95,7 +96,7 @@
 
     fn apply_change(&mut self, change: StoreChange, now: TimePoint) {
         match change {
-            StoreChange::Written(item) => self.entry_written(&item),
+            StoreChange::Written(store_entry) => self.entry_written(&store_entry),
             StoreChange::Removed { key, .. } => {
                 if let Some(id) = upstream_id(&key) {
                     self.entry_removed(id, now);
--- a/crates/kernel/src/config/config_view.rs
+++ b/crates/kernel/src/config/config_view.rs
@@ -20,14 +20,14 @@
 #[derive(Clone, Debug, Default)]
 pub struct ConfigView {
     records: BTreeMap<RecordName, RecordEntry>,
-    /// Every change up to this revision has been applied.
+    /// Revision up to which every change has been applied.
     complete_revision: u64,
-    /// Organisations by the IDs of their keys.
+    /// Organisations by the ids of their keys.
     key_owners: BTreeMap<SharedName, SharedName>,
 }
 
 impl ConfigView {
-    /// Applies a record unless the cached one is as new. Returns true if the record was applied.
+    /// Applies a record unless the cached one has the same or a higher revision. Returns true if it was applied.
     pub fn apply(&mut self, entry: RecordEntry) -> bool {
         let is_newer = self.records.get(&entry.name).is_none_or(|old| old.revision < entry.revision);
         if !is_newer {
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Whether the key with the ID `id` belongs to `organisation`, is not withdrawn, and the organisation exists.
+    /// Whether the key with the id `id` belongs to `organisation`, is not withdrawn, and the organisation exists.
     #[must_use]
     pub fn is_key_valid(&self, organisation: &str, id: &str) -> bool {
         let Some(entry) = self.records.get(&RecordName::Keys(organisation.into())) else { return false };
@@ -147,12 +147,13 @@
         }
     }
 
-    /// Whether an organisation has or had a key with the ID `id`, which may be withdrawn.
+    /// Whether an organisation has or had a key with the id `id`, which may be withdrawn.
     #[must_use]
     pub fn has_key(&self, id: &str) -> bool {
         self.key_owners.contains_key(id)
     }
 
+    /// Records the owner of each key in `entry`, if it holds keys.
     fn index_keys(&mut self, entry: &RecordEntry) {
         let (RecordName::Keys(owner), ConfigRecord::Keys(keys)) = (&entry.name, &*entry.record) else { return };
         for id in keys.keys.keys() {
--- a/crates/standin/src/seen_request.rs
+++ b/crates/standin/src/recorded_request.rs
@@ -1,25 +1,25 @@
-//! What an upstream stand-in was sent.
+//! Record of a request that an upstream stand-in received.
 
 use actix_web::HttpRequest;
 use serde::{Deserialize, Serialize};
 
-/// One request as it arrived.
+/// A received request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SeenRequest {
-    /// Method.
+pub struct RecordedRequest {
+    /// HTTP method.
     pub method: String,
-    /// Path and query.
+    /// Path and query of the request.
     pub uri: String,
-    /// All headers.
+    /// Names and values of all headers.
     pub headers: Vec<(String, String)>,
-    /// Body.
+    /// Body, with invalid UTF-8 replaced.
     pub body: String,
 }
 
-impl SeenRequest {
-    /// Copies a request.
+impl RecordedRequest {
+    /// Copies a received request.
     #[must_use]
-    pub fn of(request: &HttpRequest, body: &[u8]) -> Self {
+    pub fn from_request(request: &HttpRequest, body: &[u8]) -> Self {
         let headers = request
             .headers()
             .iter()
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Value of a header, empty when it is missing.
+    /// Value of the header `name` (lower case), or an empty text if it is missing.
     #[must_use]
     pub fn header(&self, name: &str) -> &str {
         self.headers.iter().find(|(key, _)| key == name).map_or("", |(_, value)| value)
--- a/crates/wire/src/caller/mod.rs
+++ b/crates/wire/src/caller/mod.rs
@@ -1,9 +1,9 @@
-//! What callers and trainers send and get.
+//! Requests of callers and trainers, and the responses to them.
 
 mod refusal;
 mod step;
 mod weights;
 
 pub use refusal::{Refusal, RefusalBody};
-pub use step::{FetchAnswer, FetchRequest, OpenAnswer, OpenRequest, SampleBody, SegmentBody};
-pub use weights::{PublishAnswer, PublishRequest};
+pub use step::{FetchRequest, FetchResponse, OpenRequest, OpenResponse, SampleBody, SegmentBody};
+pub use weights::{PublishRequest, PublishResponse};
--- /dev/null
+++ b/crates/wire/src/peer/changes.rs
@@ -0,0 +1,55 @@
+//! Changes of entries in the platform's store, sent by the daemon that watches the store to those that follow it.
+
+use serde::{Deserialize, Serialize};
+
+/// Request for the changes below a prefix after a revision.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct ChangesRequest {
+    /// Prefix of the keys.
+    pub prefix: String,
+    /// Revision up to which the requester has received all changes.
+    pub revision: u64,
+    /// Longest time in milliseconds to wait for the first change.
+    pub wait_ms: u64,
+}
+
+/// Content of a written entry.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct EntryBody {
+    /// Value of the entry.
+    #[serde(with = "serde_bytes")]
+    pub value: Vec<u8>,
+    /// Store revision at which the entry was created.
+    pub created_revision: u64,
+    /// Lease with which the entry expires; 0 for none.
+    pub lease: u64,
+}
+
+/// Change of an entry.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ChangeBody {
+    /// Key of the entry.
+    pub key: String,
+    /// Store revision of the change.
+    pub revision: u64,
+    /// Content that was written; `None` if the entry was removed.
+    pub written: Option<EntryBody>,
+}
+
+/// Changes that the watching daemon has received from the store.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum ChangesResponse {
+    /// The changes after the requested revision; empty if there was none in time.
+    Changes {
+        /// Changes in the order of their revisions.
+        changes: Vec<ChangeBody>,
+        /// Revision from which the next request continues.
+        revision: u64,
+    },
+    /// The store has compacted its history beyond the requested revision.
+    #[serde(rename = "HistoryGone")]
+    HistoryCompacted,
+    /// The watching daemon cannot reach the store.
+    #[serde(rename = "StoreAway")]
+    StoreUnreachable,
+}
--- a/crates/wire/src/stored/result_entry.rs
+++ b/crates/wire/src/stored/result_entry.rs
@@ -1,52 +1,55 @@
-//! Results that take positions together.
+//! Stored results of batch jobs. Results at consecutive positions share an entry.
 
 use pimentoslip_kernel::{ItemResult, ItemState, ResultChunk, SharedName};
 use serde::{Deserialize, Serialize};
 
-/// One stored result.
+/// Stored result of an item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResultEntry {
-    /// Item.
-    pub id: SharedName,
+    /// Id of the item.
+    #[serde(rename = "id")]
+    pub item_id: SharedName,
     /// Index of the item in its batch job.
-    pub index: usize,
-    /// Whether its text is whole.
+    #[serde(rename = "index")]
+    pub item_index: usize,
+    /// Whether the text is complete; otherwise the item was terminated.
     pub completed: bool,
-    /// Text.
+    /// Generated text.
     pub text: String,
-    /// Versions that generated it.
+    /// Versions of the weights that generated the text.
     pub versions: Vec<u64>,
-    /// The scorer's signature.
+    /// Signature of the scorer; `None` if the text was not scored.
     pub score: Option<String>,
 }
 
-/// Stored results in order.
+/// Stored results at consecutive positions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResultsEntry {
-    /// Position of the first one.
-    pub first: usize,
-    /// Results.
+    /// Position of the first result.
+    #[serde(rename = "first")]
+    pub first_position: usize,
+    /// Results in list order.
     pub results: Vec<ResultEntry>,
 }
 
 impl ResultsEntry {
-    /// The stored form of `chunk`; `id` names an item by its index.
+    /// Creates the entry for `chunk`; `item_id` returns the id of the item with an index.
     #[must_use]
-    pub fn of(chunk: &ResultChunk, id: impl Fn(usize) -> SharedName) -> Self {
+    pub fn from_chunk(chunk: &ResultChunk, item_id: impl Fn(usize) -> SharedName) -> Self {
         let entry = |result: &ItemResult| ResultEntry {
-            id: id(result.index),
-            index: result.index,
+            item_id: item_id(result.index),
+            item_index: result.index,
             completed: result.state == ItemState::Completed,
             text: result.text.clone(),
             versions: result.versions.clone(),
             score: result.score.clone(),
         };
-        Self { first: chunk.first_position, results: chunk.results.iter().map(entry).collect() }
+        Self { first_position: chunk.first_position, results: chunk.results.iter().map(entry).collect() }
     }
 
     /// Position after the last result.
     #[must_use]
-    pub fn next(&self) -> usize {
-        self.first + self.results.len()
+    pub fn next_position(&self) -> usize {
+        self.first_position + self.results.len()
     }
 }
