--- a/crates/edge/src/store/operator_keys.rs
+++ b/crates/edge/src/store/operator_keys.rs
@@ -5,8 +5,8 @@
 use crate::edge_state::EdgeState;
 use pimentoslip_kernel::TimePoint;
 use pimentoslip_platform::{
-    CONFIG_KEY, OPERATOR_PREFIX, RangePage, StoreChange, StoreEntry, decode_config, decode_named_version, retired_vm,
-    versioned_model,
+    CONFIG_KEY, OPERATOR_PREFIX, RangePage, StoreChange, StoreEntry, decode_config, decode_published_version,
+    retired_vm, versioned_model,
 };
 use pimentoslip_telemetry::LogLine;
 use std::sync::Arc;
@@ -57,7 +57,7 @@
 
     /// Records the newest weight version of a model; older versions are ignored.
     fn version_written(&self, store_entry: &StoreEntry) {
-        match decode_named_version(&store_entry.value) {
+        match decode_published_version(&store_entry.value) {
             Ok((model, version)) => {
                 let mut newest_versions = self.state.newest_versions();
                 let newest = newest_versions.entry(model.clone()).or_default();
