--- a/crates/client/src/call_timeout.rs
+++ b/crates/client/src/call_timeout.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// Timeouts by kind of call.
+/// Timeout of each type of call.
 #[derive(Clone, Copy, Debug)]
 pub struct CallTimeout;
 
@@ -11,7 +11,8 @@
     pub const KEY_VALUE: Duration = Duration::from_millis(1_000);
     /// For calls to the interfaces for orders, usage reports and the VM list, and to engines.
     pub const PROVIDER: Duration = Duration::from_millis(1_500);
-    /// For bytes on an order's connection that stay unacknowledged; the connection is dropped then. Shorter than the
-    /// time before the end of a lease at which its holder stops acting.
+    /// For the acknowledgement of bytes sent with an order or a usage report; the connection is dropped afterwards. Must
+    /// be shorter than the time before the end of a lease at which its holder stops acting, so that the operating system
+    /// delivers no bytes of a previous holder once a successor acts.
     pub const TCP_USER: Duration = Duration::from_millis(1_500);
 }
--- a/crates/client/src/deadline_body.rs
+++ b/crates/client/src/deadline_body.rs
@@ -16,7 +16,7 @@
 pub struct DeadlineBody {
     clock: Arc<LeaseClock>,
     deadline: TimePoint,
-    /// Content; `None` once it was passed on or dropped.
+    /// Content; `None` once it was passed to the connection or dropped.
     bytes: Option<Bytes>,
     length_bytes: u64,
 }
@@ -43,7 +43,7 @@
         if this.clock.now() >= this.deadline {
             return Poll::Ready(Some(Err(io::Error::new(
                 io::ErrorKind::TimedOut,
-                "the deadline passed before the request was sent",
+                "the deadline passed before the body was sent; the receiver gets no complete request",
             ))));
         }
         Poll::Ready(Some(Ok(bytes)))
--- a/crates/client/src/etcd_client.rs
+++ b/crates/client/src/etcd_client.rs
@@ -1,4 +1,4 @@
-//! Client of the key-value service, which speaks the JSON form of the etcd v3 protocol.
+//! Client of the key-value service, which uses the JSON form of the etcd v3 protocol.
 
 use crate::{CallTimeout, KeyValueClient, PlatformError, Result, plain_client};
 use awc::Client;
@@ -41,14 +41,14 @@
     async fn call<Req: Serialize, Resp: DeserializeOwned>(&self, path: &str, request_body: &Req) -> Result<Resp> {
         self.calls.fetch_add(1, Ordering::Relaxed);
         let request = self.client.post(format!("http://{}{path}", self.endpoint)).timeout(CallTimeout::KEY_VALUE);
-        let mut response = request.send_json(request_body).await.map_err(|error| self.unreachable(&error))?;
+        let mut response = request.send_json(request_body).await.map_err(|error| self.unreachable_error(&error))?;
         if !response.status().is_success() {
             return Err(PlatformError::Refused {
                 endpoint: self.endpoint.to_string(),
                 status: response.status().as_u16(),
             });
         }
-        let body = response.body().limit(RESPONSE_BYTES_MAX).await.map_err(|error| self.unreachable(&error))?;
+        let body = response.body().limit(RESPONSE_BYTES_MAX).await.map_err(|error| self.unreachable_error(&error))?;
         self.parse(&body)
     }
 
@@ -59,7 +59,7 @@
         })
     }
 
-    fn unreachable(&self, error: &impl ToString) -> PlatformError {
+    fn unreachable_error(&self, error: &impl ToString) -> PlatformError {
         PlatformError::Unreachable { endpoint: self.endpoint.to_string(), problem: error.to_string() }
     }
 }
@@ -105,15 +105,15 @@
             WatchCreate { key: prefix.into(), range_end: prefix_end(prefix.as_bytes()), start_revision: since };
         let request = self.client.post(format!("http://{}/v3/watch", self.endpoint)).timeout(WATCH_TIMEOUT);
         let request_body = WatchRequest { create_request };
-        let mut response = request.send_json(&request_body).await.map_err(|error| self.unreachable(&error))?;
+        let mut response = request.send_json(&request_body).await.map_err(|error| self.unreachable_error(&error))?;
         let mut received = Vec::new();
         loop {
             let result = actix_rt::time::timeout(WATCH_TIMEOUT, response.next()).await;
-            let chunk = result.map_err(|error| self.unreachable(&error))?;
+            let chunk = result.map_err(|error| self.unreachable_error(&error))?;
             let Some(chunk) = chunk else {
-                return Err(self.unreachable(&"the connection of the watch ended without a change"));
+                return Err(self.unreachable_error(&"the connection of the watch ended without a change"));
             };
-            received.extend_from_slice(&chunk.map_err(|error| self.unreachable(&error))?);
+            received.extend_from_slice(&chunk.map_err(|error| self.unreachable_error(&error))?);
             while let Some(line_end) = received.iter().position(|byte| *byte == b'\n') {
                 let complete_line: Vec<u8> = received.drain(..=line_end).collect();
                 let watch_response: WatchResponse = self.parse(&complete_line)?;
--- a/crates/client/src/http_client.rs
+++ b/crates/client/src/http_client.rs
@@ -18,17 +18,17 @@
 /// A client that reuses connections and reports a truncated response as an error.
 #[must_use]
 pub fn plain_client() -> Client {
-    client(None)
+    build_client(None)
 }
 
 /// A client like [`plain_client`] whose connections are dropped when sent bytes stay unacknowledged for `timeout`.
-/// Otherwise the operating system could still deliver them later, after the process was frozen.
+/// Otherwise the operating system could deliver them much later, even while the process is frozen.
 #[must_use]
 pub fn client_with_tcp_user_timeout(timeout: Duration) -> Client {
-    client(Some(timeout))
+    build_client(Some(timeout))
 }
 
-fn client(tcp_user_timeout: Option<Duration>) -> Client {
+fn build_client(tcp_user_timeout: Option<Duration>) -> Client {
     let connect = fn_service(move |info: ConnectInfo<Uri>| async move {
         let connection: Connection<Uri, TcpStream> = TcpConnector::default().service().call(info).await?;
         let (stream, connection) = connection.replace_io(());
--- a/crates/client/src/lease_clock.rs
+++ b/crates/client/src/lease_clock.rs
@@ -7,8 +7,8 @@
 const MS_PER_SECOND: i64 = 1_000;
 const NS_PER_MS: i64 = 1_000_000;
 
-/// Clock for leases, duties and deadlines. The time elapsed is the larger of the boot time and the wall time elapsed,
-/// so that the leases of a VM have expired when it resumes after a suspension. Never runs backwards.
+/// Clock for leases, duties and deadlines. The elapsed time is the larger of the elapsed boot time and the elapsed wall
+/// time, so that a VM that was suspended finds its leases expired when it resumes. Never runs backwards.
 #[derive(Debug)]
 pub struct LeaseClock {
     /// Boot time at which the clock was created.
@@ -46,7 +46,8 @@
         TimePoint(read_ms(ClockId::CLOCK_BOOTTIME))
     }
 
-    /// Milliseconds since the Unix epoch; used only for usage windows and file names.
+    /// Milliseconds since the Unix epoch by the wall clock, which may jump. Only for incarnations, usage windows and
+    /// times that other processes read; leases and deadlines use [`Self::now`].
     #[must_use]
     pub fn unix_ms(&self) -> u64 {
         read_ms(ClockId::CLOCK_REALTIME)
--- a/crates/client/src/provider_client.rs
+++ b/crates/client/src/provider_client.rs
@@ -56,7 +56,8 @@
         self.get(&self.vms_endpoint, "/v1/vms").await
     }
 
-    /// Sends an order unless `deadline` has passed before. The response reports a refusal for its fencing number too.
+    /// Sends an order unless `deadline` has passed. A refusal because of the fencing number is returned as a
+    /// response, not as an error.
     pub async fn send_order(&self, order: &OrderRequest, deadline: TimePoint) -> Result<OrderResponse> {
         let body = to_json(order)?;
         let path = format!("/v1/orders/{}", order.order_id);
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Sends the encoded report of a usage window unless `deadline` has passed before.
+    /// Sends the encoded report of a usage window unless `deadline` has passed.
     pub async fn report_usage(
         &self,
         site: &str,
@@ -93,7 +94,7 @@
         Ok(())
     }
 
-    /// Orders the engine at `address` to load weights, unless `deadline` has passed before.
+    /// Orders the engine at `address` to load weights, unless `deadline` has passed.
     pub async fn load_weights(&self, address: &str, order: &LoadOrder, deadline: TimePoint) -> Result<()> {
         let body = to_json(order)?;
         let (status, _) = self.put(address, "/orders/load", order.fencing, body, deadline).await?;
@@ -110,11 +111,12 @@
 
     async fn get<T: DeserializeOwned>(&self, endpoint: &str, path: &str) -> Result<T> {
         let request = self.read_client.get(format!("http://{endpoint}{path}")).timeout(CallTimeout::PROVIDER);
-        let mut response = request.send().await.map_err(|error| unreachable(endpoint, &error))?;
+        let mut response = request.send().await.map_err(|error| unreachable_error(endpoint, &error))?;
         if !response.status().is_success() {
             return Err(PlatformError::Refused { endpoint: endpoint.to_owned(), status: response.status().as_u16() });
         }
-        let body = response.body().limit(RESPONSE_BYTES_MAX).await.map_err(|error| unreachable(endpoint, &error))?;
+        let body =
+            response.body().limit(RESPONSE_BYTES_MAX).await.map_err(|error| unreachable_error(endpoint, &error))?;
         parse(endpoint, &body)
     }
 
@@ -134,9 +136,9 @@
             .force_close()
             .insert_header((FENCING_HEADER, fencing.to_string()))
             .insert_header(("content-type", "application/json"));
-        let mut response = request.send_body(body).await.map_err(|error| unreachable(endpoint, &error))?;
+        let mut response = request.send_body(body).await.map_err(|error| unreachable_error(endpoint, &error))?;
         let response_body =
-            response.body().limit(RESPONSE_BYTES_MAX).await.map_err(|error| unreachable(endpoint, &error))?;
+            response.body().limit(RESPONSE_BYTES_MAX).await.map_err(|error| unreachable_error(endpoint, &error))?;
         Ok((response.status().as_u16(), response_body))
     }
 }
@@ -152,6 +154,6 @@
         .map_err(|error| PlatformError::Malformed { endpoint: endpoint.to_owned(), problem: error.to_string() })
 }
 
-fn unreachable(endpoint: &str, error: &impl ToString) -> PlatformError {
+fn unreachable_error(endpoint: &str, error: &impl ToString) -> PlatformError {
     PlatformError::Unreachable { endpoint: endpoint.to_owned(), problem: error.to_string() }
 }
--- a/crates/client/tests/contract/key_value.rs
+++ b/crates/client/tests/contract/key_value.rs
@@ -12,7 +12,7 @@
     EtcdClient::new(endpoint("KV", || start_kv(LOOPBACK)), Arc::default())
 }
 
-/// Prefix that no earlier run has used.
+/// Prefix for the keys of a test. Contains the process id, because an earlier run may have left keys in the store.
 fn prefix(test: &str) -> String {
     format!("contract/{test}/{}/", std::process::id())
 }
--- a/crates/client/tests/contract/provider.rs
+++ b/crates/client/tests/contract/provider.rs
@@ -16,20 +16,20 @@
 struct Fixture {
     clock: Arc<LeaseClock>,
     client: ProviderClient,
-    usage: Arc<str>,
+    usage_endpoint: Arc<str>,
 }
 
 fn fixture(checks_fencing: bool) -> Fixture {
     let clock = Arc::new(LeaseClock::default());
     let settings = OrderSettings { checks_fencing, ..OrderSettings::default() };
-    let usage = endpoint("USAGE", || start_usage(LOOPBACK, checks_fencing));
+    let usage_endpoint = endpoint("USAGE", || start_usage(LOOPBACK, checks_fencing));
     let client = ProviderClient::new(
         clock.clone(),
         endpoint("ORDERS", || start_orders(LOOPBACK, settings)),
-        usage.clone(),
+        usage_endpoint.clone(),
         endpoint("VMS", || start_vms(LOOPBACK)),
     );
-    Fixture { clock, client, usage }
+    Fixture { clock, client, usage_endpoint }
 }
 
 fn order(id: &str, fencing: u64) -> OrderRequest {
@@ -82,7 +82,7 @@
         .report_usage("contract", 3, 1, "{}".into(), passed_deadline)
         .await
         .expect_err("the deadline has passed");
-    let url = format!("http://{}/standin/reports", fixture.usage);
+    let url = format!("http://{}/standin/reports", fixture.usage_endpoint);
     if std::env::var_os("PIMENTOSLIP_CONTRACT_USAGE").is_none() {
         let mut response = awc::Client::default().get(url).send().await.expect("a response");
         assert_eq!(response.body().await.expect("a body"), "[]");
--- a/crates/wire/src/admin/change.rs
+++ b/crates/wire/src/admin/change.rs
@@ -9,7 +9,7 @@
 pub struct RecordBody {
     /// Name of the record.
     pub name: RecordName,
-    /// Store revision that wrote the record; 0 in a request.
+    /// Store revision at which the record was written; 0 in a request.
     #[serde(default)]
     pub revision: u64,
     /// Content of the record.
@@ -22,7 +22,7 @@
     /// Id chosen by the operator's tool. A request with the id of an earlier change repeats that change.
     #[serde(rename = "change")]
     pub change_id: Arc<str>,
-    /// Records that the site shall have.
+    /// Complete set of records that the site has after the change.
     pub records: Vec<RecordBody>,
 }
 
--- a/crates/wire/src/admin/status.rs
+++ b/crates/wire/src/admin/status.rs
@@ -49,7 +49,7 @@
 /// Step that the responding daemon runs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepStatus {
-    /// `ORGANISATION/TRAINER/STEP`.
+    /// Organisation, trainer and number of the step, as `ORGANISATION/TRAINER/STEP`.
     pub step: Arc<str>,
     /// Number of samples whose receipt the trainer confirmed.
     pub confirmed: usize,
@@ -89,7 +89,7 @@
     pub published: Vec<(Arc<str>, u64)>,
     /// Spend on the listed upstreams, in hundredths of a currency unit per hour.
     pub spend_cents_per_hour: u64,
-    /// Minimum spend owed, in hundredths of a currency unit per hour.
+    /// Minimum spend, which is charged even if it is not used, in hundredths of a currency unit per hour.
     pub floor_cents_per_hour: u64,
     /// Maximum spend, in hundredths of a currency unit per hour.
     pub ceiling_cents_per_hour: u64,
--- a/crates/wire/src/engine/load_order.rs
+++ b/crates/wire/src/engine/load_order.rs
@@ -1,4 +1,4 @@
-//! Messages of `POST /orders/load`, which orders an engine to load a weight version.
+//! Messages of `PUT /orders/load`, which orders an engine to load a weight version.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/wire/src/kv/key_value.rs
+++ b/crates/wire/src/kv/key_value.rs
@@ -19,10 +19,10 @@
     /// Value of the entry.
     #[serde(with = "super::base64_bytes", default)]
     pub value: Vec<u8>,
-    /// Revision that created the key.
+    /// Revision at which the key was created.
     #[serde(with = "super::int_string", default)]
     pub create_revision: u64,
-    /// Revision that last wrote the key.
+    /// Revision at which the key was last written.
     #[serde(with = "super::int_string", default)]
     pub mod_revision: u64,
     /// Lease with which the key expires; 0 for none.
--- a/crates/wire/src/kv/range.rs
+++ b/crates/wire/src/kv/range.rs
@@ -28,7 +28,7 @@
 }
 
 /// The first key after all keys that start with `prefix`: the exclusive end of a range. A single zero byte, which
-/// stands for the end of the key space, if there is no such key.
+/// the protocol defines as the end of the key space, if there is no such key.
 #[must_use]
 pub fn prefix_end(prefix: &[u8]) -> Vec<u8> {
     let mut end = prefix.to_vec();
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,6 +1,6 @@
-//! Messages on every interface of the service, apart from the kernel's own types.
+//! Messages of the service's interfaces, apart from the kernel's own types.
 //!
-//! JSON is spoken to callers, operators, upstreams and the platform; MessagePack between daemons.
+//! Callers, operators, upstreams and the platform use JSON; daemons use MessagePack among themselves.
 
 pub mod admin;
 pub mod caller;
--- a/crates/wire/src/peer/changes.rs
+++ b/crates/wire/src/peer/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of entries in the platform's store, sent by the daemon that watches the store to those that follow it.
+//! Changes of entries in the platform's store, which a daemon that watches the store sends to daemons that do not.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/wire/src/peer/claim.rs
+++ b/crates/wire/src/peer/claim.rs
@@ -1,4 +1,4 @@
-//! Claims of idempotency keys, requested from the daemon that owns the key's shard.
+//! Claims of idempotency keys, which are requested from the daemon that owns the key's shard.
 
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -20,8 +20,7 @@
 pub struct ClaimRequest {
     /// Organisation, service and idempotency key.
     pub key: Arc<str>,
-    /// Number that the requester draws for this attempt. A claim request with the same number belongs to the same
-    /// attempt.
+    /// Random number that identifies this attempt. A claim request with the same number belongs to the same attempt.
     #[serde(rename = "grant")]
     pub grant_id: u64,
     /// Fingerprint of the caller's request.
--- a/crates/wire/src/peer/exchange.rs
+++ b/crates/wire/src/peer/exchange.rs
@@ -1,5 +1,5 @@
-//! Exchange between two daemons, which is a heartbeat and sends configuration records, suspects and members that the
-//! other one lacks.
+//! Exchange between two daemons: a heartbeat that also transfers the configuration records, suspects and members that
+//! the other daemon lacks.
 
 use pimentoslip_kernel::{MemberEntry, MemberState, RecordEntry, SuspectMark, TimePoint};
 use serde::{Deserialize, Serialize};
--- a/crates/wire/src/peer/job_read.rs
+++ b/crates/wire/src/peer/job_read.rs
@@ -1,4 +1,4 @@
-//! Reads of a batch job from its owner, which save reads of the store.
+//! Requests to read a batch job from its owner, which save reads of the store.
 
 use crate::stored::ResultEntry;
 use pimentoslip_kernel::SharedName;
@@ -23,8 +23,7 @@
 pub enum ResultsResponse {
     /// Results from the requested position. Empty only if none are stored.
     Listed(Vec<Arc<ResultEntry>>),
-    /// The daemon cannot tell, because it does not own the job or has not cached these results; they must be read from
-    /// the store.
+    /// The daemon does not own the job or has not cached these results; they must be read from the store.
     #[serde(rename = "Unsure")]
     Unavailable,
 }
--- a/crates/wire/src/provider/order.rs
+++ b/crates/wire/src/provider/order.rs
@@ -17,7 +17,7 @@
 /// Order to start or to stop an upstream. An order that is sent again with the same id is carried out once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderRequest {
-    /// Id of the order; never used again.
+    /// Id of the order; never reused for another order.
     #[serde(rename = "order")]
     pub order_id: Arc<str>,
     /// Requested action.
@@ -30,8 +30,8 @@
     pub reclaimable: bool,
     /// VM to stop; `None` for a start.
     pub vm: Option<Arc<str>>,
-    /// Fencing number of the daemon that holds the duty. A receiver that checks it refuses lower ones than the highest
-    /// it received.
+    /// Fencing number of the daemon that holds the duty. A receiver that checks it refuses numbers lower than the
+    /// highest that it has received.
     pub fencing: u64,
 }
 
@@ -41,7 +41,7 @@
 pub enum OrderState {
     /// The order was carried out.
     Done,
-    /// The order was refused because no upstream of this kind is available.
+    /// The order was refused because no VM for such an upstream is available.
     Unavailable,
     /// The order was refused for its fencing number.
     Fenced,
--- a/crates/wire/src/stored/job_entry.rs
+++ b/crates/wire/src/stored/job_entry.rs
@@ -3,7 +3,8 @@
 use pimentoslip_kernel::SharedName;
 use serde::{Deserialize, Serialize};
 
-/// Properties of a batch job that every daemon caches. Its items are stored apart, in the parts of the submission.
+/// Properties of a batch job that every daemon caches. Its items are stored separately, in the parts of the
+/// submission.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobEntry {
     /// Organisation that submitted the job; empty if no organisations are configured.
--- a/crates/wire/src/stored/result_entry.rs
+++ b/crates/wire/src/stored/result_entry.rs
@@ -33,7 +33,7 @@
 }
 
 impl ResultsEntry {
-    /// Creates the entry for `chunk`; `item_id` returns the id of the item with an index.
+    /// Creates the entry for `chunk`; `item_id` returns the id of the item with the given index.
     #[must_use]
     pub fn from_chunk(chunk: &ResultChunk, item_id: impl Fn(usize) -> SharedName) -> Self {
         let entry = |result: &ItemResult| ResultEntry {
--- a/crates/wire/src/stored/usage_entry.rs
+++ b/crates/wire/src/stored/usage_entry.rs
@@ -11,7 +11,7 @@
     pub counts: BTreeMap<SharedName, u64>,
 }
 
-/// Batch of counts of one process. A batch may be stored in several entries and counts once.
+/// Batch of counts of one process. A batch may be stored in several entries but is counted once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageBatchEntry {
     /// Name of the daemon.
