--- a/crates/wire/src/admin/status.rs
+++ b/crates/wire/src/admin/status.rs
@@ -59,7 +59,7 @@
     pub running: usize,
     /// Number of samples in the step.
     pub total: usize,
-    /// Number of generated tokens that are in no sample.
+    /// Number of tokens in discarded samples, which were too old or which another attempt had already generated.
     pub wasted_tokens: u64,
 }
 
