--- a/crates/cli/benches/site/capacity.rs
+++ b/crates/cli/benches/site/capacity.rs
@@ -18,15 +18,15 @@
 const FAILURE_DOMAINS: [&str; 3] = ["a", "b", "c"];
 /// Wait for background work to settle before a reading.
 const SETTLE_TIME: Duration = Duration::from_secs(4);
-/// Time between two readings of which the rate is computed.
+/// Time between the two readings from which a rate is computed.
 const RATE_WINDOW: Duration = Duration::from_secs(8);
 
 /// Settings of a site that orders no upstreams and seals no usage windows during the measurement.
 fn idle_site(daemons: usize) -> SiteOptions {
     let daemons = (0..daemons).map(|index| FAILURE_DOMAINS[index % FAILURE_DOMAINS.len()]).collect();
-    let shape = SiteOptions { daemons, engines: vec![], ..SiteOptions::default() };
-    let base_config = shape.base_config.replace("usage_window_seconds = 2", "usage_window_seconds = 300");
-    SiteOptions { base_config, ..shape }
+    let options = SiteOptions { daemons, engines: vec![], ..SiteOptions::default() };
+    let base_config = options.base_config.replace("usage_window_seconds = 2", "usage_window_seconds = 300");
+    SiteOptions { base_config, ..options }
 }
 
 /// Measures the costs of idle daemons by their number.
@@ -115,14 +115,14 @@
         .base_config
         .replace("kind = \"engine\"", "kind = \"engine\"\ninflight_per_upstream = 1000");
     let base_config = base_config.replace("[services.drafts]", "[services.drafts]\nqueue_depth = 5000");
-    let shape = SiteOptions {
+    let options = SiteOptions {
         daemons: vec!["a"],
         engines: vec!["a"],
         engine_flags: flags.map(ToString::to_string).to_vec(),
         base_config,
         ..SiteOptions::default()
     };
-    let site = DaemonSite::start(shape).await;
+    let site = DaemonSite::start(options).await;
     let key = site.create_key(0, 1).await;
     let mut open_streams = Vec::new();
     let mut points = Vec::new();
@@ -149,8 +149,8 @@
         "messages": [{ "role": "user", "content": format!("{number}") }],
     });
     let request = site.http.request("POST", &url).bearer_auth(key.expose());
-    let mut answer = request.send_json(&body).await.expect("a stream");
-    actix_rt::spawn(async move { while let Some(Ok(_)) = answer.next().await {} })
+    let mut response = request.send_json(&body).await.expect("a stream");
+    actix_rt::spawn(async move { while let Some(Ok(_)) = response.next().await {} })
 }
 
 /// Prints the median resident memory of the daemons and adds it to `points`.
@@ -161,7 +161,7 @@
     println!("memory,{resource},{count},{:.2}", median / 1e6);
 }
 
-/// Prints the least-squares line of memory by the amount of a resource.
+/// Prints the line fitted to memory by the number of a resource, such as keys.
 fn print_fit(resource: &str, points: &[(f64, f64)]) {
     let (intercept, slope) = linear_fit(points);
     println!("fit,memory by {resource},intercept {:.2} MB,slope {slope:.0} bytes each", intercept / 1e6);
@@ -172,7 +172,7 @@
     println!("changes,daemons,count,p50_ms,p99_ms,max_ms,pending");
     for count in [3, 12, 24] {
         let site = DaemonSite::start(idle_site(count)).await;
-        let mut times = latency_histogram();
+        let mut latencies = latency_histogram();
         let mut pending = 0;
         for change in 0..200 {
             let request = KeyRequest {
@@ -183,10 +183,10 @@
             };
             let started_at = Instant::now();
             let answer = site.admin_post(change % count, "keys/create", &request).await;
-            record_latency(&mut times, started_at.elapsed());
+            record_latency(&mut latencies, started_at.elapsed());
             pending += usize::from(!answer.json::<ChangeResponse>().accepted);
         }
-        let (p50, p99) = (quantile_ms(&times, 0.5), quantile_ms(&times, 0.99));
-        println!("changes,{count},200,{p50:.2},{p99:.2},{:.2},{pending}", times.max() as f64 / 1_000.0);
+        let (p50, p99) = (quantile_ms(&latencies, 0.5), quantile_ms(&latencies, 0.99));
+        println!("changes,{count},200,{p50:.2},{p99:.2},{:.2},{pending}", latencies.max() as f64 / 1_000.0);
     }
 }
--- a/crates/cli/benches/site/probe.rs
+++ b/crates/cli/benches/site/probe.rs
@@ -6,6 +6,7 @@
 
 /// Units of processor time (`USER_HZ`) per second in `/proc`; 100 on Linux.
 const TICKS_PER_SECOND: f64 = 100.0;
+/// Page size of the processor; `/proc` counts resident memory in pages.
 const BYTES_PER_PAGE: u64 = 4_096;
 
 /// User and system processor time that a process has used, in seconds. Zero if it cannot be read.
@@ -22,7 +23,8 @@
     statm.split_whitespace().nth(1).and_then(|field| field.parse::<u64>().ok()).unwrap_or(0) * BYTES_PER_PAGE
 }
 
-/// Sum of a metric over all its labels, read from a daemon's control address. Zero if the metrics cannot be read.
+/// Sum of all values of the metrics whose names start with `pimentoslip_` and `name`, read from the control address of a
+/// daemon. Zero if the metrics cannot be read.
 pub async fn metric_sum(http: &HttpClient, control: &str, name: &str) -> f64 {
     let request = http.request("GET", &format!("http://{control}/metrics"));
     let Ok(mut response) = request.send().await else { return 0.0 };
--- a/crates/cli/benches/site/service.rs
+++ b/crates/cli/benches/site/service.rs
@@ -30,9 +30,9 @@
             let site = DaemonSite::start(SiteOptions { daemon_flags: vec![flag], ..plain_site() }).await;
             let key = site.create_key(0, 1).await;
             let started_at = Instant::now();
-            let times = join_all((0..callers).map(|caller| order_loop(&site, &key, caller, 60)));
-            let mut all = latency_histogram();
-            times.await.iter().for_each(|times| all.add(times).expect("a histogram"));
+            let latencies = join_all((0..callers).map(|caller| send_orders(&site, &key, caller, 60)));
+            let mut all_latencies = latency_histogram();
+            latencies.await.iter().for_each(|latencies| all_latencies.add(latencies).expect("a histogram"));
             let seconds = started_at.elapsed().as_secs_f64();
             let mut commits = 0.0;
             let mut claims = 0.0;
@@ -42,27 +42,27 @@
             }
             println!(
                 "claims,{interval_ms},{callers},{},{:.0},{commits},{:.1},{:.2},{:.2}",
-                all.len(),
-                all.len() as f64 / seconds,
+                all_latencies.len(),
+                all_latencies.len() as f64 / seconds,
                 claims / commits,
-                quantile_ms(&all, 0.5),
-                quantile_ms(&all, 0.99)
+                quantile_ms(&all_latencies, 0.5),
+                quantile_ms(&all_latencies, 0.99)
             );
         }
     }
 }
 
 /// Sends `count` orders one after the other and returns their latencies.
-async fn order_loop(site: &DaemonSite, key: &KeySecret, caller: usize, count: usize) -> Histogram<u64> {
-    let mut times = latency_histogram();
+async fn send_orders(site: &DaemonSite, key: &KeySecret, caller: usize, count: usize) -> Histogram<u64> {
+    let mut latencies = latency_histogram();
     for number in 0..count {
         let name = format!("order-{caller}-{number}");
         let started_at = Instant::now();
         let answer = site.send(caller % 3, "POST", ORDERS_PATH, key, &[("idempotency-key", &name)], &number).await;
         assert_eq!(answer.status, 200, "{answer:?}");
-        record_latency(&mut times, started_at.elapsed());
+        record_latency(&mut latencies, started_at.elapsed());
     }
-    times
+    latencies
 }
 
 /// Measures the latency that a daemon adds, by interleaved direct and proxied calls.
@@ -78,26 +78,26 @@
     let direct_url = format!("http://{}/orders", site.desk_address);
     let mut added_p50s = Vec::new();
     for round in 0..ROUNDS {
-        let (mut direct_times, mut proxied_times) = (latency_histogram(), latency_histogram());
+        let (mut direct_latencies, mut proxied_latencies) = (latency_histogram(), latency_histogram());
         let cpu_before = cpu_seconds(&site.daemons[0].process);
-        const CALLS: usize = 2_000;
-        for _ in 0..CALLS {
+        const CALLS_PER_ROUND: usize = 2_000;
+        for _ in 0..CALLS_PER_ROUND {
             let started_at = Instant::now();
             site.http.send("POST", &direct_url, &[("x-request-id", "d")], &1).await;
-            record_latency(&mut direct_times, started_at.elapsed());
+            record_latency(&mut direct_latencies, started_at.elapsed());
             let started_at = Instant::now();
             let answer = site.http.send("POST", &proxied_url, &[("authorization", &bearer)], &1).await;
-            record_latency(&mut proxied_times, started_at.elapsed());
+            record_latency(&mut proxied_latencies, started_at.elapsed());
             assert_eq!(answer.status, 200, "{answer:?}");
         }
-        let cpu = (cpu_seconds(&site.daemons[0].process) - cpu_before) * 1e6 / CALLS as f64;
-        let (direct_p50, proxied_p50) = (quantile_ms(&direct_times, 0.5), quantile_ms(&proxied_times, 0.5));
+        let cpu = (cpu_seconds(&site.daemons[0].process) - cpu_before) * 1e6 / CALLS_PER_ROUND as f64;
+        let (direct_p50, proxied_p50) = (quantile_ms(&direct_latencies, 0.5), quantile_ms(&proxied_latencies, 0.5));
         added_p50s.push(proxied_p50 - direct_p50);
         println!(
             "way,{round},{direct_p50:.3},{proxied_p50:.3},{:.3},{:.3},{:.3},{cpu:.0}",
             proxied_p50 - direct_p50,
-            quantile_ms(&direct_times, 0.99),
-            quantile_ms(&proxied_times, 0.99)
+            quantile_ms(&direct_latencies, 0.99),
+            quantile_ms(&proxied_latencies, 0.99)
         );
     }
     let (least, median, most) = min_median_max(&added_p50s);
@@ -112,7 +112,7 @@
     measure_chunk_mode("alone", "2000", 1_000, 160).await;
 }
 
-/// Measures the throughput of chunks with one pace of the engines.
+/// Measures the throughput of chunks at one speed of the engines, set by `token_us`.
 async fn measure_chunk_mode(mode: &str, token_us: &str, tokens: usize, streams: usize) {
     let flags = [
         format!("--token-us={token_us}"),
@@ -123,14 +123,14 @@
     let base_config = SiteOptions::default()
         .base_config
         .replace("kind = \"engine\"", "kind = \"engine\"\ninflight_per_upstream = 64");
-    let shape = SiteOptions {
+    let options = SiteOptions {
         daemons: vec!["a"],
         engines: vec!["a", "a", "a", "a"],
         engine_flags: flags.to_vec(),
         base_config,
         ..SiteOptions::default()
     };
-    let site = DaemonSite::start(shape).await;
+    let site = DaemonSite::start(options).await;
     let key = site.create_key(0, 1).await;
     for round in 0..ROUNDS {
         let cpu_before = cpu_seconds(&site.daemons[0].process);
@@ -156,15 +156,15 @@
         "messages": [{ "role": "user", "content": format!("{stream}") }],
     });
     let request = site.http.request("POST", &url).bearer_auth(key.expose());
-    let mut answer = request.send_json(&body).await.expect("a stream");
+    let mut response = request.send_json(&body).await.expect("a stream");
     let mut count = 0;
-    while let Some(Ok(chunk)) = answer.next().await {
+    while let Some(Ok(chunk)) = response.next().await {
         count += count_events(&chunk);
     }
     count
 }
 
-/// Number of events that start in a piece of a stream.
+/// Number of events whose start is in `chunk`.
 fn count_events(chunk: &[u8]) -> usize {
     chunk.windows(6).filter(|window| window == b"data: ").count()
 }
@@ -203,13 +203,13 @@
         .replace("weight = 4\n", "");
     let mut sites = Vec::new();
     for policy in ["fair", "fifo"] {
-        let shape = SiteOptions {
+        let options = SiteOptions {
             engine_flags: vec!["--slots=8".to_owned(), "--token-us=300".to_owned()],
             daemon_flags: vec![format!("--admission-policy={policy}")],
             base_config: base_config.clone(),
             ..SiteOptions::default()
         };
-        let site = DaemonSite::start(shape).await;
+        let site = DaemonSite::start(options).await;
         let flood_key = site.create_key(0, 1).await;
         let small_key = create_key_for(&site, "rose").await;
         sites.push((policy, site, flood_key, small_key));
@@ -217,16 +217,16 @@
     let mut ratios: Vec<(&str, f64)> = Vec::new();
     for round in 0..ROUNDS {
         for (policy, site, flood_key, small_key) in &sites {
-            let (flood_times, small_times) = flood_round(site, flood_key, small_key, round).await;
-            for (name, times) in [("flood", &flood_times), ("small", &small_times)] {
+            let (flood_latencies, small_latencies) = run_flood_round(site, flood_key, small_key, round).await;
+            for (name, latencies) in [("flood", &flood_latencies), ("small", &small_latencies)] {
                 println!(
                     "flood,{policy},{round},{name},{},{:.1},{:.1}",
-                    times.len(),
-                    quantile_ms(times, 0.5),
-                    quantile_ms(times, 0.99)
+                    latencies.len(),
+                    quantile_ms(latencies, 0.5),
+                    quantile_ms(latencies, 0.99)
                 );
             }
-            ratios.push((policy, quantile_ms(&small_times, 0.99) / quantile_ms(&flood_times, 0.99)));
+            ratios.push((policy, quantile_ms(&small_latencies, 0.99) / quantile_ms(&flood_latencies, 0.99)));
         }
     }
     for policy in ["fair", "fifo"] {
@@ -252,7 +252,7 @@
 
 /// Lets both organisations send requests for some seconds. Returns the latencies of the flooding organisation and of
 /// the other one.
-async fn flood_round(
+async fn run_flood_round(
     site: &DaemonSite,
     flood_key: &KeySecret,
     small_key: &KeySecret,
@@ -261,69 +261,70 @@
     const FLOOD_CALLERS: usize = 90;
     const ROUND_TIME: Duration = Duration::from_secs(4);
     let end = Instant::now() + ROUND_TIME;
-    let flood_callers = join_all((0..FLOOD_CALLERS).map(|caller| caller_loop(site, flood_key, caller, round, end)));
-    let small_caller = caller_loop(site, small_key, 1_000, round, end);
-    let (flood_times, small_times) = futures_util::future::join(flood_callers, small_caller).await;
-    let mut all = latency_histogram();
-    flood_times.iter().for_each(|times| all.add(times).expect("a histogram"));
-    (all, small_times)
+    let flood_callers = join_all((0..FLOOD_CALLERS).map(|caller| send_until(site, flood_key, caller, round, end)));
+    let small_caller = send_until(site, small_key, 1_000, round, end);
+    let (flood_latencies, small_latencies) = futures_util::future::join(flood_callers, small_caller).await;
+    let mut all_latencies = latency_histogram();
+    flood_latencies.iter().for_each(|latencies| all_latencies.add(latencies).expect("a histogram"));
+    (all_latencies, small_latencies)
 }
 
 /// Sends requests one after the other until `end` and returns the latencies of the successful ones.
-async fn caller_loop(site: &DaemonSite, key: &KeySecret, caller: usize, round: usize, end: Instant) -> Histogram<u64> {
+async fn send_until(site: &DaemonSite, key: &KeySecret, caller: usize, round: usize, end: Instant) -> Histogram<u64> {
     let http = HttpClient::new();
-    let mut times = latency_histogram();
+    let mut latencies = latency_histogram();
     let mut number = 0;
     while Instant::now() < end {
         number += 1;
         let seed = (round * 1_000_000 + caller * 1_000 + number) as u64;
         let started_at = Instant::now();
         if request_completion(site, caller % 3, &http, key, &format!("prompt {seed}"), seed).await {
-            record_latency(&mut times, started_at.elapsed());
+            record_latency(&mut latencies, started_at.elapsed());
         }
     }
-    times
+    latencies
 }
 
 /// Measures latencies by route policy, under load with repeated prompt prefixes. Policies run interleaved on equal
 /// seeds, with six equal engines and with six engines of which one is six times slower.
 pub async fn measure_routing() {
     println!("routing,engines,policy,round,requests,p50_ms,p99_ms");
-    for slow in [false, true] {
-        let engines = if slow { "one slow" } else { "equal" };
+    for has_slow_engine in [false, true] {
+        let engines = if has_slow_engine { "one slow" } else { "equal" };
         let mut sites = Vec::new();
         for policy in ["round-robin", "two-choices", "prefix-two-choices"] {
-            let (site, key) = start_routing_site(policy, slow).await;
+            let (site, key) = start_routing_site(policy, has_slow_engine).await;
             sites.push((policy, site, key, latency_histogram()));
         }
         for round in 0..ROUNDS {
-            for (policy, site, key, all) in &mut sites {
-                let times = join_all((0..30).map(|caller| prefix_loop(site, key, caller, round))).await;
-                let mut round_times = latency_histogram();
-                times.iter().for_each(|times| round_times.add(times).expect("a histogram"));
-                let (p50, p99) = (quantile_ms(&round_times, 0.5), quantile_ms(&round_times, 0.99));
-                println!("routing,{engines},{policy},{round},{},{p50:.2},{p99:.2}", round_times.len());
-                all.add(&round_times).expect("a histogram");
+            for (policy, site, key, all_latencies) in &mut sites {
+                let latencies =
+                    join_all((0..30).map(|caller| send_with_shared_prefixes(site, key, caller, round))).await;
+                let mut round_latencies = latency_histogram();
+                latencies.iter().for_each(|latencies| round_latencies.add(latencies).expect("a histogram"));
+                let (p50, p99) = (quantile_ms(&round_latencies, 0.5), quantile_ms(&round_latencies, 0.99));
+                println!("routing,{engines},{policy},{round},{},{p50:.2},{p99:.2}", round_latencies.len());
+                all_latencies.add(&round_latencies).expect("a histogram");
             }
         }
-        for (policy, _, _, all) in &sites {
-            let (p50, p99) = (quantile_ms(all, 0.5), quantile_ms(all, 0.99));
-            println!("routing,{engines},{policy},all rounds,{},{p50:.2},{p99:.2}", all.len());
+        for (policy, _, _, all_latencies) in &sites {
+            let (p50, p99) = (quantile_ms(all_latencies, 0.5), quantile_ms(all_latencies, 0.99));
+            println!("routing,{engines},{policy},all rounds,{},{p50:.2},{p99:.2}", all_latencies.len());
         }
     }
 }
 
 /// Starts a site with six engines and a route policy. Returns it with a key.
-async fn start_routing_site(policy: &str, slow: bool) -> (DaemonSite, KeySecret) {
-    let engines = if slow { vec!["a", "b", "c", "a", "b"] } else { vec!["a", "b", "c", "a", "b", "c"] };
-    let shape = SiteOptions {
+async fn start_routing_site(policy: &str, has_slow_engine: bool) -> (DaemonSite, KeySecret) {
+    let engines = if has_slow_engine { vec!["a", "b", "c", "a", "b"] } else { vec!["a", "b", "c", "a", "b", "c"] };
+    let options = SiteOptions {
         engines,
         engine_flags: vec!["--slots=4".to_owned(), "--token-us=500".to_owned()],
         daemon_flags: vec![format!("--route-policy={policy}")],
         ..SiteOptions::default()
     };
-    let mut site = DaemonSite::start(shape).await;
-    if slow {
+    let mut site = DaemonSite::start(options).await;
+    if has_slow_engine {
         site.options.engine_flags = vec!["--slots=4".to_owned(), "--token-us=3000".to_owned()];
         site.start_engine("c").await;
         site.wait_ready().await;
@@ -333,18 +334,18 @@
 }
 
 /// Sends requests whose prompts share prefixes, one after the other, and returns the latencies of the successful ones.
-async fn prefix_loop(site: &DaemonSite, key: &KeySecret, caller: usize, round: usize) -> Histogram<u64> {
-    const CALLS: usize = 60;
+async fn send_with_shared_prefixes(site: &DaemonSite, key: &KeySecret, caller: usize, round: usize) -> Histogram<u64> {
+    const CALLS_PER_ROUND: usize = 60;
     let http = HttpClient::new();
-    let mut times = latency_histogram();
-    for number in 0..CALLS {
+    let mut latencies = latency_histogram();
+    for number in 0..CALLS_PER_ROUND {
         // Selects one of 600 long prefixes; an engine caches 64 of them.
         let prefix = (caller * 7_919 + number * 104_729 + round * 13) % 600;
         let prompt = format!("{prefix:-<300} and then {number}");
         let started_at = Instant::now();
         if request_completion(site, caller % 3, &http, key, &prompt, (caller * 1_000 + number) as u64).await {
-            record_latency(&mut times, started_at.elapsed());
+            record_latency(&mut latencies, started_at.elapsed());
         }
     }
-    times
+    latencies
 }
--- a/crates/cli/benches/site/training.rs
+++ b/crates/cli/benches/site/training.rs
@@ -31,11 +31,14 @@
         for hedging in [false, true] {
             let mut idle_percents = Vec::new();
             for round in 0..ROUNDS {
-                let (report, wasted) = run_training(run_ahead, hedging, round).await;
+                let (report, wasted_tokens) = run_training(run_ahead, hedging, round).await;
                 let mut staleness = report.staleness.clone();
                 staleness.sort_unstable();
                 let (p50, max) = (staleness[staleness.len() / 2], staleness[staleness.len() - 1]);
-                println!("steps,{run_ahead},{hedging},{round},{:.1},{p50},{max},{wasted}", report.idle_share * 100.0);
+                println!(
+                    "steps,{run_ahead},{hedging},{round},{:.1},{p50},{max},{wasted_tokens}",
+                    report.idle_share * 100.0
+                );
                 idle_percents.push(report.idle_share * 100.0);
             }
             let (least, median, most) = min_median_max(&idle_percents);
@@ -46,24 +49,24 @@
 
 /// Trains on a new site. Returns the result and the number of tokens that the daemons discarded.
 async fn run_training(run_ahead: bool, hedging: bool, round: usize) -> (RunReport, f64) {
-    let shape = SiteOptions {
+    let options = SiteOptions {
         engines: vec!["a", "b", "c"],
         engine_flags: vec!["--slots=16".to_owned(), "--token-us=2000".to_owned(), "--shortest=24".to_owned()],
         daemon_flags: vec![format!("--hedging={hedging}")],
         ..SiteOptions::default()
     };
-    let mut site = DaemonSite::start(shape).await;
+    let mut site = DaemonSite::start(options).await;
     site.options.engine_flags =
         vec!["--slots=16".to_owned(), "--token-us=12000".to_owned(), "--shortest=24".to_owned()];
     site.start_engine("a").await;
     site.wait_ready().await;
     let key = site.create_key(0, 1).await;
     let report = train(&site, &key, run_ahead, round as u64 * 100).await;
-    let mut wasted = 0.0;
+    let mut wasted_tokens = 0.0;
     for daemon in &site.daemons {
-        wasted += metric_sum(&site.http, &daemon.control_address, "wasted_tokens_total").await;
+        wasted_tokens += metric_sum(&site.http, &daemon.control_address, "wasted_tokens_total").await;
     }
-    (report, wasted)
+    (report, wasted_tokens)
 }
 
 /// Simulates a trainer that trains on complete steps. If it runs ahead, it opens the next step before it trains.
@@ -88,8 +91,8 @@
         }
         actix_rt::time::sleep(TRAINING_TIME).await;
         version += 1;
-        let publish = PublishRequest { service: "drafts".into(), version };
-        assert_eq!(site.send(0, "POST", "/v1/weights", key, &[], &publish).await.status, 200);
+        let publish_request = PublishRequest { service: "drafts".into(), version };
+        assert_eq!(site.send(0, "POST", "/v1/weights", key, &[], &publish_request).await.status, 200);
     }
     RunReport { idle_share: idle_time.as_secs_f64() / started_at.elapsed().as_secs_f64(), staleness }
 }
--- a/crates/cli/src/admin_client.rs
+++ b/crates/cli/src/admin_client.rs
@@ -41,9 +41,10 @@
 
     /// Awaits the response of `request` and parses its JSON body, or turns the failure into an error.
     async fn read_response<R: DeserializeOwned>(&self, request: SendClientRequest) -> CliResult<R> {
-        let unreachable = |reason: String| CliError::Unreachable { daemon: self.daemon.clone(), reason };
-        let mut response = request.await.map_err(|error| unreachable(error.to_string()))?;
-        let body = response.body().limit(MAX_RESPONSE_BYTES).await.map_err(|error| unreachable(error.to_string()))?;
+        let unreachable_error = |reason: String| CliError::Unreachable { daemon: self.daemon.clone(), reason };
+        let mut response = request.await.map_err(|error| unreachable_error(error.to_string()))?;
+        let body =
+            response.body().limit(MAX_RESPONSE_BYTES).await.map_err(|error| unreachable_error(error.to_string()))?;
         if !response.status().is_success() {
             let status = response.status().as_u16();
             let reason = match status {
--- a/crates/cli/src/cmd/apply.rs
+++ b/crates/cli/src/cmd/apply.rs
@@ -38,20 +38,21 @@
     let records = args.files.read()?.records();
     let records = records.into_iter().map(|(name, record)| RecordBody { name, revision: 0, record }).collect();
     let request = ApplyRequest { change_id: args.change, records };
-    let answer: ChangeResponse = util::block_on(async { args.connection.into_client().post("apply", &request).await })?;
-    print_change(&answer, args.json)
+    let response: ChangeResponse =
+        util::block_on(async { args.connection.into_client().post("apply", &request).await })?;
+    print_change(&response, args.json)
 }
 
 /// Prints the outcome of a change. Returns [`CliError::Pending`] if not every daemon confirmed it.
-pub fn print_change(answer: &ChangeResponse, json: bool) -> CliResult<()> {
+pub fn print_change(response: &ChangeResponse, json: bool) -> CliResult<()> {
     if json {
-        util::print_json(answer)?;
+        util::print_json(response)?;
     } else {
-        println!("on record: revision {}, {} records changed", answer.revision, answer.changed_count);
-        println!("confirmed by: {}", answer.confirmed.join(", "));
+        println!("stored: revision {}, {} records changed", response.revision, response.changed_count);
+        println!("confirmed by: {}", response.confirmed.join(", "));
     }
-    if answer.accepted {
+    if response.accepted {
         return Ok(());
     }
-    Err(CliError::Pending(answer.unconfirmed.join(", ")))
+    Err(CliError::Pending(response.unconfirmed.join(", ")))
 }
--- a/crates/cli/src/cmd/diff.rs
+++ b/crates/cli/src/cmd/diff.rs
@@ -24,9 +24,9 @@
 /// Compares the files with the configuration that is active in one daemon.
 pub fn run(args: &ArgMatches) -> CliResult<()> {
     let file_records = FileArgs::from(args).read()?.records();
-    let answer: ConfigResponse =
+    let response: ConfigResponse =
         util::block_on(async { ConnectionArgs::from_args(args).into_client().get("config").await })?;
-    let differences = compare(&file_records, &answer);
+    let differences = compare(&file_records, &response);
     if args.get_flag("json") {
         return util::print_json(&differences);
     }
@@ -40,9 +40,9 @@
 }
 
 /// Differences between the records of the files and the active records that the daemon returned.
-fn compare(file_records: &[(RecordName, ConfigRecord)], answer: &ConfigResponse) -> Vec<Difference> {
+fn compare(file_records: &[(RecordName, ConfigRecord)], response: &ConfigResponse) -> Vec<Difference> {
     let active_record = |name: &RecordName| {
-        let record = answer.records.iter().find(|body| body.name == *name).map(|body| &body.record);
+        let record = response.records.iter().find(|body| body.name == *name).map(|body| &body.record);
         record.filter(|record| **record != ConfigRecord::Removed)
     };
     let mut differences: Vec<Difference> = file_records
@@ -59,7 +59,7 @@
     // Applying files removes the services and organisations that they leave out. Keys and weights are not
     // part of the files.
     let removable = |name: &RecordName| matches!(name, RecordName::Service(_) | RecordName::Organisation(_));
-    for body in answer.records.iter().filter(|body| removable(&body.name) && body.record != ConfigRecord::Removed) {
+    for body in response.records.iter().filter(|body| removable(&body.name) && body.record != ConfigRecord::Removed) {
         if !file_records.iter().any(|(name, _)| *name == body.name) {
             differences.push(Difference { record: body.name.path(), change: "remove" });
         }
--- a/crates/cli/src/cmd/drain.rs
+++ b/crates/cli/src/cmd/drain.rs
@@ -10,11 +10,11 @@
 
 /// Requests that the daemon at `--daemon` finishes its requests and stops.
 pub fn run(args: &ArgMatches) -> CliResult<()> {
-    let answer: serde_json::Value =
+    let response: serde_json::Value =
         util::block_on(async { ConnectionArgs::from_args(args).into_client().post("drain", &()).await })?;
     if args.get_flag("json") {
-        return util::print_json(&answer);
+        return util::print_json(&response);
     }
-    println!("draining {}", answer["draining"].as_str().unwrap_or(""));
+    println!("draining {}", response["draining"].as_str().unwrap_or(""));
     Ok(())
 }
--- a/crates/cli/src/cmd/key.rs
+++ b/crates/cli/src/cmd/key.rs
@@ -52,25 +52,25 @@
         key_id: secret.id.clone(),
         key_hash: Some(secret.hash()),
     };
-    let answer: ChangeResponse = client.post("keys/create", &request).await?;
+    let response: ChangeResponse = client.post("keys/create", &request).await?;
     let created = KeyCreateResponse {
         organisation: organisation.into(),
         key: secret.expose().to_owned(),
-        revision: answer.revision,
+        revision: response.revision,
     };
     if json {
         util::print_json(&created)?;
     } else {
         println!("{}", created.key);
         eprintln!(
-            "key {} of {} holds from revision {}; it is not shown again",
-            secret.id, organisation, answer.revision
+            "key {} of {} is valid from revision {}; it is not shown again",
+            secret.id, organisation, response.revision
         );
     }
-    if answer.accepted {
+    if response.accepted {
         return Ok(());
     }
-    Err(CliError::Pending(answer.unconfirmed.join(", ")))
+    Err(CliError::Pending(response.unconfirmed.join(", ")))
 }
 
 async fn withdraw_key(client: &AdminClient, organisation: &str, key: &str, json: bool) -> CliResult<()> {
@@ -80,16 +80,16 @@
         key_id: key.into(),
         key_hash: None,
     };
-    let answer: ChangeResponse = client.post("keys/withdraw", &request).await?;
-    print_change(&answer, json)
+    let response: ChangeResponse = client.post("keys/withdraw", &request).await?;
+    print_change(&response, json)
 }
 
 async fn list_keys(client: &AdminClient, json: bool) -> CliResult<()> {
-    let answer: KeyListResponse = client.get("keys").await?;
+    let response: KeyListResponse = client.get("keys").await?;
     if json {
-        return util::print_json(&answer);
+        return util::print_json(&response);
     }
-    let rows: Vec<Vec<String>> = answer
+    let rows: Vec<Vec<String>> = response
         .keys
         .iter()
         .map(|key| {
--- a/crates/cli/src/cmd/show.rs
+++ b/crates/cli/src/cmd/show.rs
@@ -11,14 +11,14 @@
 
 /// Prints the configuration records that are active in one daemon.
 pub fn run(args: &ArgMatches) -> CliResult<()> {
-    let answer: ConfigResponse =
+    let response: ConfigResponse =
         util::block_on(async { ConnectionArgs::from_args(args).into_client().get("config").await })?;
     if args.get_flag("json") {
-        return util::print_json(&answer);
+        return util::print_json(&response);
     }
-    let age = answer.age_ms.map_or_else(|| "unknown".to_owned(), |age| format!("{age} ms"));
-    println!("daemon {}, revision {}, confirmed {age} ago", answer.daemon, answer.revision);
-    let rows = answer.records.iter().map(|body| {
+    let age = response.age_ms.map_or_else(|| "unknown".to_owned(), |age| format!("{age} ms"));
+    println!("daemon {}, revision {}, confirmed {age} ago", response.daemon, response.revision);
+    let rows = response.records.iter().map(|body| {
         let content = serde_json::to_string(&body.record)?;
         Ok(vec![body.name.path(), body.revision.to_string(), content])
     });
--- a/crates/cli/src/cmd/standin.rs
+++ b/crates/cli/src/cmd/standin.rs
@@ -48,9 +48,9 @@
     listen: String,
     /// Whether requests with outdated fencing numbers are rejected.
     checks_fencing: bool,
-    /// Address of the VM list stand-in, used by the `orders` stand-in.
+    /// Address of the VM list stand-in to which the `orders` stand-in adds started upstreams; `None` adds them nowhere.
     vm_list_address: Option<String>,
-    /// Used by the `engine` stand-in.
+    /// Settings of the `engine` stand-in; the other kinds ignore them.
     engine_settings: EngineSettings,
 }
 
--- a/crates/cli/src/cmd/status.rs
+++ b/crates/cli/src/cmd/status.rs
@@ -9,7 +9,7 @@
     ConnectionArgs::with_flags(command)
 }
 
-/// Prints the state of the site as one daemon sees it.
+/// Prints the state of the site as recorded by one daemon.
 pub fn run(args: &ArgMatches) -> CliResult<()> {
     let status: StatusResponse =
         util::block_on(async { ConnectionArgs::from_args(args).into_client().get("status").await })?;
@@ -31,7 +31,7 @@
     Ok(())
 }
 
-/// Prints a table each of daemons, duties, upstreams and steps.
+/// Prints one table each for daemons, duties, upstreams and steps.
 fn print_tables(status: &StatusResponse) {
     let daemons: Vec<Vec<String>> = status
         .daemons
--- a/crates/cli/src/demo/demo_site.rs
+++ b/crates/cli/src/demo/demo_site.rs
@@ -18,9 +18,9 @@
 pub struct DemoSite {
     /// Address of the key-value stand-in.
     pub kv: SocketAddr,
-    /// Address of the stand-in that takes orders for upstreams.
+    /// Address of the stand-in that receives orders for upstreams.
     pub orders: SocketAddr,
-    /// Address of the stand-in that takes usage reports.
+    /// Address of the stand-in that receives usage reports.
     pub usage: SocketAddr,
     /// Address of the VM list stand-in.
     pub vms: SocketAddr,
@@ -91,8 +91,9 @@
         for (flag, address) in endpoints {
             add_flag(flag, &address.to_string());
         }
-        let settings = DaemonSettings::from_matches(&command().get_matches_from(args))
-            .map_err(|faults| crate::CliError::Failed(format!("{faults:?}")))?;
+        let settings = DaemonSettings::from_matches(&command().get_matches_from(args)).map_err(|faults| {
+            crate::CliError::Failed(format!("invalid settings of a daemon of the demo: {faults:?}"))
+        })?;
         let daemon = start(settings).await?;
         self.list_vm(name, VmRole::Entry, failure_domain, daemon.control_address(), None).await?;
         self.daemons.push(daemon);
@@ -121,7 +122,7 @@
         let response = self.client.put(url).send_json(&entry).await;
         response
             .map(|_| ())
-            .map_err(|error| crate::CliError::Failed(format!("cannot add a VM to the VM list stand-in: {error}")))
+            .map_err(|error| crate::CliError::Failed(format!("cannot add VM {name} to the VM list stand-in: {error}")))
     }
 
     /// Client of the administration API of the daemon with index `daemon`.
--- a/crates/standin/src/kv_service.rs
+++ b/crates/standin/src/kv_service.rs
@@ -90,25 +90,25 @@
     if !state.start_call("range").await {
         return unavailable();
     }
-    let answer = state.with_store(|store| RangeResponse {
+    let response = state.with_store(|store| RangeResponse {
         header: ResponseHeader { revision: store.revision() },
         kvs: store.range(&request),
     });
-    HttpResponse::Ok().json(answer)
+    HttpResponse::Ok().json(response)
 }
 
 async fn txn(state: web::Data<KvState>, request: web::Json<TxnRequest>) -> HttpResponse {
     if !state.start_call("txn").await {
         return unavailable();
     }
-    let answer = state.with_store(|store| {
+    let response = state.with_store(|store| {
         let succeeded = store.commit(&request);
         TxnResponse { header: ResponseHeader { revision: store.revision() }, succeeded }
     });
     if state.take_lost_answer() {
         return HttpResponse::GatewayTimeout().finish();
     }
-    HttpResponse::Ok().json(answer)
+    HttpResponse::Ok().json(response)
 }
 
 async fn grant(state: web::Data<KvState>, request: web::Json<LeaseGrantRequest>) -> HttpResponse {
@@ -116,12 +116,12 @@
         return unavailable();
     }
     let ttl = Duration::from_secs(request.ttl_seconds);
-    let answer = state.with_store(|store| LeaseGrantResponse {
+    let response = state.with_store(|store| LeaseGrantResponse {
         id: store.grant(ttl, Instant::now()),
         header: ResponseHeader { revision: store.revision() },
         ttl_seconds: request.ttl_seconds,
     });
-    HttpResponse::Ok().json(answer)
+    HttpResponse::Ok().json(response)
 }
 
 async fn keep_alive(state: web::Data<KvState>, request: web::Json<LeaseId>) -> HttpResponse {
@@ -147,33 +147,35 @@
     HttpResponse::Ok().json(serde_json::json!({ "header": header }))
 }
 
-/// Streams the entries of a range that change, one JSON document a line.
+/// Streams the entries of a range that are written, one JSON document per line. Deletions are not reported.
 async fn watch_changes(state: web::Data<KvState>, request: web::Json<WatchRequest>) -> HttpResponse {
     if !state.start_call("watch").await {
         return unavailable();
     }
-    let create = request.into_inner().create_request;
+    let create_request = request.into_inner().create_request;
     let revisions = state.revision.subscribe();
-    let lines =
-        futures_util::stream::unfold((state, revisions, create), |(state, mut revisions, mut create)| async move {
+    let lines = futures_util::stream::unfold(
+        (state, revisions, create_request),
+        |(state, mut revisions, mut create_request)| async move {
             loop {
                 let request = RangeRequest {
-                    key: create.key.clone(),
-                    range_end: create.range_end.clone(),
-                    min_mod_revision: create.start_revision,
+                    key: create_request.key.clone(),
+                    range_end: create_request.range_end.clone(),
+                    min_mod_revision: create_request.start_revision,
                 };
                 let (revision, kvs) = state.with_store(|store| (store.revision(), store.range(&request)));
                 if !kvs.is_empty() {
-                    create.start_revision = revision + 1;
+                    create_request.start_revision = revision + 1;
                     let events = kvs.into_iter().map(|kv| WatchEvent { kv }).collect();
                     let result = WatchResult { header: ResponseHeader { revision }, events };
                     let mut line = serde_json::to_vec(&WatchResponse { result }).ok()?;
                     line.push(b'\n');
-                    return Some((Ok::<_, io::Error>(Bytes::from(line)), (state, revisions, create)));
+                    return Some((Ok::<_, io::Error>(Bytes::from(line)), (state, revisions, create_request)));
                 }
                 revisions.changed().await.ok()?;
             }
-        });
+        },
+    );
     HttpResponse::Ok().content_type("application/json").streaming(lines)
 }
 
--- a/crates/standin/src/kv_store.rs
+++ b/crates/standin/src/kv_store.rs
@@ -13,7 +13,7 @@
     deadline: Instant,
 }
 
-/// Entries by key and leases by id. Every write increments the revision of the store.
+/// Entries by key and leases by id. Every transaction that writes and every ended lease increments the revision.
 #[derive(Debug, Default)]
 pub struct KvStore {
     revision: u64,
@@ -24,7 +24,7 @@
 }
 
 impl KvStore {
-    /// Revision of the newest write.
+    /// Revision of the newest change.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
@@ -41,8 +41,8 @@
             .collect()
     }
 
-    /// Applies the writes of a transaction if all its comparisons succeed and all its leases exist. Returns whether it
-    /// did.
+    /// Applies the writes of a transaction if all its comparisons succeed and all its leases exist. Returns whether they
+    /// were applied.
     pub fn commit(&mut self, txn: &TxnRequest) -> bool {
         let compared = txn.compare.iter().all(|compare| {
             self.entries.get(&compare.key).map_or(0, |entry| entry.mod_revision) == compare.mod_revision
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,7 +1,8 @@
 //! In-process stand-ins for the platform's services and for upstreams, used by tests, the demo and benchmarks.
 //!
 //! Each stand-in serves HTTP at its own address. The key-value, engine and plain service stand-ins accept faults to
-//! simulate by `PUT /standin/fault`; [`TcpRelay`] simulates faults of the network.
+//! simulate by `PUT /standin/fault`, the platform stand-ins by method calls; [`TcpRelay`] simulates faults of the
+//! network.
 
 mod engine_fault;
 mod engine_service;
--- a/crates/standin/src/orders_service.rs
+++ b/crates/standin/src/orders_service.rs
@@ -25,7 +25,7 @@
 /// Settings of the orders stand-in.
 #[derive(Clone, Debug, Default)]
 pub struct OrderSettings {
-    /// Whether an order is rejected if its failure domain has received a higher fencing number.
+    /// Whether an order is rejected if an earlier order for its failure domain had a higher fencing number.
     pub checks_fencing: bool,
     /// Address of the VM list stand-in, `ip:port`. Without it, started upstreams are not listed.
     pub vm_list_address: Option<String>,
@@ -38,9 +38,9 @@
 pub struct RecordedOrder {
     /// Order as received.
     pub request: OrderRequest,
-    /// Outcome; a repeated order gets the outcome of the first one.
+    /// Outcome; a repeated order gets the outcome of the first one, unless its fencing number is outdated.
     pub state: OrderState,
-    /// Name of the VM that the order started.
+    /// Name of the VM that was started; `None` if none was, as for a repeated order.
     pub vm: Option<Arc<str>>,
 }
 
@@ -48,13 +48,13 @@
 struct OrderServiceState {
     settings: OrderSettings,
     spares: Mutex<Vec<SpareUpstream>>,
-    log: Mutex<Vec<RecordedOrder>>,
+    orders: Mutex<Vec<RecordedOrder>>,
 }
 
 /// Starts the stand-in at the address `listen` (`ip:port`).
 pub fn start_orders(listen: &str, settings: OrderSettings) -> Result<RunningStandin> {
     let spares = Mutex::new(settings.spares.clone());
-    let state = web::Data::from(Arc::new(OrderServiceState { settings, spares, log: Mutex::default() }));
+    let state = web::Data::from(Arc::new(OrderServiceState { settings, spares, orders: Mutex::default() }));
     start_server!(listen, move || {
         App::new()
             .app_data(state.clone())
@@ -76,27 +76,28 @@
         unlist_vm(&state, &request).await;
     }
     let vm = state
-        .log
+        .orders
         .lock()
         .unwrap_or_else(PoisonError::into_inner)
         .iter()
-        .find(|entry| entry.request.order_id == request.order_id)
-        .and_then(|entry| entry.vm.clone());
-    let answer = OrderResponse { order_id: request.order_id, state: outcome, vm };
+        .find(|order| order.request.order_id == request.order_id)
+        .and_then(|order| order.vm.clone());
+    let response = OrderResponse { order_id: request.order_id, state: outcome, vm };
     if outcome == OrderState::Fenced {
-        return HttpResponse::Conflict().json(answer);
+        return HttpResponse::Conflict().json(response);
     }
-    HttpResponse::Ok().json(answer)
+    HttpResponse::Ok().json(response)
 }
 
-/// Decides the outcome of an order and records it. Also returns the spare upstream that it starts, if any.
+/// Decides the outcome of an order and records both. Also returns the spare upstream that the order starts, if any.
 fn record_order(state: &OrderServiceState, request: &OrderRequest) -> (OrderState, Option<SpareUpstream>) {
-    let mut log = state.log.lock().unwrap_or_else(PoisonError::into_inner);
-    let previous_outcome = log.iter().find(|entry| entry.request.order_id == request.order_id).map(|entry| entry.state);
-    let max_fencing = log
+    let mut orders = state.orders.lock().unwrap_or_else(PoisonError::into_inner);
+    let previous_outcome =
+        orders.iter().find(|order| order.request.order_id == request.order_id).map(|order| order.state);
+    let max_fencing = orders
         .iter()
-        .filter(|entry| entry.request.failure_domain == request.failure_domain)
-        .map(|entry| entry.request.fencing)
+        .filter(|order| order.request.failure_domain == request.failure_domain)
+        .map(|order| order.request.fencing)
         .max()
         .unwrap_or(0);
     let is_fenced = state.settings.checks_fencing && request.fencing < max_fencing;
@@ -111,7 +112,7 @@
         }
     };
     let vm = started_spare.as_ref().map(|spare| spare.name.clone());
-    log.push(RecordedOrder { request: request.clone(), state: outcome, vm });
+    orders.push(RecordedOrder { request: request.clone(), state: outcome, vm });
     (outcome, started_spare)
 }
 
@@ -149,19 +150,19 @@
 }
 
 async fn get_order(state: web::Data<OrderServiceState>, id: web::Path<String>) -> HttpResponse {
-    let log = state.log.lock().unwrap_or_else(PoisonError::into_inner);
-    match log.iter().find(|entry| *entry.request.order_id == **id) {
-        Some(entry) => HttpResponse::Ok().json(OrderResponse {
-            order_id: entry.request.order_id.clone(),
-            state: entry.state,
-            vm: entry.vm.clone(),
+    let orders = state.orders.lock().unwrap_or_else(PoisonError::into_inner);
+    match orders.iter().find(|order| *order.request.order_id == **id) {
+        Some(order) => HttpResponse::Ok().json(OrderResponse {
+            order_id: order.request.order_id.clone(),
+            state: order.state,
+            vm: order.vm.clone(),
         }),
         None => HttpResponse::NotFound().finish(),
     }
 }
 
 async fn list_orders(state: web::Data<OrderServiceState>) -> HttpResponse {
-    HttpResponse::Ok().json(&*state.log.lock().unwrap_or_else(PoisonError::into_inner))
+    HttpResponse::Ok().json(&*state.orders.lock().unwrap_or_else(PoisonError::into_inner))
 }
 
 async fn add_spare(state: web::Data<OrderServiceState>, spare: web::Json<SpareUpstream>) -> HttpResponse {
--- a/crates/standin/src/platform/platform_upstream.rs
+++ b/crates/standin/src/platform/platform_upstream.rs
@@ -29,9 +29,9 @@
     Status(u16),
     /// Runs the request and closes the connection before any byte of the body.
     LoseAnswer,
-    /// Closes the connection after this number of events, in the middle of the next one.
+    /// Closes the connection after this number of events, in the middle of the next one. Ignored by a plain service.
     CutAfter(u64),
-    /// Closes the connection after the last event, without ending the stream.
+    /// Closes the connection after the last event, without ending the stream. Ignored by a plain service.
     CutAtEnd,
     /// Answers with the id of another request.
     WrongId,
@@ -69,7 +69,7 @@
     pub service: String,
     /// Failure domain of the upstream.
     pub failure_domain: String,
-    /// Number of concurrent requests that the upstream registers for; not enforced.
+    /// Number of concurrent requests that the upstream registers as its capacity; not enforced.
     pub slots: u64,
     /// Models that the upstream serves, all at version 1 initially; empty for a plain service.
     pub models: Vec<String>,
@@ -91,7 +91,7 @@
     /// Weight version of each model.
     versions: BTreeMap<String, u64>,
     weight_orders: Vec<Value>,
-    /// Faults of the next requests, one for each.
+    /// Faults of the next requests, at most one per request.
     faults: VecDeque<UpstreamFault>,
     calls: Vec<RecordedCall>,
     running_requests: usize,
@@ -236,9 +236,9 @@
             answer_builder(status, &id).body("failed")
         }
         Some(UpstreamFault::Truncate) => {
-            let first = stream::iter([Ok(Bytes::from_static(b"half"))]).boxed_local();
+            let partial_body = stream::iter([Ok(Bytes::from_static(b"half"))]).boxed_local();
             let mut response = answer_builder(StatusCode::OK, &id);
-            response.no_chunking(100).streaming(first.chain(connection_reset()))
+            response.no_chunking(100).streaming(partial_body.chain(connection_reset()))
         }
         _ if upstream.settings.models.is_empty() => {
             actix_rt::time::sleep(Duration::from_millis(upstream.settings.event_ms)).await;
@@ -280,20 +280,21 @@
     let event_count: u64 = header(request, "length-hint").parse().unwrap_or(1);
     let model = header(request, "model");
     let version = upstream.state().versions.get(&model).copied().unwrap_or(0);
-    let first = last_event_id.map_or(FIRST_EVENT, |last| last + 1);
+    let first_event = last_event_id.map_or(FIRST_EVENT, |last| last + 1);
     let end = FIRST_EVENT + event_count;
     let mut response = answer_builder(StatusCode::OK, id);
     response.insert_header(("content-type", "text/event-stream"));
-    if first >= end {
+    if first_event >= end {
         return response.streaming(stream::empty::<io::Result<Bytes>>());
     }
     response.insert_header(("weight-versions", version.to_string()));
+    // Number of the first event that is not sent in full.
     let stop = match fault {
-        Some(UpstreamFault::CutAfter(events)) => (first + events).min(end),
+        Some(UpstreamFault::CutAfter(events)) => (first_event + events).min(end),
         _ => end,
     };
     let (upstream, id) = (upstream.clone(), id.to_owned());
-    let events = stream::unfold((first, version, guard), move |(number, last_version, guard)| {
+    let events = stream::unfold((first_event, version, guard), move |(number, last_version, guard)| {
         let (upstream, model, id) = (upstream.clone(), model.clone(), id.clone());
         async move {
             if number >= stop {
--- a/crates/standin/src/platform/store_contents.rs
+++ b/crates/standin/src/platform/store_contents.rs
@@ -26,7 +26,7 @@
     entries: BTreeMap<String, StoredEntry>,
     /// Changes in order, each with its revision and its JSON form.
     history: Vec<(u64, Value)>,
-    /// Lifetime and end of each lease, by id.
+    /// Lifetime and expiry of each lease, by id.
     leases: BTreeMap<u64, (Duration, Instant)>,
 }
 
@@ -39,7 +39,7 @@
 }
 
 impl StoreContents {
-    /// Revision of the newest change.
+    /// Current revision. Every write, removal, successful commit and lease grant increments it.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
@@ -92,7 +92,7 @@
         matching.map(|(key, entry)| entry_json(key, entry)).collect()
     }
 
-    /// Changes of keys that start with `prefix`, made after `revision`.
+    /// Changes after `revision` to keys that start with `prefix`, in their JSON form.
     #[must_use]
     pub fn changes_after(&self, prefix: &str, revision: u64) -> Vec<Value> {
         let later = self.history.iter().filter(|(changed_at, _)| *changed_at > revision);
@@ -133,14 +133,14 @@
         puts.iter().filter_map(|row| row["lease"].as_u64()).all(|lease| lease == 0 || self.leases.contains_key(&lease))
     }
 
-    /// Grants a lease with the lifetime `ttl` and returns its id.
+    /// Grants a lease with the lifetime `ttl` and returns its id, which is the new revision.
     pub fn grant_lease(&mut self, ttl: Duration, now: Instant) -> u64 {
         self.revision += 1;
         self.leases.insert(self.revision, (ttl, now + ttl));
         self.revision
     }
 
-    /// Renews a lease. Returns false if it has ended.
+    /// Renews a lease. Returns `false` if it has ended.
     pub fn renew_lease(&mut self, lease: u64, now: Instant) -> bool {
         let Some((ttl, end)) = self.leases.get_mut(&lease) else { return false };
         *end = now + *ttl;
--- a/crates/standin/src/recorded_request.rs
+++ b/crates/standin/src/recorded_request.rs
@@ -1,4 +1,4 @@
-//! Record of a request that an upstream stand-in received.
+//! Copy of a request that an upstream stand-in received.
 
 use actix_web::HttpRequest;
 use serde::{Deserialize, Serialize};
--- a/crates/standin/src/running.rs
+++ b/crates/standin/src/running.rs
@@ -26,7 +26,7 @@
 
 /// Binds `$listen`, given as `ip:port`, and serves the application that `$app` creates with one worker thread.
 ///
-/// Evaluates to a [`Result`] of a [`RunningStandin`].
+/// Evaluates to a [`Result`] of a [`RunningStandin`]. Returns from the calling function if the address cannot be bound.
 macro_rules! start_server {
     ($listen:expr, $app:expr) => {{
         let listener = std::net::TcpListener::bind($listen)?;
--- a/crates/standin/src/tcp_relay.rs
+++ b/crates/standin/src/tcp_relay.rs
@@ -46,13 +46,13 @@
         let address = listener.local_addr()?;
         let rule = watch::Sender::new((0, RelayRule::Pass));
         let forwarded_bytes = Arc::new(Mutex::new((0, 0)));
-        let (rules, byte_counts) = (rule.clone(), forwarded_bytes.clone());
+        let (rule_sender, relayed_bytes) = (rule.clone(), forwarded_bytes.clone());
         actix_rt::spawn(async move {
-            while let Ok((caller, _)) = listener.accept().await {
-                if rules.borrow().1 == RelayRule::Cut {
+            while let Ok((caller_stream, _)) = listener.accept().await {
+                if rule_sender.borrow().1 == RelayRule::Cut {
                     continue;
                 }
-                actix_rt::spawn(relay(caller, target, rules.subscribe(), byte_counts.clone()));
+                actix_rt::spawn(relay(caller_stream, target, rule_sender.subscribe(), relayed_bytes.clone()));
             }
         });
         Ok(Self { address, rule, forwarded_bytes })
@@ -74,14 +74,14 @@
     }
 }
 
-/// Forwards bytes between `caller` and `target` until either closes the connection or the rule does.
+/// Forwards bytes between `caller_stream` and `target` until either closes the connection or the rule does.
 async fn relay(
-    mut caller: TcpStream,
+    mut caller_stream: TcpStream,
     target: SocketAddr,
     mut rule: watch::Receiver<(u64, RelayRule)>,
     forwarded_bytes: Arc<Mutex<(usize, usize)>>,
 ) {
-    let Ok(mut upstream) = TcpStream::connect(target).await else { return };
+    let Ok(mut target_stream) = TcpStream::connect(target).await else { return };
     let (mut request_bytes, mut answer_bytes) = (0, 0);
     let mut request_buffer = vec![0; BUFFER_BYTES];
     let mut answer_buffer = vec![0; BUFFER_BYTES];
@@ -95,13 +95,13 @@
                     return;
                 }
             }
-            read = caller.read(&mut request_buffer), if !stalled => {
+            read = caller_stream.read(&mut request_buffer), if !stalled => {
                 let Ok(count @ 1..) = read else { return };
                 let allowed = match current_rule {
                     RelayRule::CutRequestAfter(limit) => count.min(limit.saturating_sub(request_bytes)),
                     _ => count,
                 };
-                if upstream.write_all(&request_buffer[..allowed]).await.is_err() {
+                if target_stream.write_all(&request_buffer[..allowed]).await.is_err() {
                     return;
                 }
                 request_bytes += allowed;
@@ -110,13 +110,13 @@
                     return;
                 }
             }
-            read = upstream.read(&mut answer_buffer), if !stalled => {
+            read = target_stream.read(&mut answer_buffer), if !stalled => {
                 let Ok(count @ 1..) = read else { return };
                 let allowed = match current_rule {
                     RelayRule::CutAnswerAfter(limit) => count.min(limit.saturating_sub(answer_bytes)),
                     _ => count,
                 };
-                if caller.write_all(&answer_buffer[..allowed]).await.is_err() {
+                if caller_stream.write_all(&answer_buffer[..allowed]).await.is_err() {
                     return;
                 }
                 answer_bytes += allowed;
--- a/crates/standin/src/usage_service.rs
+++ b/crates/standin/src/usage_service.rs
@@ -31,13 +31,13 @@
 /// State shared by the request handlers.
 struct UsageState {
     checks_fencing: bool,
-    log: Mutex<Vec<RecordedUsageReport>>,
+    reports: Mutex<Vec<RecordedUsageReport>>,
 }
 
 /// Starts the stand-in at the address `listen` (`ip:port`). With `checks_fencing`, it rejects reports whose fencing
 /// number is lower than one that it has received.
 pub fn start_usage(listen: &str, checks_fencing: bool) -> Result<RunningStandin> {
-    let state = web::Data::from(Arc::new(UsageState { checks_fencing, log: Mutex::default() }));
+    let state = web::Data::from(Arc::new(UsageState { checks_fencing, reports: Mutex::default() }));
     start_server!(listen, move || {
         App::new()
             .app_data(state.clone())
@@ -54,11 +54,11 @@
     body: Bytes,
 ) -> HttpResponse {
     let fencing = request.headers().get("x-fencing").and_then(|value| value.to_str().ok()?.parse().ok()).unwrap_or(0);
-    let mut log = state.log.lock().unwrap_or_else(PoisonError::into_inner);
-    let max_fencing = log.iter().map(|entry| entry.fencing).max().unwrap_or(0);
+    let mut reports = state.reports.lock().unwrap_or_else(PoisonError::into_inner);
+    let max_fencing = reports.iter().map(|report| report.fencing).max().unwrap_or(0);
     let fenced = state.checks_fencing && fencing < max_fencing;
     let body = String::from_utf8_lossy(&body).into_owned();
-    log.push(RecordedUsageReport { window: path.1, fencing, body, fenced });
+    reports.push(RecordedUsageReport { window: path.1, fencing, body, fenced });
     if fenced {
         return HttpResponse::Conflict().finish();
     }
@@ -66,5 +66,5 @@
 }
 
 async fn list_reports(state: web::Data<UsageState>) -> HttpResponse {
-    HttpResponse::Ok().json(&*state.log.lock().unwrap_or_else(PoisonError::into_inner))
+    HttpResponse::Ok().json(&*state.reports.lock().unwrap_or_else(PoisonError::into_inner))
 }
