--- a/crates/cli/tests/processes/configuration.rs
+++ b/crates/cli/tests/processes/configuration.rs
@@ -151,7 +151,7 @@
 
 /// Guards against a withdrawal that is reported as complete while a daemon still accepts the key.
 #[actix_rt::test]
-async fn a_withdrawal_that_a_frozen_daemon_has_not_confirmed_stays_pending_and_is_in_force_there() {
+async fn a_withdrawal_unconfirmed_by_a_frozen_daemon_is_pending_and_in_force_there() {
     let (site, key, relay) = site_with_store_relay().await;
     site.daemons[2].process.freeze();
     let answer = site.withdraw_key(0, &key).await;
--- a/crates/cli/tests/processes/duties.rs
+++ b/crates/cli/tests/processes/duties.rs
@@ -137,7 +137,7 @@
 
 /// Guards against a resumed holder whose late orders are accepted besides those of its successor.
 #[actix_rt::test]
-async fn a_frozen_holder_is_fenced_after_its_successor_has_ordered() {
+async fn a_resumed_holder_has_no_order_accepted_after_those_of_its_successor() {
     run_with_frozen_holder(true).await;
 }
 
@@ -184,15 +184,15 @@
 /// Guards against requests that are not billed or billed twice, and against usage windows whose reports differ, when
 /// the reporting daemon is stopped or killed and answers of the key-value store are lost.
 #[actix_rt::test]
-async fn usage_windows_have_one_report_and_bill_each_request_once_after_stops_and_kills() {
+async fn usage_windows_have_equal_reports_and_bill_each_request_once_after_stops_and_kills() {
     let mut site = site_with_ordered_service(false).await;
     let key = site.create_key(0, 1).await;
-    let mut sent = 0;
+    let mut sent_count = 0;
     for pass in 0..3 {
         for daemon in 0..3 {
             for _ in 0..5 {
                 assert_eq!(site.send(daemon, "GET", "/services/desk/orders", &key, &[], &()).await.status, 200);
-                sent += 1;
+                sent_count += 1;
             }
         }
         // Each pass stops or kills the daemon that reports usage, with lost answers of the key-value store.
@@ -200,7 +200,7 @@
         let is_planned = pass % 2 == 0;
         if !is_planned {
             // A killed daemon may lose counts that the reporter has not collected yet; a planned stop loses none.
-            wait_billed(&site, sent).await;
+            wait_billed(&site, sent_count).await;
         }
         site.set_kv_fault(KvFault { lose_answers: 2, ..KvFault::default() }).await;
         if is_planned {
@@ -214,7 +214,7 @@
             .await;
             site.daemons[reporter].process.terminate();
             assert_eq!(slow_request.await.expect("a task"), 200);
-            sent += 1;
+            sent_count += 1;
             site.set_desk_fault(PlainFault::default()).await;
             let process = &mut site.daemons[reporter].process;
             wait_for("the reporter stops", || std::future::ready(process.exit_status())).await;
@@ -222,7 +222,7 @@
         site.restart_daemon(reporter).await;
         site.wait_ready().await;
     }
-    wait_billed(&site, sent).await;
+    wait_billed(&site, sent_count).await;
     check_reports(&received_reports(&site).await);
 }
 
@@ -234,15 +234,15 @@
 }
 
 /// Waits until exactly `sent` requests are billed.
-async fn wait_billed(site: &DaemonSite, sent: u64) {
+async fn wait_billed(site: &DaemonSite, sent_count: u64) {
     wait_for("every request is billed", || async {
-        (billed_requests(&received_reports(site).await) == sent).then_some(())
+        (billed_request_count(&received_reports(site).await) == sent_count).then_some(())
     })
     .await;
 }
 
 /// Number of requests billed, with each usage window counted once.
-fn billed_requests(reports: &[RecordedUsageReport]) -> u64 {
+fn billed_request_count(reports: &[RecordedUsageReport]) -> u64 {
     let windows: BTreeMap<u64, &RecordedUsageReport> = reports.iter().map(|report| (report.window, report)).collect();
     windows.values().flat_map(|report| report.parse().expect("a report").lines).map(|line| line.requests).sum()
 }
--- a/crates/cli/tests/processes/leaving.rs
+++ b/crates/cli/tests/processes/leaving.rs
@@ -70,7 +70,7 @@
 }
 
 /// Sends `count` requests and returns how many of them the engine `engine` received.
-async fn requests_received_by(
+async fn send_and_count_runs(
     site: &DaemonSite,
     key: &pimentoslip_kernel::KeySecret,
     engine: usize,
@@ -89,7 +89,7 @@
 }
 
 /// Waits until no daemon reports the upstream `name` as live.
-async fn wait_leaving(site: &DaemonSite, name: &str) {
+async fn wait_not_live(site: &DaemonSite, name: &str) {
     wait_for("every daemon reports the upstream as leaving", || async {
         for daemon in 0..site.daemons.len() {
             let status = site.status(daemon).await?;
@@ -103,14 +103,14 @@
 
 /// Guards against new requests to an upstream that reports itself as leaving while the VM list still shows it as live.
 #[actix_rt::test]
-async fn an_upstream_that_reports_itself_as_leaving_receives_no_new_requests() {
+async fn an_upstream_that_reports_itself_as_leaving_is_not_live_and_runs_no_new_requests() {
     let site = DaemonSite::start(SiteOptions::default()).await;
     let key = site.create_key(0, 1).await;
-    assert!(requests_received_by(&site, &key, 0, 30).await > 0, "the engine receives requests while it is live");
+    assert!(send_and_count_runs(&site, &key, 0, 30).await > 0, "the engine receives requests while it is live");
     // The load report says that the engine is leaving; the VM list still shows it as live.
     site.set_engine_fault(0, EngineFault { leaving: true, ..EngineFault::default() }).await;
-    wait_leaving(&site, "engine-0").await;
-    assert_eq!(requests_received_by(&site, &key, 0, 30).await, 0, "a leaving engine receives no requests");
+    wait_not_live(&site, "engine-0").await;
+    assert_eq!(send_and_count_runs(&site, &key, 0, 30).await, 0, "a leaving engine receives no requests");
 }
 
 #[actix_rt::test]
@@ -119,6 +119,6 @@
     let key = site.create_key(0, 1).await;
     let address = site.engines[0].1.clone();
     site.add_vm("engine-0", VmRole::Upstream, "a", &address, Some("drafts"), VmState::Leaving).await;
-    wait_leaving(&site, "engine-0").await;
-    assert_eq!(requests_received_by(&site, &key, 0, 30).await, 0);
+    wait_not_live(&site, "engine-0").await;
+    assert_eq!(send_and_count_runs(&site, &key, 0, 30).await, 0);
 }
--- a/crates/cli/tests/processes/path.rs
+++ b/crates/cli/tests/processes/path.rs
@@ -18,7 +18,7 @@
 /// Guards against an interface that does not work between the released binaries, and against a key that reaches an
 /// engine or a log.
 #[actix_rt::test]
-async fn every_kind_of_request_works_across_separate_processes() {
+async fn requests_duties_and_commands_work_across_separate_processes() {
     let options = SiteOptions::default();
     let base_config = options.base_config.clone() + ORDERED_SERVICE;
     let site = DaemonSite::start(SiteOptions { base_config, ..options }).await;
@@ -111,9 +111,9 @@
 /// Waits for the usage report of the organisation and checks that all reports parse.
 async fn check_usage_report(site: &DaemonSite) {
     let reports = wait_for("usage of the organisation is reported", || async {
-        let log: Vec<RecordedUsageReport> =
+        let reports: Vec<RecordedUsageReport> =
             site.http.get_json(&format!("http://{}/standin/reports", site.usage_address)).await?;
-        log.iter().any(|entry| entry.body.contains("velorio")).then_some(log)
+        reports.iter().any(|report| report.body.contains("velorio")).then_some(reports)
     });
     for report in reports.await {
         report.parse().expect("a report");
@@ -131,9 +131,9 @@
     };
     site.http.put_json(&format!("http://{}/standin/spares", site.orders_address), &spare).await;
     let new_order = wait_for("an order has started the VM", || async {
-        let log: Vec<RecordedOrder> =
+        let orders: Vec<RecordedOrder> =
             site.http.get_json(&format!("http://{}/standin/orders", site.orders_address)).await?;
-        log.into_iter().find(|entry| entry.vm.as_deref() == Some("cards-1"))
+        orders.into_iter().find(|order| order.vm.as_deref() == Some("cards-1"))
     });
     assert!(new_order.await.request.fencing > 0);
     wait_for("the daemon lists the new upstream", || async {
--- a/crates/cli/tests/processes/platform_duties.rs
+++ b/crates/cli/tests/processes/platform_duties.rs
@@ -6,7 +6,7 @@
 
 /// Guards against engines that miss or repeat a version, and against two edges that order loads at the same time.
 #[actix_rt::test]
-async fn each_weight_version_is_loaded_once_by_every_engine_under_a_single_holder() {
+async fn each_weight_version_is_ordered_once_at_every_engine_by_a_single_holder() {
     let site = EdgeSite::start(3).await;
     for version in 2..=3 {
         site.store.put("op/version/verse", &serde_json::json!({ "model": "verse", "version": version }));
@@ -73,7 +73,7 @@
     let site = EdgeSite::start(2).await;
     assert!(site.provider.scale_orders().is_empty(), "no VM is ordered without work");
     // Two engines of 8 slots are running; 30 items require four engines.
-    let items: Vec<_> = (0..30).map(|n| job_item(&format!("i{n}"), 200, false)).collect();
+    let items: Vec<_> = (0..30).map(|number| job_item(&format!("i{number}"), 200, false)).collect();
     assert_eq!(site.submit_job(0, "job", &job_submission(1, &items)).await.status, 202);
     let accepted_order = |site: &EdgeSite, spot: bool, desired: u64| {
         let matches = |order: &pimentoslip_standin::ScaleOrder| {
@@ -102,7 +102,7 @@
 
 /// Guards against requests refused while an edge stops, and against an edge that does not start again after a stop.
 #[actix_rt::test]
-async fn a_stopping_edge_serves_until_it_exits_and_serves_again_after_a_restart() {
+async fn a_stopping_edge_still_serves_and_serves_again_after_a_restart() {
     let mut site = EdgeSite::start(2).await;
     site.edges[0].process.terminate();
     wait_for("the edge is not ready any more", || async { (site.readiness_status(0).await != 200).then_some(()) })
--- a/crates/cli/tests/processes/platform_jobs.rs
+++ b/crates/cli/tests/processes/platform_jobs.rs
@@ -59,7 +59,7 @@
 
 /// Guards against engines that keep generating text for a job that was ended through an edge which does not own it.
 #[actix_rt::test]
-async fn ending_a_job_at_any_edge_cancels_its_runs() {
+async fn ending_a_job_at_a_second_edge_cancels_its_runs() {
     let site = EdgeSite::start(3).await;
     assert_eq!(site.submit_job(0, "job", &job_submission(1, &[job_item("long", 2_000, false)])).await.status, 202);
     wait_for("the item runs", || async { (!site.engine_calls("long").is_empty()).then_some(()) }).await;
@@ -70,7 +70,7 @@
 
 /// Guards against texts with missing or repeated events when the first run of an item fails.
 #[actix_rt::test]
-async fn texts_are_complete_after_each_kind_of_failed_run() {
+async fn texts_are_complete_after_each_fault_of_the_first_run() {
     // fault of the first run, whether another run resumes after the last event received
     let cases = [
         (UpstreamFault::CutAfter(2), true),
@@ -123,7 +123,8 @@
 #[actix_rt::test]
 async fn a_job_whose_owner_is_killed_keeps_its_results_and_completes() {
     let mut site = EdgeSite::start(3).await;
-    let items: Vec<Value> = (0..8).map(|n| job_item(&format!("i{n}"), if n < 4 { 1 } else { 120 }, false)).collect();
+    let items: Vec<Value> =
+        (0..8).map(|number| job_item(&format!("i{number}"), if number < 4 { 1 } else { 120 }, false)).collect();
     assert_eq!(site.submit_job(0, "job", &job_submission(1, &items)).await.status, 202);
     let owner = wait_for("the job has an owner", || async { job_owner(&site, "job") }).await;
     let reader = (owner + 1) % 3;
@@ -136,8 +137,8 @@
     let results = site.all_results(reader, "job").await;
     assert_eq!(results[..early_results.len()], early_results, "results that were read keep their position");
     assert_eq!(site.all_results((owner + 2) % 3, "job").await, results);
-    for n in 4..8 {
-        assert_eq!(result_of(&results, &format!("i{n}"))["text"], expected_text(&format!("i{n}"), 120));
+    for number in 4..8 {
+        assert_eq!(result_of(&results, &format!("i{number}"))["text"], expected_text(&format!("i{number}"), 120));
     }
 }
 
@@ -146,7 +147,7 @@
 #[actix_rt::test]
 async fn items_resume_from_their_text_checkpoints_after_all_edges_are_killed() {
     let mut site = EdgeSite::start(2).await;
-    let items: Vec<Value> = (0..4).map(|n| job_item(&format!("i{n}"), 300, true)).collect();
+    let items: Vec<Value> = (0..4).map(|number| job_item(&format!("i{number}"), 300, true)).collect();
     assert_eq!(site.submit_job(0, "job", &job_submission(1, &items)).await.status, 202);
     wait_for("a text checkpoint is stored", || async {
         (!site.store.contents().range("p/d/job/text/", "").is_empty()).then_some(())
@@ -158,8 +159,8 @@
     }
     site.wait_ready().await;
     let results = site.all_results(1, "job").await;
-    for n in 0..4 {
-        let id = format!("i{n}");
+    for number in 0..4 {
+        let id = format!("i{number}");
         assert_eq!(result_of(&results, &id)["text"], expected_text(&id, 300));
         assert_eq!(result_of(&results, &id)["score"], format!("signed score-{id}"));
         let runs = site.engine_calls(&id);
@@ -174,18 +175,18 @@
 #[actix_rt::test]
 async fn a_stopping_owner_hands_its_job_over_with_the_partial_texts() {
     let site = EdgeSite::start(3).await;
-    let items: Vec<Value> = (0..4).map(|n| job_item(&format!("i{n}"), 200, true)).collect();
+    let items: Vec<Value> = (0..4).map(|number| job_item(&format!("i{number}"), 200, true)).collect();
     assert_eq!(site.submit_job(0, "job", &job_submission(1, &items)).await.status, 202);
     let owner = wait_for("the job has an owner", || async { job_owner(&site, "job") }).await;
     wait_for("every item runs", || async {
-        (0..4).all(|n| !site.engine_calls(&format!("i{n}")).is_empty()).then_some(())
+        (0..4).all(|number| !site.engine_calls(&format!("i{number}")).is_empty()).then_some(())
     })
     .await;
     actix_rt::time::sleep(Duration::from_millis(400)).await;
     site.edges[owner].process.terminate();
     let results = site.all_results((owner + 1) % 3, "job").await;
-    for n in 0..4 {
-        let id = format!("i{n}");
+    for number in 0..4 {
+        let id = format!("i{number}");
         assert_eq!(result_of(&results, &id)["text"], expected_text(&id, 200));
         let runs = site.engine_calls(&id);
         assert!(
@@ -209,7 +210,7 @@
 
 /// Guards against jobs that are reported as unknown, or run without being stored, while the store is unreachable.
 #[actix_rt::test]
-async fn an_unreachable_store_refuses_jobs_without_running_them_and_serves_requests() {
+async fn jobs_are_refused_and_requests_are_served_while_the_store_is_unreachable() {
     let site = EdgeSite::start(2).await;
     site.store.set_fault(StoreFault { down: true, lose_commits: 0 });
     let job = job_submission(1, &[job_item("a", 3, false)]);
@@ -240,9 +241,9 @@
     let mut site = EdgeSite::without_edges();
     site.write_config(2, &[("rose", crate::support::ROSE_KEY)]);
     let relay = TcpRelay::start(site.store.address).await.expect("start a relay");
-    let store = site.store.address;
+    let store_address = site.store.address;
     site.start_edge(relay.address);
-    site.start_edge(store);
+    site.start_edge(store_address);
     site.wait_ready().await;
     relay.set_rule(RelayRule::Cut);
     let job = job_submission(1, &[job_item("a", 40, false)]);
@@ -260,11 +261,11 @@
 
 /// Guards against a job of nearly one megabyte that is refused, or read back incompletely.
 #[actix_rt::test]
-async fn a_large_job_is_stored_in_several_values() {
+async fn a_job_stored_in_several_values_is_accepted_and_read_back_completely() {
     let site = EdgeSite::start(2).await;
     let items: Vec<Value> = (0..250)
-        .map(|n| {
-            let mut item = job_item(&format!("i{n}"), 1, false);
+        .map(|number| {
+            let mut item = job_item(&format!("i{number}"), 1, false);
             item["body"] = Value::from("QUJD".repeat(900));
             item
         })
--- a/crates/cli/tests/processes/platform_path.rs
+++ b/crates/cli/tests/processes/platform_path.rs
@@ -27,7 +27,7 @@
 }
 
 #[actix_rt::test]
-async fn refused_requests_get_the_status_of_their_fault_and_reach_no_upstream() {
+async fn refused_requests_receive_the_status_of_their_fault_and_reach_no_plain_upstream() {
     let site = EdgeSite::start(1).await;
     let bearer = format!("Bearer {ROSE_KEY}");
     // path, authorization header, status of the refusal
@@ -62,8 +62,8 @@
 #[actix_rt::test]
 async fn an_edge_without_a_configuration_is_not_ready_and_refuses_requests_with_503() {
     let mut site = EdgeSite::without_edges();
-    let store = site.store.address;
-    site.start_edge(store);
+    let store_address = site.store.address;
+    site.start_edge(store_address);
     wait_for("the edge answers its readiness check", || async {
         (site.readiness_status(0).await == 503).then_some(())
     })
@@ -114,7 +114,7 @@
 
 /// Guards against a request on an unsafe route that is sent again, or reported as not run, after its answer was lost.
 #[actix_rt::test]
-async fn an_unsafe_request_whose_answer_is_lost_is_sent_once_and_not_reported_as_not_run() {
+async fn an_unsafe_request_without_a_valid_answer_is_sent_once_and_answered_with_502() {
     let site = EdgeSite::start(1).await;
     for (number, fault) in
         [UpstreamFault::LoseAnswer, UpstreamFault::WrongId, UpstreamFault::Truncate].into_iter().enumerate()
@@ -143,7 +143,7 @@
 }
 
 #[actix_rt::test]
-async fn a_request_past_the_timeout_of_its_route_is_answered_with_504_because_it_may_have_run() {
+async fn a_request_past_the_timeout_of_its_route_is_answered_with_504() {
     let site = EdgeSite::start(1).await;
     site.desks.iter().for_each(|desk| desk.set_faults([UpstreamFault::Hang; 4]));
     assert_eq!(site.send_quote(0, "late").await.status, 504);
@@ -187,7 +187,7 @@
 /// One edge watches the store on behalf of all. Guards against edges that keep an outdated configuration when that edge
 /// is frozen or killed.
 #[actix_rt::test]
-async fn changes_reach_every_edge_after_the_watching_edge_is_frozen_or_killed() {
+async fn changes_reach_the_remaining_edges_after_one_is_frozen_and_one_is_killed() {
     let mut site = EdgeSite::start(4).await;
     // Two edges are lost, one after the other. Whichever edge watches the store, the others must receive the next
     // change.
--- a/crates/cli/tests/processes/reclaim.rs
+++ b/crates/cli/tests/processes/reclaim.rs
@@ -73,11 +73,12 @@
         let (site, key) = (&site, &key);
         async move {
             check_stream(site, key, number).await;
-            let log: Vec<RecordedOrder> =
+            let orders: Vec<RecordedOrder> =
                 site.http.get_json(&format!("http://{}/standin/orders", site.orders_address)).await?;
             let reclaimable_unavailable =
-                log.iter().any(|order| order.request.reclaimable && order.state == OrderState::Unavailable);
-            (reclaimable_unavailable && log.iter().any(|order| order.vm.as_deref() == Some("engine-9"))).then_some(())
+                orders.iter().any(|order| order.request.reclaimable && order.state == OrderState::Unavailable);
+            (reclaimable_unavailable && orders.iter().any(|order| order.vm.as_deref() == Some("engine-9")))
+                .then_some(())
         }
     })
     .await;
--- a/crates/cli/tests/processes/samples.rs
+++ b/crates/cli/tests/processes/samples.rs
@@ -36,28 +36,28 @@
     /// Samples received so far, as the trainer sends them with each fetch.
     cursor: FetchCursor,
     /// Weight version that the trainer published last; 0 before the first.
-    published: u64,
+    published_version: u64,
     /// Samples in the order of their arrival.
     samples: Vec<SampleBody>,
 }
 
 impl Trainer {
     fn new(step: u64) -> Self {
-        Self { step, cursor: FetchCursor::default(), published: 0, samples: Vec::new() }
+        Self { step, cursor: FetchCursor::default(), published_version: 0, samples: Vec::new() }
     }
 
     /// Fetches once from a daemon, at most `max` samples, and opens the step again if its home no longer has it. True
     /// when the step is complete.
-    async fn fetch(&mut self, site: &DaemonSite, daemon: usize, key: &KeySecret, max: usize) -> bool {
-        let fetch = FetchRequest {
+    async fn fetch(&mut self, site: &DaemonSite, daemon: usize, key: &KeySecret, samples_max: usize) -> bool {
+        let request = FetchRequest {
             trainer: "menus".into(),
             step: self.step,
             cursor: self.cursor.clone(),
-            published_version: self.published,
-            samples_max: max,
+            published_version: self.published_version,
+            samples_max,
             wait_ms: 500,
         };
-        let answer = site.send(daemon, "POST", "/v1/steps/fetch", key, &[], &fetch).await;
+        let answer = site.send(daemon, "POST", "/v1/steps/fetch", key, &[], &request).await;
         if answer.error("code") == "step_unknown" {
             open_step(site, daemon, key, self.step).await;
         }
@@ -74,10 +74,10 @@
     }
 
     /// Fetches from each of `daemons` in turn until the step is complete. Panics after 2000 fetches.
-    async fn fetch_all(&mut self, site: &DaemonSite, daemons: &[usize], key: &KeySecret, max: usize) {
+    async fn fetch_all(&mut self, site: &DaemonSite, daemons: &[usize], key: &KeySecret, samples_max: usize) {
         const MAX_FETCHES: usize = 2_000;
         for turn in 0..MAX_FETCHES {
-            if self.fetch(site, daemons[turn % daemons.len()], key, max).await {
+            if self.fetch(site, daemons[turn % daemons.len()], key, samples_max).await {
                 return;
             }
         }
@@ -86,10 +86,10 @@
 
     /// Publishes a weight version, which later fetches report as the last published one.
     async fn publish(&mut self, site: &DaemonSite, daemon: usize, key: &KeySecret, version: u64) {
-        let publish = PublishRequest { service: "drafts".into(), version };
-        let answer = site.send(daemon, "POST", "/v1/weights", key, &[], &publish).await;
+        let request = PublishRequest { service: "drafts".into(), version };
+        let answer = site.send(daemon, "POST", "/v1/weights", key, &[], &request).await;
         assert_eq!(answer.status, 200, "{answer:?}");
-        self.published = version;
+        self.published_version = version;
     }
 }
 
@@ -147,7 +147,7 @@
 /// weights are loaded.
 #[actix_rt::test]
 async fn samples_name_their_true_weight_version_and_respect_the_staleness_bound() {
-    const STALENESS_BOUND: u64 = 2;
+    const STALENESS_BOUND_VERSIONS: u64 = 2;
     let options = SiteOptions {
         engine_flags: vec!["--token-us=2000".to_owned(), "--shortest=24".to_owned()],
         ..SiteOptions::default()
@@ -164,18 +164,18 @@
             trainer.publish(&site, turn % 3, &key, version).await;
         }
         let previous_count = trainer.samples.len();
-        let complete = trainer.fetch(&site, turn % 3, &key, 9).await;
+        let is_complete = trainer.fetch(&site, turn % 3, &key, 9).await;
         for sample in &trainer.samples[previous_count..] {
             check_versions(sample);
             let oldest = sample.segments.iter().map(|segment| segment.version).min().expect("a segment");
             assert!(
-                oldest + STALENESS_BOUND >= trainer.published,
+                oldest + STALENESS_BOUND_VERSIONS >= trainer.published_version,
                 "{sample:?} is older than the bound allows after version {}",
-                trainer.published
+                trainer.published_version
             );
             mixed_samples += usize::from(sample.segments.len() > 1);
         }
-        if complete {
+        if is_complete {
             break;
         }
     }
@@ -196,7 +196,7 @@
 
 /// Guards against a sample that names a single version although the engine changed its weights while generating it.
 #[actix_rt::test]
-async fn a_weight_change_within_a_sample_is_reported_by_its_segments() {
+async fn a_weight_change_within_a_sample_shows_in_its_segments() {
     let site = DaemonSite::start(SiteOptions { engines: vec!["a"], ..SiteOptions::default() }).await;
     let key = site.create_key(0, 1).await;
     site.set_engine_fault(0, EngineFault { swap_after_chunks: Some(2), ..EngineFault::default() }).await;
--- a/crates/cli/tests/processes/support/daemon_site.rs
+++ b/crates/cli/tests/processes/support/daemon_site.rs
@@ -107,8 +107,8 @@
     pub async fn without_daemons(options: SiteOptions) -> Self {
         let workdir = Workdir::new();
         let mut stand_ins = Vec::new();
-        let mut start_stand_in = |kind: &str, flags: &[String]| {
-            let process = spawn_stand_in(&workdir, kind, stand_ins.len(), flags);
+        let mut start_stand_in = |service: &str, flags: &[String]| {
+            let process = spawn_stand_in(&workdir, service, stand_ins.len(), flags);
             let address = process.word_after("127").to_owned();
             stand_ins.push(process);
             format!("127{address}")
@@ -389,8 +389,8 @@
 }
 
 /// Starts a stand-in of `kind`; `number` makes the name of its log file unique.
-fn spawn_stand_in(workdir: &Workdir, kind: &str, number: usize, flags: &[String]) -> ChildProcess {
-    let args = [vec!["standin".to_owned(), kind.to_owned()], flags.to_vec()].concat();
-    let log_path = workdir.path(&format!("{kind}-{number}.log"));
+fn spawn_stand_in(workdir: &Workdir, service: &str, number: usize, flags: &[String]) -> ChildProcess {
+    let args = [vec!["standin".to_owned(), service.to_owned()], flags.to_vec()].concat();
+    let log_path = workdir.path(&format!("{service}-{number}.log"));
     ChildProcess::start(env!("CARGO_BIN_EXE_pimentoslip"), &args, log_path)
 }
--- a/crates/cli/tests/processes/support/edge_site.rs
+++ b/crates/cli/tests/processes/support/edge_site.rs
@@ -81,8 +81,8 @@
         let mut site = Self::without_edges();
         site.write_config(2, &[("rose", ROSE_KEY), ("tray", TRAY_KEY)]);
         for _ in 0..edges {
-            let store = site.store.address;
-            site.start_edge(store);
+            let store_address = site.store.address;
+            site.start_edge(store_address);
         }
         site.wait_ready().await;
         site
@@ -92,7 +92,7 @@
     pub fn without_edges() -> Self {
         let store = PlatformStore::start().expect("start the store");
         let provider = PlatformProvider::start().expect("start the cloud interface");
-        let shape = |id: &str, service: &str, models: &[&str], event_ms| UpstreamSettings {
+        let settings = |id: &str, service: &str, models: &[&str], event_ms| UpstreamSettings {
             id: id.to_owned(),
             service: service.to_owned(),
             failure_domain: "north".to_owned(),
@@ -100,9 +100,9 @@
             models: models.iter().map(ToString::to_string).collect(),
             event_ms,
         };
-        let start_upstream = |shape| PlatformUpstream::start(shape, &store).expect("start an upstream");
-        let desks = ["desk-1", "desk-2"].map(|id| start_upstream(shape(id, "desk", &[], 5)));
-        let engines = ["engine-1", "engine-2"].map(|id| start_upstream(shape(id, "engine", &["verse"], 10)));
+        let start_upstream = |settings| PlatformUpstream::start(settings, &store).expect("start an upstream");
+        let desks = ["desk-1", "desk-2"].map(|id| start_upstream(settings(id, "desk", &[], 5)));
+        let engines = ["engine-1", "engine-2"].map(|id| start_upstream(settings(id, "engine", &["verse"], 10)));
         Self {
             desks: desks.into(),
             engines: engines.into(),
@@ -117,9 +117,9 @@
     pub fn write_config(&self, version: u64, keys: &[(&str, &str)]) {
         let tenants: Vec<Value> =
             keys.iter().map(|(name, key)| json!({ "name": name, "apiKeys": [key], "priority": 1 })).collect();
-        let route = |name: &str, prefix: &str, kind: &str, service: &str| {
+        let route = |name: &str, prefix: &str, route_type: &str, service: &str| {
             json!({
-                "name": name, "host": HOST, "pathPrefix": prefix, "type": kind, "timeoutMs": 1_500,
+                "name": name, "host": HOST, "pathPrefix": prefix, "type": route_type, "timeoutMs": 1_500,
                 "targetLatencyMs": 400, "priority": 1, "service": service, "maxAttempts": 2, "public": name == "score",
                 "runTargetMs": 7_500, "retentionS": 60,
             })
@@ -144,24 +144,24 @@
     }
 
     /// Starts one more edge, which connects to the store at `store`.
-    pub fn start_edge(&mut self, store: SocketAddr) {
+    pub fn start_edge(&mut self, store_address: SocketAddr) {
         // Another test may take a free port after it was chosen and before the edge listens on it.
-        let mut edge = self.try_start_edge(store);
+        let mut edge = self.try_start_edge(store_address);
         while edge.process.failed_to_listen() {
-            edge = self.try_start_edge(store);
+            edge = self.try_start_edge(store_address);
         }
         self.edges.push(edge);
     }
 
     /// Starts the next edge on addresses that are free at the time of the call.
-    fn try_start_edge(&self, store: SocketAddr) -> EdgeProcess {
+    fn try_start_edge(&self, store_address: SocketAddr) -> EdgeProcess {
         let vm = format!("edge-{}", self.edges.len());
         let (frontend_address, readiness_address, control_address) = (free_address(), free_address(), free_address());
         let settings = json!({
             "nodeName": vm, "ip": "127.0.0.1", "zone": "north", "zones": { "north": "land" },
             "listenAddrs": { "frontend": frontend_address, "ready": readiness_address },
             "internalPorts": [control_address.port(), control_address.port()],
-            "platform": { "address": store, "valueBytes": 1_048_576, "minTtlMs": 1000 },
+            "platform": { "address": store_address, "valueBytes": 1_048_576, "minTtlMs": 1000 },
             "cloudApi": { "address": self.provider.address },
             "bounds": { "leaseMs": 1000, "graceS": 8, "reportWindowS": 1, "statusS": 120 },
         });
