--- a/crates/cli/tests/processes/configuration.rs
+++ b/crates/cli/tests/processes/configuration.rs
@@ -82,8 +82,8 @@
     let withdrawn = site.create_key(1, 2).await;
     assert_eq!(site.withdraw_key(0, &withdrawn).await.status, 200);
     site.set_kv_fault(STORE_DOWN).await;
-    // At least eight seconds, well past the staleness bound after which a daemon refuses to use an unconfirmed
-    // configuration.
+    // At least eight seconds: well past the three seconds after which a daemon refuses keyed requests unless the store
+    // or its peers have confirmed its configuration.
     for _ in 0..16 {
         actix_rt::time::sleep(std::time::Duration::from_millis(500)).await;
         for daemon in 0..3 {
@@ -158,10 +158,10 @@
     assert_eq!(answer.status, 202, "{answer:?}");
     let answer: ChangeResponse = answer.json();
     assert!(!answer.accepted && answer.unconfirmed.iter().any(|name| **name == *site.daemons[2].name));
-    // The daemon stays frozen past the staleness bound.
+    // The daemon stays frozen until its configuration is older than three seconds, and must not be used unconfirmed.
     actix_rt::time::sleep(std::time::Duration::from_secs(3)).await;
-    // The daemon resumes, cut off from the store, and must not use its configuration before its peers have confirmed
-    // it.
+    // The daemon resumes without a connection to the store. It must not accept the key before its peers have confirmed
+    // its configuration.
     relay.set_rule(RelayRule::Cut);
     site.daemons[2].process.resume();
     let refused = send_keyed_request(&site, 2, &key).await;
@@ -195,7 +195,7 @@
         .collect();
     let (site, requests) = (&site, &requests);
     let create_key = |number: usize| async move {
-        // As an operator does, this repeats a change until it is accepted.
+        // An operator repeats a change, with the same change id, until it is accepted.
         wait_for("the change is accepted", || async {
             let answer = site.admin_post(number % 3, "keys/create", &requests[number]).await;
             (answer.status == 200).then_some(())
@@ -245,8 +245,8 @@
     }
 }
 
-/// Guards against an empty VM list, as after a restart of the service that publishes it, taken as proof that all other
-/// daemons have ended.
+/// Guards against a daemon that takes an empty VM list, as the publishing service serves after a restart, as proof that
+/// all other daemons have ended.
 #[actix_rt::test]
 async fn a_vm_list_without_the_daemon_itself_is_no_proof_that_its_peers_ended() {
     let (site, key) = site_without_engines().await;
@@ -255,7 +255,7 @@
         site.remove_vm(&daemon.name).await;
     }
     site.set_kv_fault(STORE_DOWN).await;
-    let refused = wait_for("the daemon refuses what it cannot confirm", || async {
+    let refused = wait_for("the daemon refuses keyed requests", || async {
         let answer = send_keyed_request(&site, 0, &key).await;
         (answer.status != 200).then_some(answer)
     })
--- a/crates/cli/tests/processes/duties.rs
+++ b/crates/cli/tests/processes/duties.rs
@@ -41,7 +41,7 @@
     site.http.get_json(&format!("http://{}/standin/reports", site.usage_address)).await.unwrap_or_default()
 }
 
-/// Makes one more VM available to the ordering interface, which the next order starts.
+/// Makes one more VM available to the ordering interface, for the next order to start.
 async fn add_spare(site: &DaemonSite, number: usize) {
     let spare = SpareUpstream {
         name: format!("cards-{number}").into(),
@@ -76,7 +76,8 @@
     .await;
 }
 
-/// Checks that the fencing numbers of the accepted orders never decrease, so that one holder at a time gave them.
+/// Checks that the fencing numbers of the accepted orders never decrease: no order of a previous holder was accepted
+/// after one of its successor.
 fn check_orders(orders: &[RecordedOrder]) {
     let fencing_numbers: Vec<u64> =
         orders.iter().filter(|order| order.state != OrderState::Fenced).map(|order| order.request.fencing).collect();
@@ -99,8 +100,8 @@
     }
 }
 
-/// Freezes the holder of the ordering duty until its lease and the guard time after it have expired, resumes it, and
-/// checks all orders and reports.
+/// Freezes the holder of the ordering duty until its lease has expired and another daemon has acquired it, resumes the
+/// holder, and checks all orders and reports.
 async fn run_with_frozen_holder(checks_fencing: bool) {
     let site = site_with_ordered_service(checks_fencing).await;
     add_spare(&site, 1).await;
@@ -111,7 +112,7 @@
     if checks_fencing {
         wait_started(&site, 2).await;
     } else {
-        // Without fencing, no daemon may order in place of the frozen holder until there is proof that it has ended.
+        // Without fencing, no other daemon may place orders until there is proof that the frozen holder has ended.
         wait_for("a successor waits for proof that the holder has ended", || async {
             for daemon in (0..3).filter(|daemon| *daemon != holder) {
                 let status = site.status(daemon).await?;
@@ -127,7 +128,7 @@
     site.daemons[holder].process.resume();
     add_spare(&site, 3).await;
     if !checks_fencing {
-        // The VM is deleted from the VM list, which proves that the holder has ended.
+        // The deletion of its VM from the VM list counts as proof that the holder has ended.
         site.remove_vm(&site.daemons[holder].name).await;
     }
     wait_started(&site, 3).await;
@@ -135,7 +136,7 @@
     check_reports(&received_reports(&site).await);
 }
 
-/// Guards against a resumed holder whose late orders are accepted besides those of its successor.
+/// Guards against a resumed holder whose late orders are accepted after those of its successor.
 #[actix_rt::test]
 async fn a_resumed_holder_has_no_order_accepted_after_those_of_its_successor() {
     run_with_frozen_holder(true).await;
@@ -148,7 +149,7 @@
 }
 
 /// Kills the holder of the ordering duty twice, each time with lost answers of the key-value store, and checks that
-/// each upstream is ordered once.
+/// three different VMs are started and that all orders and reports are consistent.
 async fn run_with_killed_holders(checks_fencing: bool) {
     let mut site = site_with_ordered_service(checks_fencing).await;
     add_spare(&site, 1).await;
@@ -171,11 +172,14 @@
     check_reports(&received_reports(&site).await);
 }
 
+/// Guards against upstreams that are not ordered any more after the holder of the ordering duty was killed.
 #[actix_rt::test]
 async fn a_killed_holder_has_a_successor_that_orders_with_fencing() {
     run_with_killed_holders(true).await;
 }
 
+/// Guards against upstreams that are not ordered any more after the holder was killed, when the ordering interface does
+/// not check fencing numbers.
 #[actix_rt::test]
 async fn a_killed_holder_has_a_successor_that_orders_without_fencing() {
     run_with_killed_holders(false).await;
@@ -226,14 +230,15 @@
     check_reports(&received_reports(&site).await);
 }
 
-/// Sends a request to a daemon in a task of its own, which returns the status.
+/// Sends a request to a daemon in a task of its own, which returns the HTTP status. The request is slow if the test has
+/// set a fault of the plain service that delays answers.
 fn spawn_slow_request(site: &DaemonSite, daemon: usize, key: &KeySecret) -> JoinHandle<u16> {
     let url = format!("http://{}/services/desk/orders", site.daemons[daemon].public_address);
     let bearer = format!("Bearer {}", key.expose());
     actix_rt::spawn(async move { HttpClient::new().send("GET", &url, &[("authorization", &bearer)], &()).await.status })
 }
 
-/// Waits until exactly `sent` requests are billed.
+/// Waits until exactly `sent_count` requests are billed.
 async fn wait_billed(site: &DaemonSite, sent_count: u64) {
     wait_for("every request is billed", || async {
         (billed_request_count(&received_reports(site).await) == sent_count).then_some(())
--- a/crates/cli/tests/processes/hostile.rs
+++ b/crates/cli/tests/processes/hostile.rs
@@ -149,7 +149,7 @@
 }
 
 /// Guards against access to the peer and administration interfaces with a missing, wrong, empty or repeated secret, or
-/// through the public listener.
+/// through the public listener, and against malformed peer messages that are accepted or crash the daemon.
 #[actix_rt::test]
 async fn peer_and_admin_requests_without_the_right_secret_are_refused() {
     let (site, key) = site_with_key().await;
@@ -311,8 +311,8 @@
     }
 }
 
-/// Guards against a caller that holds a request open forever by sending only part of its body: the daemon's own timeout
-/// refuses the request.
+/// Guards against a caller that keeps a request open forever by sending only part of its body: the daemon refuses the
+/// request after a timeout of its own.
 #[actix_rt::test]
 async fn an_incomplete_body_is_refused_as_not_run() {
     let (site, key) = site_with_key().await;
--- a/crates/cli/tests/processes/leaving.rs
+++ b/crates/cli/tests/processes/leaving.rs
@@ -1,5 +1,5 @@
 //! Tests of planned stops of daemons and of upstreams that leave: running requests are completed, and a leaving
-//! upstream receives no new requests.
+//! upstream runs no new requests.
 
 use super::support::{DaemonSite, HttpClient, OPERATOR_KEY, SiteOptions, run_cli, wait_for};
 use pimentoslip_standin::{EngineFault, PlainFault};
@@ -52,7 +52,7 @@
     assert!(log.contains("event=stopping inflight=0"), "{log}");
 }
 
-/// Guards against duties that stay without a holder after `pimentoslip drain` has stopped a daemon.
+/// Guards against duties that have no holder after `pimentoslip drain` has stopped a daemon.
 #[actix_rt::test]
 async fn a_drained_daemon_stops_and_its_duties_are_taken_over() {
     let options = SiteOptions { daemons: vec!["a", "b"], engines: vec![], ..SiteOptions::default() };
@@ -69,7 +69,8 @@
     .await;
 }
 
-/// Sends `count` requests and returns how many of them the engine `engine` received.
+/// Sends `count` requests to the daemons in turn, checks that all are served and returns how many of them engine
+/// `engine` ran.
 async fn send_and_count_runs(
     site: &DaemonSite,
     key: &pimentoslip_kernel::KeySecret,
@@ -88,9 +89,9 @@
     site.engine_requests(engine).await.len() - count_before
 }
 
-/// Waits until no daemon reports the upstream `name` as live.
+/// Waits until no daemon lists the upstream `name` as live.
 async fn wait_not_live(site: &DaemonSite, name: &str) {
-    wait_for("every daemon reports the upstream as leaving", || async {
+    wait_for("no daemon lists the upstream as live", || async {
         for daemon in 0..site.daemons.len() {
             let status = site.status(daemon).await?;
             let is_live = status.upstreams.iter().any(|upstream| &*upstream.name == name && upstream.state == "live");
@@ -101,18 +102,20 @@
     .await;
 }
 
-/// Guards against new requests to an upstream that reports itself as leaving while the VM list still shows it as live.
+/// Guards against an upstream that stays live after it has reported itself as leaving, because the VM list still shows
+/// it as live, and against requests that fail because of it.
 #[actix_rt::test]
 async fn an_upstream_that_reports_itself_as_leaving_is_not_live_and_runs_no_new_requests() {
     let site = DaemonSite::start(SiteOptions::default()).await;
     let key = site.create_key(0, 1).await;
-    assert!(send_and_count_runs(&site, &key, 0, 30).await > 0, "the engine receives requests while it is live");
-    // The load report says that the engine is leaving; the VM list still shows it as live.
+    assert!(send_and_count_runs(&site, &key, 0, 30).await > 0, "the engine runs requests while it is live");
+    // The load report marks the engine as leaving; the VM list still shows it as live. The engine refuses new requests.
     site.set_engine_fault(0, EngineFault { leaving: true, ..EngineFault::default() }).await;
     wait_not_live(&site, "engine-0").await;
-    assert_eq!(send_and_count_runs(&site, &key, 0, 30).await, 0, "a leaving engine receives no requests");
+    assert_eq!(send_and_count_runs(&site, &key, 0, 30).await, 0, "a leaving engine runs no requests");
 }
 
+/// Guards against new requests to an upstream that the VM list shows as leaving.
 #[actix_rt::test]
 async fn an_upstream_listed_as_leaving_receives_no_new_requests() {
     let site = DaemonSite::start(SiteOptions::default()).await;
--- a/crates/cli/tests/processes/path.rs
+++ b/crates/cli/tests/processes/path.rs
@@ -1,4 +1,4 @@
-//! Test of every kind of request, the duties and the command-line tool against one site of separate processes.
+//! Test of requests, training steps, duties and the command-line tool against one site of separate processes.
 
 use super::support::{DaemonSite, OPERATOR_KEY, SiteOptions, run_cli, wait_for};
 use pimentoslip_kernel::FetchCursor;
@@ -15,7 +15,7 @@
 standing_cents_per_hour = 100
 ";
 
-/// Guards against an interface that does not work between the released binaries, and against a key that reaches an
+/// Guards against an interface that does not work between separate processes, and against an API key that reaches an
 /// engine or a log.
 #[actix_rt::test]
 async fn requests_duties_and_commands_work_across_separate_processes() {
@@ -62,7 +62,8 @@
     check_command_line(&site);
 }
 
-/// Opens a step, fetches its samples from each daemon in turn and checks that each sample is received once.
+/// Publishes weights, opens a step, fetches its samples from each daemon in turn and checks that each sample is
+/// received once and names the initial or the published version.
 async fn check_step(site: &DaemonSite, key: &pimentoslip_kernel::KeySecret) {
     let publish = PublishRequest { service: "drafts".into(), version: 2 };
     let publish_answer = site.send(2, "POST", "/v1/weights", key, &[], &publish).await;
@@ -120,7 +121,7 @@
     }
 }
 
-/// Makes a VM available and waits until it is ordered and requests are routed to it.
+/// Makes a VM available and waits until an order has started it and daemon 0 lists it as an upstream.
 async fn check_order(site: &DaemonSite) {
     let spare = SpareUpstream {
         name: "cards-1".into(),
--- a/crates/cli/tests/processes/platform_duties.rs
+++ b/crates/cli/tests/processes/platform_duties.rs
@@ -1,10 +1,11 @@
 //! Tests of the duties on the users' platform (weight rollout, usage reports, scaling, VM retirement) and of planned
-//! stops: each duty has one holder at a time, which performs each action once.
+//! stops: each duty has one holder at a time, and its actions are not repeated with another outcome.
 
 use crate::support::{EdgeSite, job_item, job_submission, wait_for};
 use std::collections::BTreeMap;
 
-/// Guards against engines that miss or repeat a version, and against two edges that order loads at the same time.
+/// Guards against engines that are not ordered to load a version or are ordered twice, and against two edges that order
+/// loads at the same time.
 #[actix_rt::test]
 async fn each_weight_version_is_ordered_once_at_every_engine_by_a_single_holder() {
     let site = EdgeSite::start(3).await;
@@ -19,17 +20,17 @@
         .await;
     }
     let orders: Vec<_> = site.engines.iter().flat_map(|engine| engine.weight_orders()).collect();
-    assert_eq!(orders.len(), 4, "each engine loads each version once: {orders:?}");
+    assert_eq!(orders.len(), 4, "each engine is ordered once to load each version: {orders:?}");
     assert!(orders.iter().all(|order| order["holder"] == orders[0]["holder"]));
     assert!(orders.iter().all(|order| order["fencingToken"] == orders[0]["fencingToken"]));
     assert!(
         orders.iter().all(|order| order["expected"].is_u64()),
-        "each order states the version accepted before, so that a late order has no effect"
+        "each order states the version that the engine is expected to have, so that a late order has no effect"
     );
 }
 
-/// Guards against usage that is lost, billed twice or reported with different counts when the holder of the reporting
-/// duty is killed.
+/// Guards against requests that are missing from the usage reports, and against usage windows that are reported with
+/// different counts after the holder of the reporting duty was killed.
 #[actix_rt::test]
 async fn usage_windows_are_reported_with_one_set_of_counts_after_the_holder_is_killed() {
     let mut site = EdgeSite::start(3).await;
@@ -100,7 +101,8 @@
     assert_eq!(status, br#"{"state":"completed"}"#);
 }
 
-/// Guards against requests refused while an edge stops, and against an edge that does not start again after a stop.
+/// Guards against a request that is refused while an edge stops, after its readiness check has started to fail, and
+/// against an edge that does not serve after a restart.
 #[actix_rt::test]
 async fn a_stopping_edge_still_serves_and_serves_again_after_a_restart() {
     let mut site = EdgeSite::start(2).await;
--- a/crates/cli/tests/processes/platform_jobs.rs
+++ b/crates/cli/tests/processes/platform_jobs.rs
@@ -1,5 +1,5 @@
 //! Tests of batch jobs on the users' platform: a job is accepted once, each item has one result, and every edge returns
-//! the same results, whichever process, connection or store fails.
+//! the same results, after the failure of a process, a connection or the store.
 
 use crate::support::{EdgeSite, job_item, job_submission, wait_for};
 use pimentoslip_standin::{RelayRule, StoreFault, TcpRelay, UpstreamFault};
@@ -16,8 +16,8 @@
     results.iter().find(|result| result["id"] == id).unwrap_or_else(|| panic!("item {id} has no result: {results:?}"))
 }
 
-/// Index of the edge that owns `job`, according to the logs: the last edge that logged the start of the job. `None`
-/// before the start.
+/// Index of the edge that owns `job`: the highest index of the edges whose log shows a start of the job. `None` before
+/// its start.
 fn job_owner(site: &EdgeSite, job: &str) -> Option<usize> {
     let start_event = format!("event=job_begun job={job} ");
     let mut owners = (0..site.edges.len()).filter(|edge| site.edges[*edge].process.log().contains(&start_event));
@@ -57,7 +57,8 @@
     assert_eq!(site.all_results(1, "job").await, results, "the results of an ended job can still be read");
 }
 
-/// Guards against engines that keep generating text for a job that was ended through an edge which does not own it.
+/// Guards against engines that keep generating text for a job that was ended at another edge than the one that accepted
+/// it.
 #[actix_rt::test]
 async fn ending_a_job_at_a_second_edge_cancels_its_runs() {
     let site = EdgeSite::start(3).await;
@@ -71,7 +72,7 @@
 /// Guards against texts with missing or repeated events when the first run of an item fails.
 #[actix_rt::test]
 async fn texts_are_complete_after_each_fault_of_the_first_run() {
-    // fault of the first run, whether another run resumes after the last event received
+    // Each case: fault of the first run; whether another run resumes after the last event received.
     let cases = [
         (UpstreamFault::CutAfter(2), true),
         (UpstreamFault::CutAtEnd, true),
@@ -99,7 +100,7 @@
 #[actix_rt::test]
 async fn items_are_terminated_only_after_a_permanent_or_repeated_failure() {
     let site = EdgeSite::start(1).await;
-    // item, faults of the engines, faults of the scorers, state of the result
+    // Each case: item; faults of the engines; faults of the scorers; state of the result.
     let cases = [
         ("impossible", vec![UpstreamFault::Status(422)], vec![], "terminated"),
         ("failing", vec![UpstreamFault::Status(500); 4], vec![], "terminated"),
@@ -119,7 +120,7 @@
     }
 }
 
-/// Guards against results that are lost or change their position when another edge takes the job over.
+/// Guards against results that are lost or change their position when another edge takes over the job.
 #[actix_rt::test]
 async fn a_job_whose_owner_is_killed_keeps_its_results_and_completes() {
     let mut site = EdgeSite::start(3).await;
@@ -142,8 +143,8 @@
     }
 }
 
-/// Guards against items that run again from their first event after all edges were killed: the text checkpoints are in
-/// the store.
+/// Guards against items that run again from their first event after all edges were killed, although text checkpoints
+/// are stored.
 #[actix_rt::test]
 async fn items_resume_from_their_text_checkpoints_after_all_edges_are_killed() {
     let mut site = EdgeSite::start(2).await;
@@ -218,11 +219,11 @@
     assert_eq!(
         site.send_job_request(1, "GET", "/pimentoslip/lots/job").await.status,
         503,
-        "without the store no edge can tell whether the job exists"
+        "an edge cannot determine without the store whether the job exists"
     );
     assert_eq!(site.send_quote(0, "still").await.status, 200);
     site.store.set_fault(StoreFault::default());
-    // Each edge reconnects to the store with its next poll; until then it cannot tell whether a job exists.
+    // Each edge reconnects to the store with its next poll; until then it cannot determine whether a job exists.
     wait_for("the edge has reconnected to the store", || async {
         let status = site.send_job_request(1, "GET", "/pimentoslip/lots/job").await.status;
         assert!(status == 503 || status == 404, "{status}");
@@ -259,7 +260,8 @@
     .await;
 }
 
-/// Guards against a job of nearly one megabyte that is refused, or read back incompletely.
+/// Guards against a job that is refused, or read back incompletely, because it does not fit into one stored value. An
+/// edge splits a job into values of at most 700,000 bytes.
 #[actix_rt::test]
 async fn a_job_stored_in_several_values_is_accepted_and_read_back_completely() {
     let site = EdgeSite::start(2).await;
--- a/crates/cli/tests/processes/platform_path.rs
+++ b/crates/cli/tests/processes/platform_path.rs
@@ -30,7 +30,7 @@
 async fn refused_requests_receive_the_status_of_their_fault_and_reach_no_plain_upstream() {
     let site = EdgeSite::start(1).await;
     let bearer = format!("Bearer {ROSE_KEY}");
-    // path, authorization header, status of the refusal
+    // Each case: path; authorization header; status of the refusal.
     let cases = [
         ("/nowhere/x", Some(bearer.as_str()), 404),
         ("/quote/x", None, 401),
@@ -89,7 +89,8 @@
     assert_eq!(site.send_quote(0, "q").await.status, 401);
 }
 
-/// Guards against an idempotent request that fails, or gets the answer to another request, because of one upstream.
+/// Guards against an idempotent request that keeps failing, or receives the answer to another request, because of one
+/// upstream. The caller sends a failed request once more.
 #[actix_rt::test]
 async fn an_idempotent_request_succeeds_after_each_fault_of_one_upstream() {
     let site = EdgeSite::start(1).await;
@@ -107,12 +108,13 @@
         let reply = if reply.status == 200 { reply } else { site.send_quote(0, &id).await };
         assert_eq!((reply.status, reply.body.as_str()), (200, format!("answer to {id}").as_str()), "{fault:?}");
         site.desks[0].set_faults([]);
-        // Requests back off from a failed upstream for a short time.
+        // The edge backs off from a failed upstream for a short time.
         actix_rt::time::sleep(Duration::from_millis(300)).await;
     }
 }
 
-/// Guards against a request on an unsafe route that is sent again, or reported as not run, after its answer was lost.
+/// Guards against a request on an unsafe route that is sent again, or reported as not run (503), after its answer was
+/// lost, truncated or had a wrong id.
 #[actix_rt::test]
 async fn an_unsafe_request_without_a_valid_answer_is_sent_once_and_answered_with_502() {
     let site = EdgeSite::start(1).await;
@@ -142,6 +144,7 @@
     assert!(site.desks.iter().all(|desk| desk.recorded_calls().is_empty()));
 }
 
+/// Guards against a request that is reported as not run (503) although it may have run.
 #[actix_rt::test]
 async fn a_request_past_the_timeout_of_its_route_is_answered_with_504() {
     let site = EdgeSite::start(1).await;
@@ -162,7 +165,8 @@
     assert!(log.contains("event=client_left request_id=left"), "{log}");
 }
 
-/// Guards against requests to upstreams that are leaving, and against malformed entries of the store that stop routing.
+/// Guards against requests to upstreams that are leaving, and against malformed upstream entries in the store that
+/// prevent routing.
 #[actix_rt::test]
 async fn leaving_upstreams_and_malformed_upstream_entries_receive_no_requests() {
     let site = EdgeSite::start(1).await;
@@ -185,12 +189,12 @@
 }
 
 /// One edge watches the store on behalf of all. Guards against edges that keep an outdated configuration when that edge
-/// is frozen or killed.
+/// is lost. The test does not determine which edge watches; it freezes one edge and kills another.
 #[actix_rt::test]
 async fn changes_reach_the_remaining_edges_after_one_is_frozen_and_one_is_killed() {
     let mut site = EdgeSite::start(4).await;
-    // Two edges are lost, one after the other. Whichever edge watches the store, the others must receive the next
-    // change.
+    // After each loss, all edges that remain must receive the next change, whether or not the lost edge watched the
+    // store.
     for (number, lost) in [0, 1].into_iter().enumerate() {
         if number == 0 {
             site.edges[lost].process.freeze();
--- a/crates/cli/tests/processes/reclaim.rs
+++ b/crates/cli/tests/processes/reclaim.rs
@@ -4,7 +4,8 @@
 use pimentoslip_standin::{EngineFault, RecordedOrder, SpareUpstream};
 use pimentoslip_wire::provider::OrderState;
 
-/// Settings of a service with two engines in each failure domain, one of them on a standing VM.
+/// Settings of a service with two engines in each failure domain, at least one of them on a VM that cannot be reclaimed
+/// (a standing VM).
 const ENGINE_SETTINGS: &str = "kind = \"engine\"
 upstreams_per_domain = 2
 standing_per_domain = 1
@@ -21,8 +22,8 @@
     assert!(answer.status == 200 && answer.body.ends_with("data: [DONE]\n\n"), "request {number}: {answer:?}");
 }
 
-/// Guards against requests that fail while a reclaimable VM is taken away, and against a lost VM that is not replaced
-/// by a standing one when no reclaimable ones are available.
+/// Guards against requests that fail while a reclaimable VM is reclaimed, and against a reclaimed VM that is not
+/// replaced by a standing one when no reclaimable ones are available.
 #[actix_rt::test]
 async fn a_reclaimed_upstream_fails_no_request_and_is_replaced_by_a_standing_one() {
     let options = SiteOptions { engines: vec!["a", "a"], ..SiteOptions::default() };
--- a/crates/cli/tests/processes/requests.rs
+++ b/crates/cli/tests/processes/requests.rs
@@ -12,7 +12,7 @@
 use pimentoslip_wire::provider::{VmRole, VmState};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// Path of the plain service that runs an order.
+/// Path of the plain service `desk` to which orders are sent.
 const ORDERS_PATH: &str = "/services/desk/orders";
 
 /// Starts a site of three daemons without engines, and creates an API key.
@@ -66,18 +66,19 @@
 }
 
 /// Sends one order for each byte of an exchange, cuts the connection after that byte, and compares the run state that
-/// the caller receives with what the plain service ran. `rule` cuts after so many bytes, and `passed_bytes` selects the
-/// direction that is counted.
+/// the caller receives with what the plain service ran. `rule` returns the relay rule that cuts after a given
+/// number of bytes, and `passed_bytes` selects the direction, from the caller or to it, whose bytes are counted.
 async fn cut_after_every_byte(rule: fn(usize) -> RelayRule, passed_bytes: fn((usize, usize)) -> usize) {
     let (site, key, relay) = relayed_site().await;
     let passed_before = passed_bytes(relay.forwarded_bytes());
+    // The cut closes the pooled connections, so that each order is sent on a new one, whose bytes are counted from 0.
     relay.set_rule(RelayRule::Cut);
     relay.set_rule(RelayRule::Pass);
     assert_eq!(send_order(&site, 0, &key, 1_000_000, None).await.status, 200);
     let length = passed_bytes(relay.forwarded_bytes()) - passed_before;
     assert!(length > 50, "the exchange has only {length} bytes");
     let (mut not_run_count, mut complete_count) = (0, 0);
-    // Later request ids and order numbers are a few bytes longer than those of the first order.
+    // Later exchanges may be a few bytes longer than the first one, since request ids and run numbers grow.
     for cut in 0..=length + 16 {
         relay.set_rule(RelayRule::Cut);
         relay.set_rule(rule(cut));
@@ -102,7 +103,7 @@
         }
     }
     assert!(complete_count >= 1, "an exchange that is not cut is complete");
-    assert_eq!(not_run_count, 0, "some bytes may have been sent in each exchange");
+    assert_eq!(not_run_count, 0, "each order may have been sent, so none may be reported as not run");
 }
 
 /// Guards against a cut request that runs twice or is reported as not run although it may have run.
@@ -255,8 +256,8 @@
     }
 }
 
-/// Guards against a refused request that is not retried, and against an idempotency key that stays claimed although its
-/// request did not run.
+/// Guards against a refused request that is not retried at the upstream, and against an idempotency key that stays
+/// claimed although its request did not run.
 #[actix_rt::test]
 async fn refused_requests_are_retried_and_reported_as_not_run() {
     let (site, key) = site_without_engines().await;
@@ -305,7 +306,7 @@
     }
 }
 
-/// Guards against the second copy of an answer, left on a reused connection, that reaches the next caller.
+/// Guards against a duplicate answer that stays on a reused connection and is returned to the next caller.
 #[actix_rt::test]
 async fn duplicate_answers_do_not_reach_other_callers() {
     let (site, key) = site_without_engines().await;
--- a/crates/cli/tests/processes/samples.rs
+++ b/crates/cli/tests/processes/samples.rs
@@ -6,9 +6,9 @@
 use pimentoslip_standin::EngineFault;
 use pimentoslip_wire::caller::{FetchRequest, FetchResponse, OpenRequest, PublishRequest, SampleBody};
 
-/// Number of prompts in a step.
+/// Groups of samples in a step, one for each prompt.
 const GROUPS: usize = 8;
-/// Samples for each prompt.
+/// Samples in a group.
 const GROUP_SIZE: usize = 8;
 /// Samples in a step.
 const SAMPLES: usize = GROUPS * GROUP_SIZE;
@@ -33,7 +33,7 @@
 /// Trainer that fetches the samples of one step.
 struct Trainer {
     step: u64,
-    /// Samples received so far, as the trainer sends them with each fetch.
+    /// Positions of the samples received so far, sent with each fetch.
     cursor: FetchCursor,
     /// Weight version that the trainer published last; 0 before the first.
     published_version: u64,
@@ -46,8 +46,8 @@
         Self { step, cursor: FetchCursor::default(), published_version: 0, samples: Vec::new() }
     }
 
-    /// Fetches once from a daemon, at most `max` samples, and opens the step again if its home no longer has it. True
-    /// when the step is complete.
+    /// Fetches at most `samples_max` samples from a daemon, and opens the step again if its home no longer has it.
+    /// Returns whether the step is complete.
     async fn fetch(&mut self, site: &DaemonSite, daemon: usize, key: &KeySecret, samples_max: usize) -> bool {
         let request = FetchRequest {
             trainer: "menus".into(),
@@ -73,7 +73,8 @@
         answer.complete
     }
 
-    /// Fetches from each of `daemons` in turn until the step is complete. Panics after 2000 fetches.
+    /// Fetches at most `samples_max` samples at a time from each of `daemons` in turn until the step is complete.
+    /// Panics after 2000 fetches.
     async fn fetch_all(&mut self, site: &DaemonSite, daemons: &[usize], key: &KeySecret, samples_max: usize) {
         const MAX_FETCHES: usize = 2_000;
         for turn in 0..MAX_FETCHES {
@@ -120,8 +121,8 @@
     }
 }
 
-/// Guards against samples that are delivered twice because a frozen home resumes after another daemon took its step
-/// over.
+/// Guards against samples that are delivered twice because a frozen home resumes after another daemon has taken over
+/// its step.
 #[actix_rt::test]
 async fn a_resumed_home_and_its_successor_deliver_each_sample_once() {
     let site = DaemonSite::start(SiteOptions::default()).await;
@@ -147,6 +148,7 @@
 /// weights are loaded.
 #[actix_rt::test]
 async fn samples_name_their_true_weight_version_and_respect_the_staleness_bound() {
+    // `staleness_bound` of the base configuration.
     const STALENESS_BOUND_VERSIONS: u64 = 2;
     let options = SiteOptions {
         engine_flags: vec!["--token-us=2000".to_owned(), "--shortest=24".to_owned()],
--- a/crates/cli/tests/processes/support/child_process.rs
+++ b/crates/cli/tests/processes/support/child_process.rs
@@ -16,7 +16,7 @@
 /// Number of the next working directory; together with the process id it makes a unique name.
 static NEXT_WORKDIR: AtomicU64 = AtomicU64::new(0);
 
-/// Working directory of one test, deleted when the test ends. A test that panics leaves it in place, with its logs.
+/// Working directory of one test, deleted when the test ends. It is kept, with its logs, if the test panics.
 pub struct Workdir {
     path: PathBuf,
 }
@@ -93,7 +93,8 @@
         Self { child: command.spawn().expect("start the process"), first_line: String::new(), log_path }
     }
 
-    /// Rest of the last word in the first line that starts with `label`, without the label; empty if no word does.
+    /// Text after `label` in the last word of [`ChildProcess::first_line`] that starts with `label`; empty if no word
+    /// does.
     pub fn word_after(&self, label: &str) -> String {
         let words = self.first_line.split_whitespace();
         words.filter_map(|word| word.strip_prefix(label)).next_back().unwrap_or_default().to_owned()
--- a/crates/cli/tests/processes/support/daemon_site.rs
+++ b/crates/cli/tests/processes/support/daemon_site.rs
@@ -30,7 +30,7 @@
     pub engine_flags: Vec<String>,
     /// Additional command-line flags of every daemon, as `--flag=value`.
     pub daemon_flags: Vec<String>,
-    /// Whether the stand-ins for the VM ordering and usage interfaces reject requests with an outdated fencing number.
+    /// Whether the stand-ins that accept VM orders and usage reports reject an outdated fencing number.
     pub checks_fencing: bool,
     /// Base configuration in TOML, applied by [`DaemonSite::start`].
     pub base_config: String,
@@ -75,15 +75,15 @@
     pub desk_address: String,
     /// Address of the key-value store.
     pub kv_address: String,
-    /// Address of the interface that takes orders for VMs.
+    /// Address of the interface that accepts orders for VMs.
     pub orders_address: String,
-    /// Address of the interface that takes usage reports.
+    /// Address of the interface that accepts usage reports.
     pub usage_address: String,
     /// Address of the service that publishes the VM list.
     pub vms_address: String,
     /// HTTP client shared by the methods of the site.
     pub http: HttpClient,
-    /// Options that the site was started with; later starts of processes use them too.
+    /// Options that the site was started with. Processes that are started later use them too.
     pub options: SiteOptions,
     /// Stand-ins other than engines, kept because dropping one kills its process.
     _stand_ins: Vec<ChildProcess>,
@@ -109,6 +109,7 @@
         let mut stand_ins = Vec::new();
         let mut start_stand_in = |service: &str, flags: &[String]| {
             let process = spawn_stand_in(&workdir, service, stand_ins.len(), flags);
+            // The first line of a stand-in ends with its address, 127.0.0.1 and a port.
             let address = process.word_after("127").to_owned();
             stand_ins.push(process);
             format!("127{address}")
@@ -260,7 +261,8 @@
         self.http.delete(&format!("http://{}/v1/vms/{name}", self.vms_address)).await;
     }
 
-    /// Applies the base configuration with `pimentoslip apply` and returns what the command printed.
+    /// Applies the base configuration of the options through daemon 0 with `pimentoslip apply`, and returns the
+    /// standard output of the command.
     pub async fn apply_config(&self) -> String {
         let config_path = self.workdir.write("base.toml", &self.options.base_config);
         let control_address = self.daemons[0].control_address.clone();
@@ -329,7 +331,7 @@
         secret
     }
 
-    /// Withdraws an API key through daemon `daemon`.
+    /// Withdraws an API key of [`KEY_ORGANISATION`] through daemon `daemon`.
     pub async fn withdraw_key(&self, daemon: usize, secret: &KeySecret) -> HttpAnswer {
         let request = KeyRequest {
             change_id: format!("withdraw-{}", secret.id).into(),
@@ -357,27 +359,29 @@
         self.http.send(method, &url, &headers, body).await
     }
 
-    /// Requests that the upstream of the plain service `desk` has run.
+    /// Requests that the upstream of the plain service `desk` has run, in order. Requests that it refused are not
+    /// listed.
     pub async fn desk_requests(&self) -> Vec<RecordedRequest> {
         self.http.get_json(&format!("http://{}/standin/seen", self.desk_address)).await.unwrap_or_default()
     }
 
-    /// Requests that engine `engine` has received.
+    /// Completion requests that engine `engine` has run, in order. It does not list requests that it refused as
+    /// malformed or because it is leaving, nor one that crashed it.
     pub async fn engine_requests(&self, engine: usize) -> Vec<RecordedRequest> {
         self.http.get_json(&format!("http://{}/standin/seen", self.engines[engine].1)).await.unwrap_or_default()
     }
 
-    /// Sets the faults that the key-value store shows from now on.
+    /// Sets the faults that the stand-in for the key-value store simulates from now on.
     pub async fn set_kv_fault(&self, fault: KvFault) {
         self.http.put_json(&format!("http://{}/standin/fault", self.kv_address), &fault).await;
     }
 
-    /// Sets the faults that the upstream of the plain service shows from now on.
+    /// Sets the faults that the upstream of the plain service `desk` simulates from now on.
     pub async fn set_desk_fault(&self, fault: PlainFault) {
         self.http.put_json(&format!("http://{}/standin/fault", self.desk_address), &fault).await;
     }
 
-    /// Sets the faults that engine `engine` shows from now on.
+    /// Sets the faults that engine `engine` simulates from now on.
     pub async fn set_engine_fault(&self, engine: usize, fault: EngineFault) {
         self.http.put_json(&format!("http://{}/standin/fault", self.engines[engine].1), &fault).await;
     }
@@ -388,7 +392,8 @@
     }
 }
 
-/// Starts a stand-in of `kind`; `number` makes the name of its log file unique.
+/// Starts the stand-in that `pimentoslip standin` names `service`, such as `kv`; `number` makes the name of its log
+/// file unique.
 fn spawn_stand_in(workdir: &Workdir, service: &str, number: usize, flags: &[String]) -> ChildProcess {
     let args = [vec!["standin".to_owned(), service.to_owned()], flags.to_vec()].concat();
     let log_path = workdir.path(&format!("{service}-{number}.log"));
--- a/crates/cli/tests/processes/support/edge_site.rs
+++ b/crates/cli/tests/processes/support/edge_site.rs
@@ -1,5 +1,5 @@
-//! A site on the users' platform for tests: edge daemons as child processes, everything that they use as stand-ins
-//! inside the test process.
+//! A site on the users' platform for tests: edge daemons as child processes, and a stand-in inside the test process for
+//! each service that they use.
 
 use super::{ChildProcess, Workdir, wait_for};
 use awc::{Client, http::Method};
@@ -53,11 +53,11 @@
     settings_path: String,
 }
 
-/// Site of edges, with a stand-in for everything of the users' platform that they use.
+/// Site of edges, with a stand-in for each service of the users' platform that they use.
 pub struct EdgeSite {
     /// Key-value store.
     pub store: PlatformStore,
-    /// Cloud interface, which takes usage reports and orders for VMs.
+    /// Cloud interface, which accepts usage reports and orders for VMs.
     pub provider: PlatformProvider,
     /// Upstreams of the plain service `desk`.
     pub desks: Vec<PlatformUpstream>,
@@ -76,7 +76,8 @@
 }
 
 impl EdgeSite {
-    /// Starts the stand-ins, a configuration with two organisations and `edges` edges, and waits until they are ready.
+    /// Starts the stand-ins, stores a configuration with two organisations, starts `edges` edges and waits until they
+    /// are ready.
     pub async fn start(edges: usize) -> Self {
         let mut site = Self::without_edges();
         site.write_config(2, &[("rose", ROSE_KEY), ("tray", TRAY_KEY)]);
@@ -143,7 +144,7 @@
         self.store.put("op/config", &config);
     }
 
-    /// Starts one more edge, which connects to the store at `store`.
+    /// Starts one more edge, which connects to the store at `store_address`.
     pub fn start_edge(&mut self, store_address: SocketAddr) {
         // Another test may take a free port after it was chosen and before the edge listens on it.
         let mut edge = self.try_start_edge(store_address);
@@ -200,7 +201,7 @@
             (self.store.contents().range("p/w/vm/", "").len() == edge_count).then_some(())
         })
         .await;
-        // Each edge receives the entries of the others with its next watch of the store.
+        // Each edge receives the entries of the other edges from its next watch of the store.
         actix_rt::time::sleep(Duration::from_millis(700)).await;
     }
 
@@ -249,8 +250,8 @@
         self.send(edge, method, path, &headers, "").await
     }
 
-    /// All results of a job, read page by page from `edge`. Returns when every item of the job has a result, and does
-    /// not time out.
+    /// All results of a job, read page by page from `edge`. Waits without a time limit until every item of the job has
+    /// a result.
     pub async fn all_results(&self, edge: usize, job: &str) -> Vec<Value> {
         let mut results: Vec<Value> = Vec::new();
         loop {
--- a/crates/cli/tests/processes/support/http_client.rs
+++ b/crates/cli/tests/processes/support/http_client.rs
@@ -7,7 +7,7 @@
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
 const ANSWER_BODY_MAX_BYTES: usize = 64 << 20;
 
-/// HTTP answer, or the error that kept it from being complete.
+/// Complete HTTP answer, or the transport error of the request.
 #[derive(Clone, Debug)]
 pub struct HttpAnswer {
     /// HTTP status; 0 if no complete answer was received.
@@ -24,7 +24,7 @@
         serde_json::from_str(&self.body).unwrap_or_else(|error| panic!("{error} in {self:?}"))
     }
 
-    /// Field of the `error` object in the body of a refusal; empty if it is missing.
+    /// Text of the field `field` in the `error` object of a refusal; empty if it is missing.
     pub fn error(&self, field: &str) -> String {
         let body: serde_json::Value = serde_json::from_str(&self.body).unwrap_or_default();
         body["error"][field].as_str().unwrap_or_default().to_owned()
@@ -74,7 +74,7 @@
         serde_json::from_slice(&body).ok()
     }
 
-    /// Puts `body` as JSON to `url`. Panics unless the answer has a status of success.
+    /// Sends a PUT request with `body` as JSON to `url`. Panics unless the answer has a success status.
     pub async fn put_json<Q: Serialize>(&self, url: &str, body: &Q) {
         let answer = self.client.put(url).send_json(body).await.expect("send a PUT request");
         assert!(answer.status().is_success(), "PUT {url} was refused with status {}", answer.status());
--- a/crates/cli/tests/processes/support/mod.rs
+++ b/crates/cli/tests/processes/support/mod.rs
@@ -13,7 +13,7 @@
 use std::{future::Future, time::Duration};
 
 /// Calls `probe` repeatedly until it returns a value, and returns that value. Panics with `what`, the awaited
-/// condition, after 90 seconds of waiting; the limit is only there to end a test that would hang.
+/// condition, after 90 seconds; the limit only ends a test that would otherwise hang.
 pub async fn wait_for<T, F: Future<Output = Option<T>>>(what: &str, mut probe: impl FnMut() -> F) -> T {
     const TIMEOUT: Duration = Duration::from_secs(90);
     const POLL_INTERVAL: Duration = Duration::from_millis(25);
