--- a/crates/cli/tests/processes/samples.rs
+++ b/crates/cli/tests/processes/samples.rs
@@ -1,5 +1,5 @@
 //! Tests of training steps under killed and frozen daemons, lost answers, and engines that change their weights or send
-//! invalid streams. The home of a step is the daemon that runs it.
+//! invalid streams. The owner of a step is the daemon that runs it.
 
 use super::support::{DaemonSite, HttpAnswer, SiteOptions, wait_for};
 use pimentoslip_kernel::{FetchCursor, KeySecret, highest_ranked};
@@ -46,7 +46,7 @@
         Self { step, cursor: FetchCursor::default(), published: 0, samples: Vec::new() }
     }
 
-    /// Fetches once from a daemon, at most `max` samples, and opens the step again if its home no longer has it. True
+    /// Fetches once from a daemon, at most `max` samples, and opens the step again if its owner no longer has it. True
     /// when the step is complete.
     async fn fetch(&mut self, site: &DaemonSite, daemon: usize, key: &KeySecret, max: usize) -> bool {
         let fetch = FetchRequest {
@@ -93,53 +93,53 @@
     }
 }
 
-/// Index of the daemon that is the home of step `step`.
-fn home_index(site: &DaemonSite, step: u64) -> usize {
+/// Index of the daemon that owns step `step`.
+fn owner_index(site: &DaemonSite, step: u64) -> usize {
     let names: Vec<String> = site.daemons.iter().map(|daemon| daemon.name.clone()).collect();
-    let home = highest_ranked(&format!("step/velorio/menus/{step}"), &names).expect("a highest ranked daemon");
-    names.iter().position(|name| name == home).expect("the index of the home")
+    let owner = highest_ranked(&format!("step/velorio/menus/{step}"), &names).expect("a highest ranked daemon");
+    names.iter().position(|name| name == owner).expect("the index of the owner")
 }
 
-/// Guards against samples that are lost or delivered twice when the home of a step is killed and restarted.
+/// Guards against samples that are lost or delivered twice when the owner of a step is killed and restarted.
 #[actix_rt::test]
-async fn a_step_is_completed_after_its_home_is_killed() {
+async fn a_step_is_completed_after_its_owner_is_killed() {
     let mut site = DaemonSite::start(SiteOptions::default()).await;
     let key = site.create_key(0, 1).await;
     for step in 1..=2 {
         let mut trainer = Trainer::new(step);
-        let home = home_index(&site, step);
-        let entry = (home + 1) % 3;
+        let owner = owner_index(&site, step);
+        let entry = (owner + 1) % 3;
         assert_eq!(open_step(&site, entry, &key, step).await.status, 200);
         while trainer.samples.len() < SAMPLES / 4 {
             trainer.fetch(&site, entry, &key, 5).await;
         }
-        site.restart_daemon(home).await;
+        site.restart_daemon(owner).await;
         trainer.fetch_all(&site, &[entry], &key, 7).await;
         assert_eq!(trainer.samples.len(), SAMPLES);
         site.wait_ready().await;
     }
 }
 
-/// Guards against samples that are delivered twice because a frozen home resumes after another daemon took its step
+/// Guards against samples that are delivered twice because a frozen owner resumes after another daemon took its step
 /// over.
 #[actix_rt::test]
-async fn a_resumed_home_and_its_successor_deliver_each_sample_once() {
+async fn a_resumed_owner_and_its_successor_deliver_each_sample_once() {
     let site = DaemonSite::start(SiteOptions::default()).await;
     let key = site.create_key(0, 1).await;
     let mut trainer = Trainer::new(1);
-    let home = home_index(&site, 1);
-    let (entry, other_daemon) = ((home + 1) % 3, (home + 2) % 3);
+    let owner = owner_index(&site, 1);
+    let (entry, other_daemon) = ((owner + 1) % 3, (owner + 2) % 3);
     open_step(&site, entry, &key, 1).await;
     while trainer.samples.len() < SAMPLES / 4 {
         trainer.fetch(&site, entry, &key, 5).await;
     }
-    site.daemons[home].process.freeze();
+    site.daemons[owner].process.freeze();
     while trainer.samples.len() < SAMPLES / 2 {
         trainer.fetch(&site, other_daemon, &key, 3).await;
     }
-    // The first home resumes and still holds its samples.
-    site.daemons[home].process.resume();
-    trainer.fetch_all(&site, &[home, entry, other_daemon], &key, 3).await;
+    // The first owner resumes and still holds its samples.
+    site.daemons[owner].process.resume();
+    trainer.fetch_all(&site, &[owner, entry, other_daemon], &key, 3).await;
     assert_eq!(trainer.samples.len(), SAMPLES);
 }
 
--- a/crates/daemon/src/claim/claim_client.rs
+++ b/crates/daemon/src/claim/claim_client.rs
@@ -99,7 +99,7 @@
     fn owner(&self, key: &str) -> Option<(SharedName, Option<SharedName>)> {
         let members = self.shared.members();
         let name = shard_owner(shard_of(key), &members.active_names())?;
-        let control_address = members.get(&name).map(|member| member.control.clone());
+        let control_address = members.get(&name).map(|member| member.control_address.clone());
         Some((name, control_address))
     }
 
--- a/crates/daemon/src/step/step_client.rs
+++ b/crates/daemon/src/step/step_client.rs
@@ -92,7 +92,7 @@
         let control_address = {
             let members = self.shared.members();
             let owner = pimentoslip_kernel::highest_ranked(&format!("step/{key}"), &members.active_names()).cloned();
-            owner.and_then(|owner| members.get(&owner).map(|member| member.control.clone()))
+            owner.and_then(|owner| members.get(&owner).map(|member| member.control_address.clone()))
         };
         let Some(control_address) = control_address else { return Ok(self.serve_locally(request).await) };
         self.peer_client.call(&control_address, "/peer/forward", &request, timeout_ms).await.map_err(|error| {
--- a/crates/daemon/src/task/exchange_task.rs
+++ b/crates/daemon/src/task/exchange_task.rs
@@ -78,11 +78,11 @@
         let listed_daemons = self.shared.listed_daemons.lock().unwrap_or_else(PoisonError::into_inner).clone();
         let mut members = self.shared.members();
         let mut exchange_peers: BTreeMap<SharedName, SharedName> =
-            members.next_exchange_peers().into_iter().map(|member| (member.name, member.control)).collect();
+            members.next_exchange_peers().into_iter().map(|member| (member.name, member.control_address)).collect();
         for (name, control_address) in listed_daemons {
             let is_seen = members
                 .get(&name)
-                .is_some_and(|member| member.control == control_address && !member.control.is_empty());
+                .is_some_and(|member| member.control_address == control_address && !member.control_address.is_empty());
             if name != self.shared.settings.name && !is_seen {
                 exchange_peers.insert(name, control_address);
             }
@@ -246,7 +246,7 @@
     let targets: Vec<PeerAddress> = shared
         .members()
         .possibly_running_entries()
-        .map(|member| (member.name.clone(), member.control.clone()))
+        .map(|member| (member.name.clone(), member.control_address.clone()))
         .collect();
     let exchange_results =
         join_all(targets.iter().map(|peer| exchange(shared, peer_client, peer, records.clone()))).await;
--- a/crates/daemon/src/task/usage_task.rs
+++ b/crates/daemon/src/task/usage_task.rs
@@ -81,7 +81,7 @@
         let own_lines = self.shared.usage_totals().into_iter().map(TotalsLine::from).map(UsageLine::from).collect();
         self.totals.insert(self.shared.process_name(), own_lines);
         let control_addresses: Vec<SharedName> =
-            self.shared.members().possibly_running_entries().map(|member| member.control.clone()).collect();
+            self.shared.members().possibly_running_entries().map(|member| member.control_address.clone()).collect();
         let calls = control_addresses.iter().map(|control_address| {
             self.peer_client.call::<_, TotalsResponse>(control_address, "/peer/totals", &(), TOTALS_TIMEOUT_MS)
         });
--- a/crates/edge/src/duty/duty_task.rs
+++ b/crates/edge/src/duty/duty_task.rs
@@ -1,6 +1,6 @@
 //! Acquires the duty when no daemon holds it, and performs its work while this daemon is the holder.
 
-use super::{load_duty::LoadDuty, retire_duty::RetireDuty, size_duty::SizeDuty, usage_duty::UsageDuty};
+use super::{load_duty::LoadDuty, retire_duty::RetireDuty, scaling_duty::ScalingDuty, usage_duty::UsageDuty};
 use crate::{edge_metrics::EdgeMetrics, edge_state::EdgeState, store::StoreAccess};
 use awc::Client;
 use pimentoslip_kernel::{DutyHistory, DutyTerm, LeaseStatus, TimePoint, fingerprint};
@@ -30,7 +30,7 @@
     let term: SharedTerm = Rc::default();
     let mut load_duty = LoadDuty::new(state.clone(), upstream_client, term.clone());
     let mut usage_duty = UsageDuty::new(state.clone(), store.clone(), term.clone());
-    let mut size_duty = SizeDuty::new(state.clone(), store.clone(), term.clone());
+    let mut scaling_duty = ScalingDuty::new(state.clone(), store.clone(), term.clone());
     let mut retire_duty = RetireDuty::new(state.clone(), store.clone());
     let mut vacant_since: Option<TimePoint> = None;
     while !state.is_draining() {
@@ -38,7 +38,7 @@
         let now = state.now();
         if refresh_term(&state, &term) {
             load_duty.tick();
-            size_duty.tick().await;
+            scaling_duty.tick().await;
             usage_duty.tick().await;
             retire_duty.tick().await;
             vacant_since = None;
--- a/crates/edge/src/duty/mod.rs
+++ b/crates/edge/src/duty/mod.rs
@@ -1,11 +1,11 @@
-//! Work of the one daemon that holds the duty: loads of weights, sizing of services, usage reports and retired VMs; and
+//! Work of the one daemon that holds the duty: loads of weights, scaling of services, usage reports and retired VMs; and
 //! the tasks by which all daemons report to the holder.
 
 mod duty_task;
 mod load_duty;
 mod retire_duty;
 mod run_report_task;
-mod size_duty;
+mod scaling_duty;
 mod usage_collector;
 mod usage_count_task;
 mod usage_duty;
--- a/crates/edge/src/duty/size_duty.rs
+++ b/crates/edge/src/duty/scaling_duty.rs
@@ -15,19 +15,19 @@
 const NONE_AVAILABLE_STATUS: u16 = 409;
 
 /// Plans the number of upstreams of every service that has a scaling rule, and sends the orders for them.
-pub struct SizeDuty {
+pub struct ScalingDuty {
     state: Arc<EdgeState>,
     /// Client for orders to the platform; `None` if its address is not configured.
     provider: Option<DutyClient>,
     term: SharedTerm,
     store: StoreAccess,
     /// Services with a scaling rule, by name.
-    services: BTreeMap<SharedName, SizedService>,
+    services: BTreeMap<SharedName, ScaledService>,
 }
 
 /// Plan and floor of one service.
 #[derive(Debug, Default)]
-struct SizedService {
+struct ScaledService {
     /// Computes the due orders, and backs off after an order before it repeats it.
     planner: ScalingPlanner,
     /// Number of standing upstreams, which the platform may not reclaim, that are kept in each failure domain. `None`
@@ -35,29 +35,29 @@
     floor: Option<BTreeMap<SharedName, u64>>,
 }
 
-impl SizeDuty {
-    /// Creates the size duty, which sends orders while `term` allows it.
+impl ScalingDuty {
+    /// Creates the scaling duty, which sends orders while `term` allows it.
     #[must_use]
     pub fn new(state: Arc<EdgeState>, store: StoreAccess, term: SharedTerm) -> Self {
         let provider = state.settings.provider_address.map(DutyClient::new);
         Self { state, provider, term, store, services: BTreeMap::new() }
     }
 
-    /// Plans the sizes of all services with a scaling rule, and sends the due orders.
+    /// Plans the number of upstreams of all services with a scaling rule, and sends the due orders.
     pub async fn tick(&mut self) {
         let (Some(provider), Some(config)) = (self.provider.clone(), self.state.config()) else { return };
         for service in config.services.values() {
             let Some(rule) = &service.scaling else { continue };
             let upstreams = self.upstreams(&service.name);
             let demand = self.demand(&service.name);
-            let sized_service = self.services.entry(service.name.clone()).or_default();
-            if sized_service.floor.is_none() && demand > 0 {
-                sized_service.floor = read_or_store_floor(&self.store, &service.name, &upstreams).await;
+            let scaled_service = self.services.entry(service.name.clone()).or_default();
+            if scaled_service.floor.is_none() && demand > 0 {
+                scaled_service.floor = read_or_store_floor(&self.store, &service.name, &upstreams).await;
             }
-            let Some(floor) = &sized_service.floor else { continue };
-            for order in sized_service.planner.plan(rule, &upstreams, floor, demand, self.state.now()) {
+            let Some(floor) = &scaled_service.floor else { continue };
+            for order in scaled_service.planner.plan(rule, &upstreams, floor, demand, self.state.now()) {
                 let outcome = send_order(&self.state, &provider, &self.term, &service.name, &order, demand).await;
-                sized_service.planner.order_answered(&order, outcome, rule.startup_ms, self.state.now());
+                scaled_service.planner.order_answered(&order, outcome, rule.startup_ms, self.state.now());
             }
         }
     }
--- a/crates/edge/src/duty/usage_count_task.rs
+++ b/crates/edge/src/duty/usage_count_task.rs
@@ -52,7 +52,7 @@
 async fn send_to_collector(state: &EdgeState, peer_client: &PeerClient, push: &UsagePush) -> bool {
     let collector = {
         let ownership = state.ownership();
-        ownership.region_watcher(&state.settings.region).map(|(_, presence)| presence.control.clone())
+        ownership.region_watcher(&state.settings.region).map(|(_, presence)| presence.control_address.clone())
     };
     let own_control_address = || state.settings.control_address.map(|address| address.to_string().into());
     let Some(control_address) = collector.or_else(own_control_address) else { return false };
--- a/crates/edge/src/job/job_writer.rs
+++ b/crates/edge/src/job/job_writer.rs
@@ -160,7 +160,7 @@
         ownership.owner_recorded(job.id.clone(), owner_record, now);
     }
     let push = job.push_message(&owner, revision, None);
-    actix_rt::spawn(push_job(parts.upstream_client.clone(), owner.presence.control, push));
+    actix_rt::spawn(push_job(parts.upstream_client.clone(), owner.presence.control_address, push));
 }
 
 /// Sends a job to its owner. If that fails, the owner reads the job from the store.
@@ -189,7 +189,7 @@
     match parts.store.commit(&commit).await {
         Ok(CommitOutcome::Committed(revision)) => {
             let push = job.push_message(&owner, revision, Some(ledger));
-            push_job(parts.upstream_client.clone(), owner.presence.control, push).await;
+            push_job(parts.upstream_client.clone(), owner.presence.control_address, push).await;
         }
         Ok(CommitOutcome::Conflict(_)) => LogLine::new("job_not_handed_over")
             .field("job", &job.id)
--- a/crates/edge/src/job/owner_read.rs
+++ b/crates/edge/src/job/owner_read.rs
@@ -111,5 +111,5 @@
     let owner = ownership.owner(job)?;
     let presence = ownership.daemon(&owner.daemon)?;
     let is_present = presence.incarnation == owner.incarnation && !ownership.is_owned_here(job);
-    is_present.then(|| presence.control.clone())
+    is_present.then(|| presence.control_address.clone())
 }
--- a/crates/edge/src/store/change_feed.rs
+++ b/crates/edge/src/store/change_feed.rs
@@ -111,7 +111,7 @@
             sources.into_iter().filter(|(daemon, _)| backoff_until.get(*daemon).is_none_or(|until| *until <= now));
         let watch_source = |(daemon, presence): (&SharedName, &pimentoslip_kernel::DaemonPresence)| WatchSource {
             daemon: daemon.clone(),
-            control_address: presence.control.clone(),
+            control_address: presence.control_address.clone(),
             watches_region: Some(daemon) == region_watcher.as_ref(),
         };
         available.map(watch_source).collect()
--- a/crates/edge/src/store/coordination_keys.rs
+++ b/crates/edge/src/store/coordination_keys.rs
@@ -48,8 +48,8 @@
         } else if let Some(daemon) = KeyLayout::parse_presence_key(&store_entry.key) {
             match decode::<PresenceEntry>(&store_entry.value) {
                 Ok(entry) => {
-                    let PresenceEntry { incarnation, lease, control_address: control, failure_domain, region } = entry;
-                    let presence = DaemonPresence { incarnation, lease, control, failure_domain, region };
+                    let PresenceEntry { incarnation, lease, control_address, failure_domain, region } = entry;
+                    let presence = DaemonPresence { incarnation, lease, control_address, failure_domain, region };
                     self.state.ownership().daemon_joined(daemon.into(), presence);
                 }
                 Err(error) => log_unreadable(store_entry, &error),
--- a/crates/edge/src/store/store_access.rs
+++ b/crates/edge/src/store/store_access.rs
@@ -65,7 +65,7 @@
 
     /// A client whose calls are relayed through `peer`; `None` if the peer has no usable control address.
     fn relay_client(&self, peer: &SharedName) -> Option<StoreClient> {
-        let control_address = self.state.ownership().daemon(peer)?.control.clone();
+        let control_address = self.state.ownership().daemon(peer)?.control_address.clone();
         let address = control_address.parse::<SocketAddr>().ok()?;
         let mut relay_clients = self.relay_clients.borrow_mut();
         let client = relay_clients
--- a/crates/kernel/src/lease_holder.rs
+++ b/crates/kernel/src/lease_holder.rs
@@ -7,7 +7,7 @@
 const LEASE_TTL_MS: u64 = 6_000;
 /// Time before the end of the lease at which the holder stops acting, so that its last messages arrive before a
 /// successor acts. A successor waits as long after a previous holder is proved to have ended.
-const GUARD_MS: u64 = 2_000;
+const LEASE_GUARD_MS: u64 = 2_000;
 /// Time between renewals of the lease.
 const RENEW_AFTER_MS: u64 = 1_500;
 
@@ -95,14 +95,16 @@
             return;
         }
         self.highest_fencing = fencing;
-        let deadline = requested_at.plus_ms(LEASE_TTL_MS - GUARD_MS);
+        let deadline = requested_at.plus_ms(LEASE_TTL_MS - LEASE_GUARD_MS);
         self.renew_at = requested_at.plus_ms(RENEW_AFTER_MS);
         self.state = match evidence {
             HolderEvidence::Clear => LeaseState::Held { fencing, deadline },
             HolderEvidence::Ended | HolderEvidence::Silent if self.receiver_checks_fencing => {
                 LeaseState::Held { fencing, deadline }
             }
-            HolderEvidence::Ended => LeaseState::Settling { fencing, deadline, settled_at: now.plus_ms(GUARD_MS) },
+            HolderEvidence::Ended => {
+                LeaseState::Settling { fencing, deadline, settled_at: now.plus_ms(LEASE_GUARD_MS) }
+            }
             HolderEvidence::Silent => LeaseState::Settling { fencing, deadline, settled_at: TimePoint(u64::MAX) },
         };
     }
@@ -112,7 +114,7 @@
         let LeaseState::Settling { fencing, deadline, settled_at } = self.state else { return };
         let settled_at = match evidence {
             HolderEvidence::Clear => now,
-            HolderEvidence::Ended => settled_at.min(now.plus_ms(GUARD_MS)),
+            HolderEvidence::Ended => settled_at.min(now.plus_ms(LEASE_GUARD_MS)),
             HolderEvidence::Silent => settled_at,
         };
         self.state = if settled_at <= now {
@@ -131,7 +133,7 @@
     /// Records a confirmed renewal, sent at `requested_at`, of the lease with the fencing number `renewed`. Must
     /// not be called when the answer was lost.
     pub fn lease_renewed(&mut self, renewed: u64, requested_at: TimePoint) {
-        let renewed_deadline = requested_at.plus_ms(LEASE_TTL_MS - GUARD_MS);
+        let renewed_deadline = requested_at.plus_ms(LEASE_TTL_MS - LEASE_GUARD_MS);
         match &mut self.state {
             LeaseState::Idle => return,
             LeaseState::Held { fencing, .. } | LeaseState::Settling { fencing, .. } if *fencing != renewed => return,
--- a/crates/kernel/src/member_table.rs
+++ b/crates/kernel/src/member_table.rs
@@ -40,7 +40,8 @@
     /// Failure domain from the daemon's settings.
     pub failure_domain: SharedName,
     /// Address of the daemon's control listener, for calls from peers.
-    pub control: SharedName,
+    #[serde(rename = "control")]
+    pub control_address: SharedName,
     /// Liveness as this daemon sees it.
     pub state: MemberState,
     /// Time of the last exchange with the member, or of the report that added it, by this daemon's clock.
@@ -100,7 +101,7 @@
             name: name.clone(),
             incarnation: 0,
             failure_domain: "".into(),
-            control: "".into(),
+            control_address: "".into(),
             state: MemberState::Ended,
             heard_at: now,
         });
--- a/crates/kernel/src/ownership_table.rs
+++ b/crates/kernel/src/ownership_table.rs
@@ -38,7 +38,7 @@
     /// Id of the store lease that the daemon keeps alive.
     pub lease: u64,
     /// Address of the listener for calls from other daemons.
-    pub control: SharedName,
+    pub control_address: SharedName,
     /// Failure domain of the daemon's VM.
     pub failure_domain: SharedName,
     /// Region of the daemon's VM.
--- a/crates/kernel/tests/machines/duties.rs
+++ b/crates/kernel/tests/machines/duties.rs
@@ -6,7 +6,7 @@
 
 const DAEMONS: u8 = 3;
 /// The guard of the lease: the longest time for which messages of a dead process may still arrive.
-const GUARD_MS: u64 = 2_000;
+const LEASE_GUARD_MS: u64 = 2_000;
 
 /// Input to the simulation of a duty.
 #[derive(Clone, Debug)]
@@ -235,7 +235,7 @@
                 let index = usize::from(daemon);
                 let ended = &mut self.daemons[index];
                 if let Some(fencing) = ended.checked.take() {
-                    self.in_flight.push((fencing, self.now.plus_ms(GUARD_MS)));
+                    self.in_flight.push((fencing, self.now.plus_ms(LEASE_GUARD_MS)));
                 }
                 *ended =
                     Daemon { process: ended.process + 1, holder: LeaseHolder::new(self.checks_fencing), checked: None };
--- a/crates/kernel/tests/machines/ownership.rs
+++ b/crates/kernel/tests/machines/ownership.rs
@@ -79,7 +79,7 @@
     DaemonPresence {
         incarnation,
         lease: incarnation,
-        control: "".into(),
+        control_address: "".into(),
         failure_domain: "north".into(),
         region: "land".into(),
     }
--- a/crates/kernel/tests/machines/small_machines.rs
+++ b/crates/kernel/tests/machines/small_machines.rs
@@ -228,7 +228,7 @@
         name: name.into(),
         incarnation,
         failure_domain: "a".into(),
-        control: "127.0.0.1:1".into(),
+        control_address: "127.0.0.1:1".into(),
         state: MemberState::Alive,
         heard_at: TimePoint(0),
     }
--- a/crates/wire/src/peer/exchange.rs
+++ b/crates/wire/src/peer/exchange.rs
@@ -27,7 +27,7 @@
             name: entry.name.clone(),
             incarnation: entry.incarnation,
             failure_domain: entry.failure_domain.clone(),
-            control_address: entry.control.clone(),
+            control_address: entry.control_address.clone(),
             state: entry.state,
         }
     }
@@ -39,7 +39,7 @@
             name: body.name,
             incarnation: body.incarnation,
             failure_domain: body.failure_domain,
-            control: body.control_address,
+            control_address: body.control_address,
             state: body.state,
             heard_at: TimePoint::default(),
         }
