--- a/crates/daemon/src/step/sample_attempt.rs
+++ b/crates/daemon/src/step/sample_attempt.rs
@@ -41,7 +41,7 @@
     /// Key of the step in its site.
     pub step: SharedName,
     /// Position of the sample in the step.
-    pub sample: usize,
+    pub position: usize,
     /// Number of the attempt, unique in the step.
     pub attempt: u64,
     /// Maximum number of samples in flight on one upstream.
@@ -61,7 +61,7 @@
         let request = self.upstream_request(&shared, &spec);
         let mut upstream_response = dispatch(&shared, &client, &request).await.map_err(|_| SampleError::NoResponse)?;
         let mut scanner = StreamScanner::default();
-        let mut sample = SampleResult { sample: self.sample, text: String::new(), segments: Vec::new() };
+        let mut sample = SampleResult { position: self.position, text: String::new(), segments: Vec::new() };
         let mut versions_present = true;
         while let Some(chunk) = upstream_response.response.next().await {
             let Ok(chunk) = chunk else {
@@ -86,8 +86,8 @@
     /// Request to an engine for the sample. Its seed depends only on the step and the sample, so that every attempt
     /// sends the same request.
     fn upstream_request(&self, shared: &SharedState, spec: &StepSpec) -> UpstreamRequest {
-        let prompt = &spec.prompts[self.sample / spec.group_size];
-        let seed = fingerprint(&[self.step.as_bytes(), &self.sample.to_be_bytes()]);
+        let prompt = &spec.prompts[self.position / spec.group_size];
+        let seed = fingerprint(&[self.step.as_bytes(), &self.position.to_be_bytes()]);
         let completion = CompletionRequest {
             model: spec.service.clone(),
             messages: vec![ChatMessage { role: "user".to_owned(), content: prompt.to_string() }],
@@ -100,7 +100,7 @@
         let body = serde_json::to_vec(&completion).unwrap_or_default();
         let prompt_prefix = &prompt.as_bytes()[..prompt.len().min(PROMPT_PREFIX_BYTES)];
         UpstreamRequest {
-            id: RequestId::new(format!("{}/{}/{}", self.step, self.sample, self.attempt)),
+            id: RequestId::new(format!("{}/{}/{}", self.step, self.position, self.attempt)),
             organisation: self.organisation.clone(),
             service: spec.service.clone(),
             method: Method::POST,
--- a/crates/daemon/src/step/step_actor.rs
+++ b/crates/daemon/src/step/step_actor.rs
@@ -158,7 +158,7 @@
                 state.ledger.attempt_failed(message.order);
                 LogLine::new("sample_failed")
                     .field("step", &message.step)
-                    .field("sample", message.order.sample)
+                    .field("sample", message.order.position)
                     .field("error", error)
                     .info();
             }
@@ -233,7 +233,7 @@
         let attempt = SampleAttempt {
             organisation: state.organisation.clone(),
             step: key.clone(),
-            sample: order.sample,
+            position: order.position,
             attempt: order.attempt,
             inflight_max,
             timeout_ms,
--- a/crates/edge/src/job/item_run.rs
+++ b/crates/edge/src/job/item_run.rs
@@ -59,7 +59,7 @@
     let started_at = state.now();
     let mut monitor = RunMonitor::new(started_at);
     let run = stream_item(&job, assignment, &guard, priority, retention_ends_at, &mut monitor).await;
-    let event_count = job.ledger.borrow().event_count(assignment.index);
+    let event_count = job.ledger.borrow().event_count(assignment.item_index);
     let took_ms = state.now().since_ms(started_at);
     let new_event_count =
         event_count.saturating_sub(assignment.resume_after.map_or(0, |last| last + 1 - FIRST_EVENT_NUMBER));
@@ -70,33 +70,33 @@
     EdgeMetrics::increment(&EdgeMetrics::global().item_runs, run.reason);
     LogLine::new("item_run")
         .field("job", &job.id)
-        .field("item", &job.submission.items[assignment.index].id)
+        .field("item", &job.submission.items[assignment.item_index].id)
         .field("upstream", &guard.record.id)
-        .field("listed_version", listed_version(&job, assignment.index, &guard))
+        .field("listed_version", listed_version(&job, assignment.item_index, &guard))
         .field("resumed_after", assignment.resume_after.map_or_else(|| "none".to_owned(), |last| last.to_string()))
         .field("events", new_event_count)
         .field("took_ms", took_ms)
         .field("result", run.reason)
         .info();
     if run.outcome == RunOutcome::NotRun
-        && let Some(model) = item_model(&job, assignment.index)
+        && let Some(model) = item_model(&job, assignment.item_index)
     {
         state.upstreams().model_refused(&guard.record.id, &model, state.now());
     }
     drop(guard);
-    job.ledger.borrow_mut().run_ended(assignment.index, run.outcome, state.now());
+    job.ledger.borrow_mut().run_ended(assignment.item_index, run.outcome, state.now());
     job.ledger_changed.notify_one();
 }
 
 /// Version of the item's model at the upstream according to the platform's list of upstreams; 0 if it lists none.
-fn listed_version(job: &OwnedJob, index: usize, guard: &UpstreamGuard) -> u64 {
-    let version = item_model(job, index).and_then(|model| guard.record.versions.get(&model).copied());
+fn listed_version(job: &OwnedJob, item_index: usize, guard: &UpstreamGuard) -> u64 {
+    let version = item_model(job, item_index).and_then(|model| guard.record.versions.get(&model).copied());
     version.unwrap_or(0)
 }
 
 /// The request for an item. It resumes after the item's last event in the ledger, if there is one.
 fn item_call(job: &OwnedJob, assignment: RunAssignment, priority: u32, deadline: TimePoint) -> UpstreamCall {
-    let item = &job.submission.items[assignment.index];
+    let item = &job.submission.items[assignment.item_index];
     let mut headers = HeaderMap::new();
     for (name, value) in &item.headers {
         let parsed = (HeaderName::try_from(name.as_str()), HeaderValue::from_str(value));
@@ -165,7 +165,7 @@
     let headers = response.headers().clone();
     let mut reader = EventReader::default();
     loop {
-        let other_interval_ms = fastest_other_interval_ms(job, assignment.index, guard);
+        let other_interval_ms = fastest_other_interval_ms(job, assignment.item_index, guard);
         if other_interval_ms.is_some_and(|ms| monitor.is_slower_than(ms)) {
             return FinishedRun {
                 outcome: RunOutcome::Interrupted,
@@ -189,7 +189,8 @@
             version = event.version.or(version);
             // The ledger records the version of each event, so an event without one is malformed.
             let Some(version) = version else { return FinishedRun::from_failure(AttemptFailure::Malformed) };
-            let outcome = job.ledger.borrow_mut().event_received(assignment.index, event.number, version, &event.data);
+            let outcome =
+                job.ledger.borrow_mut().event_received(assignment.item_index, event.number, version, &event.data);
             match outcome {
                 EventOutcome::Accepted => {}
                 EventOutcome::Restart => {
@@ -209,8 +210,8 @@
 }
 
 /// Milliseconds per event at the fastest other upstream with a free slot for the item; `None` if none is recorded.
-fn fastest_other_interval_ms(job: &OwnedJob, index: usize, guard: &UpstreamGuard) -> Option<u64> {
-    let model = item_model(job, index);
+fn fastest_other_interval_ms(job: &OwnedJob, item_index: usize, guard: &UpstreamGuard) -> Option<u64> {
+    let model = item_model(job, item_index);
     let query = SamplerQuery {
         service: &guard.record.service,
         model: model.as_deref().map(|model| (model, job.submission.oldest_version)),
@@ -231,7 +232,7 @@
 }
 
 /// The model that an item requests in its own header, or else the model of its batch job.
-pub fn item_model(job: &OwnedJob, index: usize) -> Option<SharedName> {
-    let item = &job.submission.items[index];
+pub fn item_model(job: &OwnedJob, item_index: usize) -> Option<SharedName> {
+    let item = &job.submission.items[item_index];
     item.header(header::MODEL).map(Into::into).or_else(|| job.submission.model.clone())
 }
--- a/crates/edge/src/job/job_runner.rs
+++ b/crates/edge/src/job/job_runner.rs
@@ -254,7 +254,7 @@
         let next_run = job.ledger.borrow_mut().start_next_run(now);
         let Some(assignment) = next_run else { break };
         let Some(guard) = select_upstream(job, &rule, assignment) else {
-            job.ledger.borrow_mut().requeue_run(assignment.index);
+            job.ledger.borrow_mut().requeue_run(assignment.item_index);
             break;
         };
         runs.spawn_local(run_item(job.clone(), assignment, guard, rule.priority, retention_ends_at));
@@ -268,13 +268,13 @@
 fn dispatch_scores(job: &OwnedJob, runs: &mut JoinSet<()>, now: TimePoint) {
     loop {
         let next_index = job.ledger.borrow_mut().start_next_scoring(now);
-        let Some(index) = next_index else { return };
-        match prepare_score_call(job, index) {
-            Ok(call) => runs.spawn_local(score_item(job.clone(), index, call)),
+        let Some(item_index) = next_index else { return };
+        match prepare_score_call(job, item_index) {
+            Ok(call) => runs.spawn_local(score_item(job.clone(), item_index, call)),
             Err(error) => {
-                job.ledger.borrow_mut().requeue_scoring(index);
+                job.ledger.borrow_mut().requeue_scoring(item_index);
                 if error == PlacementError::NoRoute {
-                    LogLine::new("scorer_unroutable").field("job", &job.id).field("index", index).warn();
+                    LogLine::new("scorer_unroutable").field("job", &job.id).field("index", item_index).warn();
                 }
                 return;
             }
@@ -290,8 +290,8 @@
 
 /// Selects an upstream with a free slot for an item, and counts the run on it. `None` if there is no such upstream.
 fn select_upstream(job: &OwnedJob, rule: &RouteRule, assignment: RunAssignment) -> Option<UpstreamGuard> {
-    let item = &job.submission.items[assignment.index];
-    let model = item_model(job, assignment.index);
+    let item = &job.submission.items[assignment.item_index];
+    let model = item_model(job, assignment.item_index);
     let service = rule.service_for_draw(pimentoslip_kernel::fingerprint(&[item.id.as_bytes()]))?;
     let query = SamplerQuery {
         service,
--- a/crates/edge/src/job/score_run.rs
+++ b/crates/edge/src/job/score_run.rs
@@ -36,9 +36,9 @@
 }
 
 /// Builds the request to the scorer of an item, and selects an upstream for it.
-pub fn prepare_score_call(job: &OwnedJob, index: usize) -> Result<ScoreCall, PlacementError> {
+pub fn prepare_score_call(job: &OwnedJob, item_index: usize) -> Result<ScoreCall, PlacementError> {
     let state = &job.state;
-    let scorer = job.submission.items[index].scorer.as_ref().ok_or(PlacementError::NoRoute)?;
+    let scorer = job.submission.items[item_index].scorer.as_ref().ok_or(PlacementError::NoRoute)?;
     let rule = scorer_rule(job, scorer).ok_or(PlacementError::NoRoute)?;
     let service = rule.service_for_draw(fingerprint(&[scorer.id.as_bytes()])).ok_or(PlacementError::NoRoute)?;
     let query = SamplerQuery {
@@ -70,27 +70,27 @@
 }
 
 /// Sends a prepared request to the scorer, and records the outcome in the job's ledger.
-pub async fn score_item(job: OwnedJob, index: usize, score_call: ScoreCall) {
+pub async fn score_item(job: OwnedJob, item_index: usize, score_call: ScoreCall) {
     let (outcome, reason) = send_score_call(&job, score_call).await;
     EdgeMetrics::increment(&EdgeMetrics::global().score_calls, reason);
     // A signed score is visible in the stored result of the item and is not logged.
     if reason != SIGNED_RESULT {
         LogLine::new("item_not_scored")
             .field("job", &job.id)
-            .field("item", &job.submission.items[index].id)
+            .field("item", &job.submission.items[item_index].id)
             .field("result", reason)
             .warn();
     }
     let now = job.state.now();
-    job.ledger.borrow_mut().scoring_ended(index, outcome, failures_max(&job, index), now);
+    job.ledger.borrow_mut().scoring_ended(item_index, outcome, failures_max(&job, item_index), now);
     job.ledger_changed.notify_one();
 }
 
 /// Scorer failures after which the item is terminated: the larger of the attempts that the job's route and the scorer's
 /// route allow.
-fn failures_max(job: &OwnedJob, index: usize) -> u32 {
+fn failures_max(job: &OwnedJob, item_index: usize) -> u32 {
     let job_attempts = job.route().map_or(1, |rule| rule.attempts_max);
-    let scorer = job.submission.items[index].scorer.as_ref();
+    let scorer = job.submission.items[item_index].scorer.as_ref();
     job_attempts.max(scorer.and_then(|scorer| scorer_rule(job, scorer)).map_or(1, |rule| rule.attempts_max))
 }
 
--- a/crates/kernel/src/batch/batch_ledger.rs
+++ b/crates/kernel/src/batch/batch_ledger.rs
@@ -82,8 +82,8 @@
                 score_failures: 0,
             })
             .collect();
-        for index in listed {
-            if let Some(item) = items.get_mut(*index) {
+        for item_index in listed {
+            if let Some(item) = items.get_mut(*item_index) {
                 item.phase = ItemPhase::Finished;
             }
         }
@@ -93,7 +93,8 @@
             *unfinished += usize::from(item.phase != ItemPhase::Finished);
         }
         let waiting = items.iter().enumerate().filter(|(_, item)| item.phase != ItemPhase::Finished);
-        let run_queue = waiting.map(|(index, item)| (std::cmp::Reverse(item.spec.expected_tokens), index)).collect();
+        let run_queue =
+            waiting.map(|(item_index, item)| (std::cmp::Reverse(item.spec.expected_tokens), item_index)).collect();
         Self {
             options,
             items,
@@ -115,8 +116,8 @@
     pub fn handover_state(&self) -> LedgerState {
         let pending = self.pending_chunk.iter().flat_map(|chunk| &chunk.results);
         let unfinished = self.items.iter().enumerate().filter(|(_, item)| item.phase != ItemPhase::Finished);
-        let items = unfinished.map(|(index, item)| UnfinishedItem {
-            index,
+        let items = unfinished.map(|(item_index, item)| UnfinishedItem {
+            item_index,
             text: item.text.clone(),
             is_complete: matches!(item.phase, ItemPhase::ScorePending { .. } | ItemPhase::Scoring),
             run_failures: item.run_failures,
@@ -134,7 +135,7 @@
     pub fn restore(&mut self, state: LedgerState) {
         self.checkpoint_count = self.checkpoint_count.max(state.checkpoints);
         for restored in state.items {
-            let Some(item) = self.items.get_mut(restored.index) else { continue };
+            let Some(item) = self.items.get_mut(restored.item_index) else { continue };
             let is_restorable = matches!(item.phase, ItemPhase::Waiting { .. }) && item.text.last_event().is_none();
             if !is_restorable {
                 continue;
@@ -144,12 +145,12 @@
             item.score_failures = restored.score_failures;
             if restored.is_complete && item.text.last_event().is_some() {
                 item.phase = ItemPhase::ScorePending { not_before: TimePoint(0) };
-                self.run_queue.remove(&(std::cmp::Reverse(item.spec.expected_tokens), restored.index));
-                self.score_queue.insert(restored.index);
+                self.run_queue.remove(&(std::cmp::Reverse(item.spec.expected_tokens), restored.item_index));
+                self.score_queue.insert(restored.item_index);
             }
         }
         for result in state.unlisted {
-            if self.items.get(result.index).is_some_and(|item| item.phase != ItemPhase::Finished) {
+            if self.items.get(result.item_index).is_some_and(|item| item.phase != ItemPhase::Finished) {
                 self.add_result(result);
             }
         }
@@ -159,7 +160,7 @@
     pub fn replay_checkpoints(&mut self, checkpoints: &[TextCheckpoint]) {
         self.checkpoint_count = self.checkpoint_count.max(checkpoints.len());
         for part in checkpoints.iter().flat_map(|checkpoint| &checkpoint.parts) {
-            if let Some(item) = self.items.get_mut(part.index)
+            if let Some(item) = self.items.get_mut(part.item_index)
                 && matches!(item.phase, ItemPhase::Waiting { .. })
             {
                 item.text.replay_part(part);
@@ -178,9 +179,9 @@
             let mut bytes = 0;
             let mut parts = Vec::new();
             let unfinished = self.items.iter_mut().enumerate().filter(|(_, item)| item.phase != ItemPhase::Finished);
-            for (index, item) in unfinished {
+            for (item_index, item) in unfinished {
                 if bytes < bytes_max && item.text.unsaved_count() >= CHECKPOINT_EVENTS_MIN {
-                    let part = item.text.take_unsaved_part(index);
+                    let part = item.text.take_unsaved_part(item_index);
                     bytes += part.as_ref().map_or(0, |part| part.text.len());
                     parts.extend(part);
                 }
@@ -265,26 +266,26 @@
         self.run_queue.remove(&entry);
         let item = &mut self.items[entry.1];
         item.phase = ItemPhase::Running;
-        Some(RunAssignment { index: entry.1, resume_after: item.text.last_event() })
+        Some(RunAssignment { item_index: entry.1, resume_after: item.text.last_event() })
     }
 
     /// Marks the first item that may be scored at `now` as being scored and returns its index.
     pub fn start_next_scoring(&mut self, now: TimePoint) -> Option<usize> {
-        let ready = |index: &&usize| match self.items[**index].phase {
+        let ready = |item_index: &&usize| match self.items[**item_index].phase {
             ItemPhase::ScorePending { not_before } => not_before <= now,
             _ => false,
         };
-        let index = *self.score_queue.iter().find(ready)?;
-        self.score_queue.remove(&index);
-        self.items[index].phase = ItemPhase::Scoring;
-        Some(index)
+        let item_index = *self.score_queue.iter().find(ready)?;
+        self.score_queue.remove(&item_index);
+        self.items[item_index].phase = ItemPhase::Scoring;
+        Some(item_index)
     }
 
     /// Handles an event that arrived in the run of an item: event `number` of the text, generated by `version` of the
     /// weights. An event of a version that the job doesn't accept discards the text.
-    pub fn event_received(&mut self, index: usize, number: u64, version: u64, data: &str) -> EventOutcome {
+    pub fn event_received(&mut self, item_index: usize, number: u64, version: u64, data: &str) -> EventOutcome {
         let options = self.options;
-        let Some(item) = self.items.get_mut(index) else { return EventOutcome::Mismatch };
+        let Some(item) = self.items.get_mut(item_index) else { return EventOutcome::Mismatch };
         if self.ended || item.phase != ItemPhase::Running {
             return EventOutcome::Mismatch;
         }
@@ -297,47 +298,47 @@
     }
 
     /// Handles the end of an item's run.
-    pub fn run_ended(&mut self, index: usize, outcome: RunOutcome, now: TimePoint) {
+    pub fn run_ended(&mut self, item_index: usize, outcome: RunOutcome, now: TimePoint) {
         let attempts_max = self.options.attempts_max;
-        let Some(item) = self.items.get_mut(index) else { return };
+        let Some(item) = self.items.get_mut(item_index) else { return };
         if self.ended || item.phase != ItemPhase::Running {
             return;
         }
         match outcome {
             RunOutcome::Completed if item.text.last_event().is_some() && item.spec.needs_score => {
                 item.phase = ItemPhase::ScorePending { not_before: now };
-                self.score_queue.insert(index);
+                self.score_queue.insert(item_index);
             }
-            RunOutcome::Completed if item.text.last_event().is_some() => self.complete_item(index, None),
-            RunOutcome::Completed | RunOutcome::Interrupted | RunOutcome::NotRun => self.retry_later(index, now),
+            RunOutcome::Completed if item.text.last_event().is_some() => self.complete_item(item_index, None),
+            RunOutcome::Completed | RunOutcome::Interrupted | RunOutcome::NotRun => self.retry_later(item_index, now),
             RunOutcome::Failed => {
                 item.run_failures += 1;
                 if item.run_failures >= attempts_max {
-                    self.terminate_item(index)
+                    self.terminate_item(item_index)
                 } else {
-                    self.retry_later(index, now)
+                    self.retry_later(item_index, now)
                 }
             }
-            RunOutcome::Unrunnable => self.terminate_item(index),
+            RunOutcome::Unrunnable => self.terminate_item(item_index),
         }
     }
 
     /// Handles the end of a request to the scorer. The item is terminated after `failures_max` failures of its scorer.
-    pub fn scoring_ended(&mut self, index: usize, outcome: ScoreOutcome, failures_max: u32, now: TimePoint) {
-        let Some(item) = self.items.get_mut(index) else { return };
+    pub fn scoring_ended(&mut self, item_index: usize, outcome: ScoreOutcome, failures_max: u32, now: TimePoint) {
+        let Some(item) = self.items.get_mut(item_index) else { return };
         if self.ended || item.phase != ItemPhase::Scoring {
             return;
         }
         match outcome {
-            ScoreOutcome::Signed(signature) => return self.complete_item(index, Some(signature)),
+            ScoreOutcome::Signed(signature) => return self.complete_item(item_index, Some(signature)),
             ScoreOutcome::Failed => item.score_failures += 1,
             ScoreOutcome::Interrupted => {}
         }
         if item.score_failures >= failures_max.max(1) {
-            return self.terminate_item(index);
+            return self.terminate_item(item_index);
         }
         item.phase = ItemPhase::ScorePending { not_before: now.plus_ms(RETRY_BACKOFF_MS) };
-        self.score_queue.insert(index);
+        self.score_queue.insert(item_index);
     }
 
     /// Terminates all unfinished items once the retention time is over. The caller must cancel the runs of those that
@@ -346,9 +347,9 @@
         if self.ended || now < self.options.retention_ends_at {
             return;
         }
-        for index in 0..self.items.len() {
-            if self.items[index].phase != ItemPhase::Finished {
-                self.terminate_item(index);
+        for item_index in 0..self.items.len() {
+            if self.items[item_index].phase != ItemPhase::Finished {
+                self.terminate_item(item_index);
             }
         }
     }
@@ -397,63 +398,63 @@
 
     /// Number of events received for an item's text; 0 once the item is finished.
     #[must_use]
-    pub fn event_count(&self, index: usize) -> u64 {
-        self.items.get(index).map_or(0, |item| item.text.event_count())
+    pub fn event_count(&self, item_index: usize) -> u64 {
+        self.items.get(item_index).map_or(0, |item| item.text.event_count())
     }
 
     /// Puts an item that [`Self::start_next_run`] returned back into the queue, because no upstream has capacity for
     /// it.
-    pub fn requeue_run(&mut self, index: usize) {
-        let Some(item) = self.items.get_mut(index) else { return };
+    pub fn requeue_run(&mut self, item_index: usize) {
+        let Some(item) = self.items.get_mut(item_index) else { return };
         if item.phase == ItemPhase::Running {
             item.phase = ItemPhase::Waiting { not_before: TimePoint(0) };
-            self.run_queue.insert((std::cmp::Reverse(item.spec.expected_tokens), index));
+            self.run_queue.insert((std::cmp::Reverse(item.spec.expected_tokens), item_index));
         }
     }
 
     /// Puts an item that [`Self::start_next_scoring`] returned back into the queue, because no upstream has capacity to
     /// score it.
-    pub fn requeue_scoring(&mut self, index: usize) {
-        let Some(item) = self.items.get_mut(index) else { return };
+    pub fn requeue_scoring(&mut self, item_index: usize) {
+        let Some(item) = self.items.get_mut(item_index) else { return };
         if item.phase == ItemPhase::Scoring {
             item.phase = ItemPhase::ScorePending { not_before: TimePoint(0) };
-            self.score_queue.insert(index);
+            self.score_queue.insert(item_index);
         }
     }
 
     /// Whether the run of the item should continue: the item is marked as running and the job has not ended.
     #[must_use]
-    pub fn is_running(&self, index: usize) -> bool {
-        !self.ended && self.items.get(index).is_some_and(|item| item.phase == ItemPhase::Running)
+    pub fn is_running(&self, item_index: usize) -> bool {
+        !self.ended && self.items.get(item_index).is_some_and(|item| item.phase == ItemPhase::Running)
     }
 
     /// Queues an item to be run again after a backoff.
-    fn retry_later(&mut self, index: usize, now: TimePoint) {
-        let item = &mut self.items[index];
+    fn retry_later(&mut self, item_index: usize, now: TimePoint) {
+        let item = &mut self.items[item_index];
         item.phase = ItemPhase::Waiting { not_before: now.plus_ms(RETRY_BACKOFF_MS) };
-        self.run_queue.insert((std::cmp::Reverse(item.spec.expected_tokens), index));
+        self.run_queue.insert((std::cmp::Reverse(item.spec.expected_tokens), item_index));
     }
 
     /// Finishes an item with its complete text.
-    fn complete_item(&mut self, index: usize, score: Option<String>) {
-        let (text, versions) = std::mem::take(&mut self.items[index].text).into_parts();
-        self.add_result(ItemResult { index, state: ItemState::Completed, text, versions, score });
+    fn complete_item(&mut self, item_index: usize, score: Option<String>) {
+        let (text, versions) = std::mem::take(&mut self.items[item_index].text).into_parts();
+        self.add_result(ItemResult { item_index, state: ItemState::Completed, text, versions, score });
     }
 
     /// Finishes an item without a text.
-    fn terminate_item(&mut self, index: usize) {
+    fn terminate_item(&mut self, item_index: usize) {
         let (text, versions) = (String::new(), Vec::new());
-        self.add_result(ItemResult { index, state: ItemState::Terminated, text, versions, score: None });
+        self.add_result(ItemResult { item_index, state: ItemState::Terminated, text, versions, score: None });
     }
 
     /// Marks the item of `result` as finished and queues the result for the next chunk.
     fn add_result(&mut self, result: ItemResult) {
-        let index = result.index;
-        let item = &mut self.items[index];
+        let item_index = result.item_index;
+        let item = &mut self.items[item_index];
         item.phase = ItemPhase::Finished;
         item.text = SampleText::default();
-        self.run_queue.remove(&(std::cmp::Reverse(item.spec.expected_tokens), index));
-        self.score_queue.remove(&index);
+        self.run_queue.remove(&(std::cmp::Reverse(item.spec.expected_tokens), item_index));
+        self.score_queue.remove(&item_index);
         let group = item.spec.group.clone();
         self.unlisted.push(result);
         self.count_finished_item(&group);
--- a/crates/kernel/src/batch/batch_options.rs
+++ b/crates/kernel/src/batch/batch_options.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunAssignment {
     /// Index of the item in its batch job.
-    pub index: usize,
+    pub item_index: usize,
     /// Number of the last event received in earlier runs; the upstream continues the text after it.
     pub resume_after: Option<u64>,
 }
--- a/crates/kernel/src/batch/item_result.rs
+++ b/crates/kernel/src/batch/item_result.rs
@@ -15,7 +15,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ItemResult {
     /// Index of the item in its batch job.
-    pub index: usize,
+    #[serde(rename = "index")]
+    pub item_index: usize,
     /// Outcome of the item.
     pub state: ItemState,
     /// Data of all events in order, separated by line feeds; empty if terminated.
--- a/crates/kernel/src/batch/ledger_state.rs
+++ b/crates/kernel/src/batch/ledger_state.rs
@@ -28,7 +28,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnfinishedItem {
     /// Index of the item in its batch job.
-    pub index: usize,
+    #[serde(rename = "index")]
+    pub item_index: usize,
     /// Events received so far.
     pub text: SampleText,
     /// Whether the text is complete and only the score is missing.
--- a/crates/kernel/src/batch/sample_text.rs
+++ b/crates/kernel/src/batch/sample_text.rs
@@ -63,9 +63,9 @@
         true
     }
 
-    /// Returns the events that are in no checkpoint and marks them as saved; `None` if there are none. `index` is the
+    /// Returns the events that are in no checkpoint and marks them as saved; `None` if there are none. `item_index` is the
     /// index of the item.
-    pub fn take_unsaved_part(&mut self, index: usize) -> Option<TextPart> {
+    pub fn take_unsaved_part(&mut self, item_index: usize) -> Option<TextPart> {
         let last_event = self.last_event?;
         if self.unsaved_count() == 0 {
             return None;
@@ -74,7 +74,7 @@
         let separator_bytes = usize::from(self.saved.events > 0);
         let text = self.text[self.saved.bytes + separator_bytes..].to_owned();
         self.saved = SavedLength { events: self.event_count(), bytes: self.text.len() };
-        Some(TextPart { index, first_event, last_event, text, versions: self.versions.clone() })
+        Some(TextPart { item_index, first_event, last_event, text, versions: self.versions.clone() })
     }
 
     /// Marks all events as unsaved, so that they are written to the following checkpoints again.
--- a/crates/kernel/src/batch/text_checkpoint.rs
+++ b/crates/kernel/src/batch/text_checkpoint.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TextPart {
     /// Index of the item in its batch job.
-    pub index: usize,
+    pub item_index: usize,
     /// Number of the part's first event. A part that starts with the first event of the text replaces all earlier
     /// parts.
     pub first_event: u64,
--- a/crates/kernel/src/step_ledger.rs
+++ b/crates/kernel/src/step_ledger.rs
@@ -36,8 +36,9 @@
 /// A complete sample.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SampleResult {
-    /// Position in the step.
-    pub sample: SampleId,
+    /// Position of the sample in its step.
+    #[serde(rename = "sample")]
+    pub position: SampleId,
     /// Generated text.
     pub text: String,
     /// Weight versions that generated the tokens, in token order.
@@ -47,8 +48,8 @@
 /// An order to start one attempt at a sample on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DispatchOrder {
-    /// Position in the step.
-    pub sample: SampleId,
+    /// Position of the sample in its step.
+    pub position: SampleId,
     /// Number of the attempt, unique in the step.
     pub attempt: u64,
     /// Whether this attempt is a hedge: another attempt at the same sample is still running.
@@ -136,25 +137,25 @@
     /// `hedge_after_ms` ago. Returns `None` if there is nothing to start.
     pub fn dispatch(&mut self, now: TimePoint, hedge_after_ms: Option<u64>) -> Option<DispatchOrder> {
         let unstarted = (0..self.samples.len())
-            .find(|&sample| self.is_unfinished(sample) && self.samples[sample].attempts.is_empty());
-        if let Some(sample) = unstarted {
-            return Some(self.start_attempt(sample, false, now));
+            .find(|&position| self.is_unfinished(position) && self.samples[position].attempts.is_empty());
+        if let Some(position) = unstarted {
+            return Some(self.start_attempt(position, false, now));
         }
         let hedge_after_ms = hedge_after_ms?;
         let straggler = (0..self.samples.len())
-            .filter(|&sample| {
-                self.is_unfinished(sample) && (self.samples[sample].attempts.len() as u32) < CONCURRENT_ATTEMPTS_MAX
+            .filter(|&position| {
+                self.is_unfinished(position) && (self.samples[position].attempts.len() as u32) < CONCURRENT_ATTEMPTS_MAX
             })
-            .filter(|&sample| {
-                self.samples[sample].attempts.iter().all(|(_, started)| now.since_ms(*started) >= hedge_after_ms)
+            .filter(|&position| {
+                self.samples[position].attempts.iter().all(|(_, started)| now.since_ms(*started) >= hedge_after_ms)
             })
-            .min_by_key(|&sample| self.samples[sample].attempts.iter().map(|(_, started)| *started).min())?;
+            .min_by_key(|&position| self.samples[position].attempts.iter().map(|(_, started)| *started).min())?;
         Some(self.start_attempt(straggler, true, now))
     }
 
     /// Records that an attempt ended without a complete sample.
     pub fn attempt_failed(&mut self, order: DispatchOrder) {
-        if let Some(entry) = self.samples.get_mut(order.sample) {
+        if let Some(entry) = self.samples.get_mut(order.position) {
             entry.attempts.retain(|(attempt, _)| *attempt != order.attempt);
         }
     }
@@ -163,8 +164,8 @@
     /// it names its weight versions and they are recent enough; other results count as wasted tokens.
     pub fn attempt_finished(&mut self, order: DispatchOrder, result: SampleResult, now: TimePoint) -> FinishOutcome {
         let oldest_allowed = self.oldest_allowed_version();
-        let unfinished = order.sample < self.samples.len() && self.is_unfinished(order.sample);
-        let Some(entry) = self.samples.get_mut(order.sample) else { return FinishOutcome::default() };
+        let unfinished = order.position < self.samples.len() && self.is_unfinished(order.position);
+        let Some(entry) = self.samples.get_mut(order.position) else { return FinishOutcome::default() };
         if let Some((_, started)) = entry.attempts.iter().find(|(attempt, _)| *attempt == order.attempt) {
             *self.duration_counts.entry(now.since_ms(*started)).or_default() += 1;
         }
@@ -249,14 +250,14 @@
     }
 
     /// Whether the sample has neither an accepted result nor a confirmation by the trainer.
-    fn is_unfinished(&self, sample: SampleId) -> bool {
-        self.samples[sample].result.is_none() && !self.confirmed.contains(sample)
+    fn is_unfinished(&self, position: SampleId) -> bool {
+        self.samples[position].result.is_none() && !self.confirmed.contains(position)
     }
 
-    fn start_attempt(&mut self, sample: SampleId, hedge: bool, now: TimePoint) -> DispatchOrder {
+    fn start_attempt(&mut self, position: SampleId, hedge: bool, now: TimePoint) -> DispatchOrder {
         self.attempt_count += 1;
-        self.samples[sample].attempts.push((self.attempt_count, now));
-        DispatchOrder { sample, attempt: self.attempt_count, hedge }
+        self.samples[position].attempts.push((self.attempt_count, now));
+        DispatchOrder { position, attempt: self.attempt_count, hedge }
     }
 }
 
--- a/crates/kernel/tests/machines/batches.rs
+++ b/crates/kernel/tests/machines/batches.rs
@@ -155,8 +155,8 @@
         match *command {
             Command::StartRuns => {
                 while let Some(assignment) = self.ledger.start_next_run(self.now) {
-                    if self.runs.iter().any(|run| run.assignment.index == assignment.index) {
-                        return Err(format!("item {} has two runs at the same owner", assignment.index));
+                    if self.runs.iter().any(|run| run.assignment.item_index == assignment.item_index) {
+                        return Err(format!("item {} has two runs at the same owner", assignment.item_index));
                     }
                     self.runs.push(Run {
                         assignment,
@@ -174,7 +174,7 @@
             Command::Wait { ms } => {
                 self.now = self.now.plus_ms(u64::from(ms));
                 self.ledger.expire_items(self.now);
-                self.runs.retain(|run| self.ledger.is_running(run.assignment.index));
+                self.runs.retain(|run| self.ledger.is_running(run.assignment.item_index));
             }
         }
         Ok(())
@@ -185,7 +185,8 @@
             return Ok(());
         }
         let position = usize::from(run) % self.runs.len();
-        let (index, number) = (self.runs[position].assignment.index, self.runs[position].next_event + u64::from(skip));
+        let (index, number) =
+            (self.runs[position].assignment.item_index, self.runs[position].next_event + u64::from(skip));
         if number > text_length(index) {
             return Ok(());
         }
@@ -222,7 +223,7 @@
             return;
         }
         let position = usize::from(run) % self.runs.len();
-        let index = self.runs[position].assignment.index;
+        let index = self.runs[position].assignment.item_index;
         let is_complete = self.runs[position].next_event > text_length(index);
         let outcome = match selector % 12 {
             _ if is_complete && !selector.is_multiple_of(8) => RunOutcome::Completed,
@@ -279,7 +280,7 @@
         let checkpoint = checkpoint.clone();
         let versions = |part: &pimentoslip_kernel::TextPart| {
             let event_count = usize::try_from(part.last_event + 1 - FIRST_EVENT_NUMBER).unwrap_or(usize::MAX);
-            (part.index, self.oracle.event_versions[part.index].iter().copied().take(event_count).collect())
+            (part.item_index, self.oracle.event_versions[part.item_index].iter().copied().take(event_count).collect())
         };
         let created = match &self.oracle.last_written {
             // A repeated write: the items may have received events or restarted since the first attempt.
@@ -292,11 +293,11 @@
         };
         for part in &created.checkpoint.parts {
             let data: Vec<String> =
-                (part.first_event..=part.last_event).map(|number| event_data(part.index, number)).collect();
+                (part.first_event..=part.last_event).map(|number| event_data(part.item_index, number)).collect();
             if part.text != data.join("\n") {
                 return Err(format!(
                     "the part of item {} from event {} has the text {:?}",
-                    part.index, part.first_event, part.text
+                    part.item_index, part.first_event, part.text
                 ));
             }
         }
@@ -316,7 +317,7 @@
     /// Replaces the owner. The new one restores the state that was handed over, or else the stored checkpoints.
     fn change_owner(&mut self, handed_over: bool) {
         let state = self.ledger.handover_state();
-        let listed: Vec<usize> = self.oracle.listed.iter().map(|result| result.index).collect();
+        let listed: Vec<usize> = self.oracle.listed.iter().map(|result| result.item_index).collect();
         self.runs.clear();
         self.ledger = BatchLedger::new(self.options, specs(), &listed);
         if handed_over {
@@ -338,7 +339,7 @@
     fn check_results(&self) -> Result<(), String> {
         let mut seen = BTreeSet::new();
         for result in &self.oracle.listed {
-            let index = result.index;
+            let index = result.item_index;
             if !seen.insert(index) {
                 return Err(format!("item {index} is listed twice"));
             }
@@ -351,7 +352,7 @@
     }
 
     fn check_completed(&self, result: &ItemResult) -> Result<(), String> {
-        let index = result.index;
+        let index = result.item_index;
         if result.text != complete_text(index) {
             return Err(format!("item {index} is listed with the text {:?}", result.text));
         }
@@ -398,7 +399,7 @@
             let Some(remaining) = simulation
                 .runs
                 .get(run)
-                .map(|run| text_length(run.assignment.index) + FIRST_EVENT_NUMBER - run.next_event)
+                .map(|run| text_length(run.assignment.item_index) + FIRST_EVENT_NUMBER - run.next_event)
             else {
                 continue;
             };
@@ -445,9 +446,9 @@
 fn the_longest_item_runs_first_also_after_it_was_requeued() {
     let mut simulation = Simulation::new(false);
     let first = simulation.ledger.start_next_run(TimePoint(0)).unwrap();
-    assert_eq!(first.index, ITEMS - 1);
-    simulation.ledger.requeue_run(first.index);
-    assert_eq!(simulation.ledger.start_next_run(TimePoint(0)).unwrap().index, ITEMS - 1);
+    assert_eq!(first.item_index, ITEMS - 1);
+    simulation.ledger.requeue_run(first.item_index);
+    assert_eq!(simulation.ledger.start_next_run(TimePoint(0)).unwrap().item_index, ITEMS - 1);
 }
 
 /// Simulates an owner that crashes after it received `events` events of a text and stored a checkpoint after event
--- a/crates/kernel/tests/machines/steps.rs
+++ b/crates/kernel/tests/machines/steps.rs
@@ -90,7 +90,7 @@
 
     /// A sample from an engine. Its first version is `behind` versions older than the newest one, and each swap raises
     /// it by one.
-    fn generate(&mut self, sample: usize, swaps: u8, behind: u8) -> SampleResult {
+    fn generate(&mut self, position: usize, swaps: u8, behind: u8) -> SampleResult {
         self.text_count += 1;
         let text = format!("text-{}", self.text_count);
         let mut segments = Vec::new();
@@ -99,7 +99,7 @@
             TokenSegment::append(&mut segments, 2, first + swap);
         }
         self.generated.insert(text.clone(), segments.clone());
-        SampleResult { sample, text, segments }
+        SampleResult { position, text, segments }
     }
 
     /// Fetches from an owner, and checks each received sample unless the response is lost.
@@ -110,18 +110,21 @@
         }
         for sample in samples {
             if self.generated.get(&sample.text) != Some(&sample.segments) {
-                return Err(format!("sample {} reports versions that did not generate it", sample.sample));
+                return Err(format!("sample {} reports versions that did not generate it", sample.position));
             }
             let oldest = sample.segments.iter().map(|segment| segment.version).min().unwrap_or(0);
             if oldest + STALENESS_BOUND < self.published {
-                return Err(format!("sample {} of version {oldest} is too old for {}", sample.sample, self.published));
+                return Err(format!(
+                    "sample {} of version {oldest} is too old for {}",
+                    sample.position, self.published
+                ));
             }
-            let times = self.received.entry(sample.sample).or_default();
+            let times = self.received.entry(sample.position).or_default();
             *times += 1;
             if *times > 1 {
-                return Err(format!("sample {} was received twice", sample.sample));
+                return Err(format!("sample {} was received twice", sample.position));
             }
-            self.cursor.insert(sample.sample);
+            self.cursor.insert(sample.position);
         }
         Ok(())
     }
@@ -136,7 +139,7 @@
             }
             Command::Finish { run, swaps, start } if !self.running.is_empty() => {
                 let (owner, process, order) = self.running.remove(usize::from(run) % self.running.len());
-                let sample = self.generate(order.sample, swaps, start);
+                let sample = self.generate(order.position, swaps, start);
                 if self.owners[owner].0 == process {
                     self.owners[owner].1.attempt_finished(order, sample, self.now);
                 }
@@ -168,7 +171,7 @@
         for _ in 0..=SAMPLES {
             self.fetch(0, SAMPLES, false)?;
             while let Some(order) = self.owners[0].1.dispatch(self.now, None) {
-                let sample = self.generate(order.sample, 0, 0);
+                let sample = self.generate(order.position, 0, 0);
                 self.owners[0].1.attempt_finished(order, sample, self.now);
             }
         }
@@ -194,7 +197,7 @@
 fn a_repeated_fetch_returns_the_same_samples() {
     let mut simulation = Simulation::new();
     while let Some(order) = simulation.owners[0].1.dispatch(simulation.now, None) {
-        let sample = simulation.generate(order.sample, 0, 0);
+        let sample = simulation.generate(order.position, 0, 0);
         simulation.owners[0].1.attempt_finished(order, sample, simulation.now);
     }
     let first = simulation.owners[0].1.fetch(&simulation.cursor, 5, 4);
@@ -210,12 +213,12 @@
         std::iter::from_fn(|| simulation.owners[0].1.dispatch(TimePoint(0), None)).collect();
     let hedge = simulation.owners[0].1.dispatch(TimePoint(1_000), Some(100)).expect("a hedge");
     assert!(hedge.hedge);
-    let first = simulation.generate(hedge.sample, 0, 0);
-    let second = simulation.generate(hedge.sample, 0, 0);
+    let first = simulation.generate(hedge.position, 0, 0);
+    let second = simulation.generate(hedge.position, 0, 0);
     let outcome = simulation.owners[0].1.attempt_finished(hedge, first.clone(), TimePoint(1_001));
     assert!(outcome.accepted);
-    assert_eq!(outcome.superseded_attempts, [orders[hedge.sample].attempt]);
-    assert!(!simulation.owners[0].1.attempt_finished(orders[hedge.sample], second, TimePoint(1_002)).accepted);
+    assert_eq!(outcome.superseded_attempts, [orders[hedge.position].attempt]);
+    assert!(!simulation.owners[0].1.attempt_finished(orders[hedge.position], second, TimePoint(1_002)).accepted);
     assert_eq!(simulation.owners[0].1.fetch(&simulation.cursor, 5, 9), [first]);
     assert_eq!(simulation.owners[0].1.wasted_tokens(), 2);
 }
@@ -224,7 +227,7 @@
 fn a_result_without_versions_is_rejected() {
     let mut simulation = Simulation::new();
     let order = simulation.owners[0].1.dispatch(TimePoint(0), None).expect("a sample");
-    let unversioned = SampleResult { sample: order.sample, text: "x".to_owned(), segments: Vec::new() };
+    let unversioned = SampleResult { position: order.position, text: "x".to_owned(), segments: Vec::new() };
     assert!(!simulation.owners[0].1.attempt_finished(order, unversioned, TimePoint(1)).accepted);
-    assert_eq!(simulation.owners[0].1.dispatch(TimePoint(1), None).map(|order| order.sample), Some(order.sample));
+    assert_eq!(simulation.owners[0].1.dispatch(TimePoint(1), None).map(|order| order.position), Some(order.position));
 }
--- a/crates/wire/src/caller/step.rs
+++ b/crates/wire/src/caller/step.rs
@@ -102,7 +102,7 @@
 impl From<SampleResult> for SampleBody {
     fn from(result: SampleResult) -> Self {
         let segments = result.segments.into_iter().map(SegmentBody::from).collect();
-        Self { position: result.sample, text: result.text, segments }
+        Self { position: result.position, text: result.text, segments }
     }
 }
 
--- a/crates/wire/src/stored/result_entry.rs
+++ b/crates/wire/src/stored/result_entry.rs
@@ -37,8 +37,8 @@
     #[must_use]
     pub fn from_chunk(chunk: &ResultChunk, item_id: impl Fn(usize) -> SharedName) -> Self {
         let entry = |result: &ItemResult| ResultEntry {
-            item_id: item_id(result.index),
-            item_index: result.index,
+            item_id: item_id(result.item_index),
+            item_index: result.item_index,
             completed: result.state == ItemState::Completed,
             text: result.text.clone(),
             versions: result.versions.clone(),
--- a/crates/wire/src/stored/text_checkpoint_entry.rs
+++ b/crates/wire/src/stored/text_checkpoint_entry.rs
@@ -31,7 +31,7 @@
 impl From<&TextCheckpoint> for TextCheckpointEntry {
     fn from(checkpoint: &TextCheckpoint) -> Self {
         let entry = |part: &TextPart| TextPartEntry {
-            item_index: part.index,
+            item_index: part.item_index,
             first_event: part.first_event,
             last_event: part.last_event,
             text: part.text.clone(),
@@ -44,7 +44,7 @@
 impl From<TextCheckpointEntry> for TextCheckpoint {
     fn from(stored: TextCheckpointEntry) -> Self {
         let part = |entry: TextPartEntry| TextPart {
-            index: entry.item_index,
+            item_index: entry.item_index,
             first_event: entry.first_event,
             last_event: entry.last_event,
             text: entry.text,
