--- a/crates/cli/benches/site/training.rs
+++ b/crates/cli/benches/site/training.rs
@@ -124,13 +124,13 @@
         };
         let answer = site.send(0, "POST", "/v1/steps/fetch", key, &[], &request).await;
         assert_eq!(answer.status, 200, "{answer:?}");
-        let answer: FetchResponse = answer.json();
-        for sample in &answer.samples {
+        let response: FetchResponse = answer.json();
+        for sample in &response.samples {
             cursor.insert(sample.position);
             let oldest = sample.segments.iter().map(|segment| segment.version).min().expect("a segment");
             staleness.push(published.saturating_sub(oldest));
         }
-        if answer.complete {
+        if response.complete {
             return;
         }
     }
--- a/crates/cli/tests/processes/configuration.rs
+++ b/crates/cli/tests/processes/configuration.rs
@@ -156,8 +156,8 @@
     site.daemons[2].process.freeze();
     let answer = site.withdraw_key(0, &key).await;
     assert_eq!(answer.status, 202, "{answer:?}");
-    let answer: ChangeResponse = answer.json();
-    assert!(!answer.accepted && answer.unconfirmed.iter().any(|name| **name == *site.daemons[2].name));
+    let response: ChangeResponse = answer.json();
+    assert!(!response.accepted && response.unconfirmed.iter().any(|name| **name == *site.daemons[2].name));
     // The daemon stays frozen past the staleness bound.
     actix_rt::time::sleep(std::time::Duration::from_secs(3)).await;
     // The daemon resumes, cut off from the store, and must not use its configuration before its peers have confirmed
--- a/crates/cli/tests/processes/path.rs
+++ b/crates/cli/tests/processes/path.rs
@@ -93,14 +93,14 @@
         };
         let answer = site.send(turn % 3, "POST", "/v1/steps/fetch", key, &[], &fetch).await;
         assert_eq!(answer.status, 200, "{answer:?}");
-        let answer: FetchResponse = answer.json();
-        for sample in &answer.samples {
+        let response: FetchResponse = answer.json();
+        for sample in &response.samples {
             assert!(!cursor.contains(sample.position), "sample {} was received twice", sample.position);
             assert_eq!(sample.segments[0].start, 0);
             cursor.insert(sample.position);
             versions.extend(sample.segments.iter().map(|segment| segment.version));
         }
-        if answer.complete {
+        if response.complete {
             break;
         }
     }
--- a/crates/cli/tests/processes/samples.rs
+++ b/crates/cli/tests/processes/samples.rs
@@ -64,13 +64,13 @@
         if answer.status != 200 {
             return false;
         }
-        let answer: FetchResponse = answer.json();
-        for sample in answer.samples {
+        let response: FetchResponse = answer.json();
+        for sample in response.samples {
             assert!(!self.cursor.contains(sample.position), "sample {} was received twice", sample.position);
             self.cursor.insert(sample.position);
             self.samples.push(sample);
         }
-        answer.complete
+        response.complete
     }
 
     /// Fetches from each of `daemons` in turn until the step is complete. Panics after 2000 fetches.
--- a/crates/cli/tests/processes/support/edge_site.rs
+++ b/crates/cli/tests/processes/support/edge_site.rs
@@ -92,7 +92,7 @@
     pub fn without_edges() -> Self {
         let store = PlatformStore::start().expect("start the store");
         let provider = PlatformProvider::start().expect("start the cloud interface");
-        let shape = |id: &str, service: &str, models: &[&str], event_ms| UpstreamSettings {
+        let upstream_settings = |id: &str, service: &str, models: &[&str], event_ms| UpstreamSettings {
             id: id.to_owned(),
             service: service.to_owned(),
             failure_domain: "north".to_owned(),
@@ -100,9 +100,10 @@
             models: models.iter().map(ToString::to_string).collect(),
             event_ms,
         };
-        let start_upstream = |shape| PlatformUpstream::start(shape, &store).expect("start an upstream");
-        let desks = ["desk-1", "desk-2"].map(|id| start_upstream(shape(id, "desk", &[], 5)));
-        let engines = ["engine-1", "engine-2"].map(|id| start_upstream(shape(id, "engine", &["verse"], 10)));
+        let start_upstream = |settings| PlatformUpstream::start(settings, &store).expect("start an upstream");
+        let desks = ["desk-1", "desk-2"].map(|id| start_upstream(upstream_settings(id, "desk", &[], 5)));
+        let engines =
+            ["engine-1", "engine-2"].map(|id| start_upstream(upstream_settings(id, "engine", &["verse"], 10)));
         Self {
             desks: desks.into(),
             engines: engines.into(),
--- a/crates/client/src/provider_client.rs
+++ b/crates/client/src/provider_client.rs
@@ -82,12 +82,12 @@
         &self,
         site: &str,
         window: u64,
-        fencing: u64,
+        fencing_number: u64,
         report: Bytes,
         deadline: TimePoint,
     ) -> Result<()> {
         let path = format!("/v1/usage/{site}/{window}");
-        let (status, _) = self.put(&self.usage_endpoint, &path, fencing, report, deadline).await?;
+        let (status, _) = self.put(&self.usage_endpoint, &path, fencing_number, report, deadline).await?;
         if status >= 400 {
             return Err(PlatformError::Refused { endpoint: self.usage_endpoint.to_string(), status });
         }
@@ -124,7 +124,7 @@
         &self,
         endpoint: &str,
         path: &str,
-        fencing: u64,
+        fencing_number: u64,
         body: Bytes,
         deadline: TimePoint,
     ) -> Result<(u16, Bytes)> {
@@ -134,7 +134,7 @@
             .put(format!("http://{endpoint}{path}"))
             .timeout(CallTimeout::PROVIDER)
             .force_close()
-            .insert_header((FENCING_HEADER, fencing.to_string()))
+            .insert_header((FENCING_HEADER, fencing_number.to_string()))
             .insert_header(("content-type", "application/json"));
         let mut response = request.send_body(body).await.map_err(|error| unreachable_error(endpoint, &error))?;
         let response_body =
--- a/crates/daemon/src/shared_state.rs
+++ b/crates/daemon/src/shared_state.rs
@@ -248,8 +248,8 @@
     }
 
     /// Sets the state of a duty for the status page.
-    pub fn set_duty_state(&self, duty: &SharedName, state: &'static str, fencing: Option<u64>) {
-        lock(&self.duty_states).insert(duty.clone(), (state, fencing));
+    pub fn set_duty_state(&self, duty: &SharedName, state: &'static str, fencing_number: Option<u64>) {
+        lock(&self.duty_states).insert(duty.clone(), (state, fencing_number));
     }
 }
 
--- a/crates/daemon/src/task/domain_duty.rs
+++ b/crates/daemon/src/task/domain_duty.rs
@@ -70,8 +70,8 @@
         domain: &SharedName,
     ) {
         let rank = shared.members().duty_rank(&duty_name(domain), domain);
-        let Some((fencing, deadline)) = self.lease.tick(rank).await else { return };
-        let authority = OrderAuthority { holder_key: self.lease.holder_key(), fencing, deadline };
+        let Some((fencing_number, deadline)) = self.lease.tick(rank).await else { return };
+        let authority = OrderAuthority { holder_key: self.lease.holder_key(), fencing_number, deadline };
         if let Err(error) = self.order_upstreams(shared, site, domain, &authority).await {
             LogLine::new("order_failed").field("failure_domain", domain).field("error", error).warn();
         }
@@ -194,7 +194,7 @@
             service: service.clone(),
             reclaimable,
             vm,
-            fencing: authority.fencing,
+            fencing: authority.fencing_number,
         };
         if self.order_sender.send_order(request, authority).await? == OrderState::Unavailable {
             self.unavailable_until.insert(class, shared.now().plus_ms(UNAVAILABLE_BACKOFF_MS));
@@ -230,7 +230,7 @@
             .collect()
     };
     let loads = outdated_engines.iter().map(|(name, address, version)| async move {
-        let order = LoadOrder { version: *version, fencing: authority.fencing };
+        let order = LoadOrder { version: *version, fencing: authority.fencing_number };
         match provider.load_weights(address, &order, authority.deadline).await {
             Ok(()) => {
                 LogLine::new("weights_loaded").field("upstream", name).field("version", version).info();
--- a/crates/daemon/src/task/duty_lease.rs
+++ b/crates/daemon/src/task/duty_lease.rs
@@ -127,13 +127,13 @@
             .expect(&self.previous_holders_key(), revision)
             .put(&self.holder_key(), nonce.clone().into_bytes(), lease)
             .put(&self.previous_holders_key(), encode_holders(&holders), 0);
-        let fencing = match self.kv.commit(&txn).await {
+        let fencing_number = match self.kv.commit(&txn).await {
             Ok(response) if response.succeeded => Some(response.header.revision),
             Ok(_) => None,
             // The answer was lost; the stored entry shows whether this write succeeded.
             Err(_) => self.read_own_fencing(&nonce).await?,
         };
-        let Some(fencing) = fencing else {
+        let Some(fencing_number) = fencing_number else {
             return self.kv.revoke_lease(lease).await;
         };
         self.lease_id = lease;
@@ -141,10 +141,10 @@
         self.previous_holders_deleted = false;
         self.vacant_since = None;
         let evidence = self.evidence();
-        self.holder.lease_acquired(fencing, requested_at, evidence, self.shared.now());
+        self.holder.lease_acquired(fencing_number, requested_at, evidence, self.shared.now());
         LogLine::new("duty_acquired")
             .field("duty", &self.duty)
-            .field("fencing", fencing)
+            .field("fencing", fencing_number)
             .field("evidence", format!("{evidence:?}").to_lowercase())
             .info();
         Ok(())
@@ -158,8 +158,8 @@
     }
 
     async fn renew(&mut self) -> Result<()> {
-        let fencing = match self.holder.state() {
-            LeaseState::Held { fencing, .. } | LeaseState::Settling { fencing, .. } => fencing,
+        let fencing_number = match self.holder.state() {
+            LeaseState::Held { fencing_number, .. } | LeaseState::Settling { fencing_number, .. } => fencing_number,
             LeaseState::Idle => return Ok(()),
         };
         if !self.holder.is_renewal_due(self.shared.now()) {
@@ -167,7 +167,7 @@
         }
         let requested_at = self.shared.now();
         match self.kv.renew_lease(self.lease_id).await {
-            Ok(()) => self.holder.lease_renewed(fencing, requested_at),
+            Ok(()) => self.holder.lease_renewed(fencing_number, requested_at),
             Err(PlatformError::LeaseNotFound) => self.holder.step_down(),
             Err(error) => return Err(error),
         }
@@ -204,17 +204,17 @@
     /// Deletes the previous holders from the store once the duty is held, as they are then proved to have ended. If the
     /// receiver checks fencing numbers they stay stored, because the duty is then held without that proof.
     async fn delete_previous_holders(&mut self) -> Result<()> {
-        let LeaseState::Held { fencing, .. } = self.holder.state() else { return Ok(()) };
+        let LeaseState::Held { fencing_number, .. } = self.holder.state() else { return Ok(()) };
         if self.previous_holders_deleted || self.receiver_checks_fencing {
             return Ok(());
         }
-        self.previous_holders_deleted = self.store_holders(fencing, &[self.own_holder()]).await?;
+        self.previous_holders_deleted = self.store_holders(fencing_number, &[self.own_holder()]).await?;
         Ok(())
     }
 
     /// Replaces the stored list of holders. Returns false if this process no longer holds the duty.
-    async fn store_holders(&self, fencing: u64, holders: &[PreviousHolder]) -> Result<bool> {
-        let txn = TxnRequest::default().expect(&self.holder_key(), fencing).put(
+    async fn store_holders(&self, fencing_number: u64, holders: &[PreviousHolder]) -> Result<bool> {
+        let txn = TxnRequest::default().expect(&self.holder_key(), fencing_number).put(
             &self.previous_holders_key(),
             encode_holders(holders),
             0,
@@ -230,10 +230,10 @@
     /// Gives up the duty, if it is held, and empties the stored list of holders, so that a successor need not wait. No
     /// message under the duty may be outstanding.
     pub async fn step_down(&mut self) {
-        let LeaseState::Held { fencing, .. } = self.holder.state() else { return };
+        let LeaseState::Held { fencing_number, .. } = self.holder.state() else { return };
         self.holder.step_down();
         self.publish_state();
-        if let Err(error) = self.store_holders(fencing, &[]).await {
+        if let Err(error) = self.store_holders(fencing_number, &[]).await {
             LogLine::new("duty_step_down_failed").field("duty", &self.duty).field("error", error).warn();
             return;
         }
@@ -244,12 +244,12 @@
 
     /// Updates the state shown on the status page.
     fn publish_state(&self) {
-        let (state, fencing) = match self.holder.state() {
+        let (state, fencing_number) = match self.holder.state() {
             LeaseState::Idle => ("idle", None),
-            LeaseState::Settling { fencing, .. } => ("settling", Some(fencing)),
-            LeaseState::Held { fencing, .. } => ("held", Some(fencing)),
+            LeaseState::Settling { fencing_number, .. } => ("settling", Some(fencing_number)),
+            LeaseState::Held { fencing_number, .. } => ("held", Some(fencing_number)),
         };
-        self.shared.set_duty_state(&self.duty, state, fencing);
+        self.shared.set_duty_state(&self.duty, state, fencing_number);
     }
 }
 
--- a/crates/daemon/src/task/usage_task.rs
+++ b/crates/daemon/src/task/usage_task.rs
@@ -96,14 +96,14 @@
         &mut self,
         site: &SharedName,
         window_seconds: u64,
-        fencing: u64,
+        fencing_number: u64,
         deadline: TimePoint,
         holder_key: &str,
     ) -> Result<()> {
         let window_ms = window_seconds * MS_PER_SECOND;
         let unix_ms = self.shared.clock.unix_ms();
         let newest_closed = (unix_ms.saturating_sub(COLLECTION_GRACE_MS) / window_ms).saturating_sub(1);
-        if self.last_reported == Some((fencing, newest_closed)) {
+        if self.last_reported == Some((fencing_number, newest_closed)) {
             return Ok(());
         }
         let stored = self.kv.range(&window_prefix(&self.shared.settings.site), 0).await?;
@@ -111,10 +111,10 @@
             stored.kvs.iter().filter_map(|entry| serde_json::from_slice(&entry.value).ok()).collect();
         let previous = windows.last().map(|sealed| sealed.window.clone()).unwrap_or_default();
         if previous.index < newest_closed {
-            windows.push(self.seal_window(site, newest_closed, &previous, fencing, holder_key).await?);
+            windows.push(self.seal_window(site, newest_closed, &previous, fencing_number, holder_key).await?);
         }
-        self.send_pending_reports(site, &windows, fencing, deadline, holder_key).await?;
-        self.last_reported = Some((fencing, newest_closed));
+        self.send_pending_reports(site, &windows, fencing_number, deadline, holder_key).await?;
+        self.last_reported = Some((fencing_number, newest_closed));
         Ok(())
     }
 
@@ -124,7 +124,7 @@
         site: &SharedName,
         index: u64,
         previous: &UsageWindow,
-        fencing: u64,
+        fencing_number: u64,
         holder_key: &str,
     ) -> Result<SealedWindow> {
         let window = UsageWindow::seal(index, previous, &self.totals);
@@ -134,7 +134,7 @@
         let value = serde_json::to_vec(&sealed).map_err(|error| encoding_error(&error))?;
         let key = window_key(&self.shared.settings.site, index);
         let lease = self.kv.grant_lease(WINDOW_RETENTION_MS).await?;
-        let txn = TxnRequest::default().expect(holder_key, fencing).expect(&key, 0).put(&key, value, lease);
+        let txn = TxnRequest::default().expect(holder_key, fencing_number).expect(&key, 0).put(&key, value, lease);
         // If the answer is lost, the next run reads the sealed window from the store.
         if !self.kv.commit(&txn).await?.succeeded {
             return Err(PlatformError::LeaseNotFound);
@@ -148,7 +148,7 @@
         &self,
         site: &SharedName,
         windows: &[SealedWindow],
-        fencing: u64,
+        fencing_number: u64,
         deadline: TimePoint,
         holder_key: &str,
     ) -> Result<()> {
@@ -161,10 +161,10 @@
                 continue;
             }
             self.shared.metrics.usage_reports.inc();
-            self.provider.report_usage(site, index, fencing, sealed.report.clone().into(), deadline).await?;
+            self.provider.report_usage(site, index, fencing_number, sealed.report.clone().into(), deadline).await?;
             LogLine::new("usage_reported").field("window", index).info();
             let lease = self.kv.grant_lease(WINDOW_RETENTION_MS).await?;
-            let txn = TxnRequest::default().expect(holder_key, fencing).put(&key, Vec::new(), lease);
+            let txn = TxnRequest::default().expect(holder_key, fencing_number).put(&key, Vec::new(), lease);
             self.kv.commit(&txn).await?;
         }
         Ok(())
@@ -183,11 +183,12 @@
         let (kv, shared) = (self.kv.clone(), self.shared.clone());
         let lease =
             self.lease.get_or_insert_with(|| DutyLease::new(kv, shared, USAGE_DUTY.into(), site.usage_checks_fencing));
-        let Some((fencing, deadline)) = lease.tick(rank).await else { return };
+        let Some((fencing_number, deadline)) = lease.tick(rank).await else { return };
         let holder_key = lease.holder_key();
         self.collect_totals().await;
-        if let Err(error) =
-            self.report_closed_windows(&site.name, site.usage_window_seconds, fencing, deadline, &holder_key).await
+        if let Err(error) = self
+            .report_closed_windows(&site.name, site.usage_window_seconds, fencing_number, deadline, &holder_key)
+            .await
         {
             LogLine::new("usage_failed").field("error", error).warn();
         }
--- a/crates/edge/src/duty/mod.rs
+++ b/crates/edge/src/duty/mod.rs
@@ -1,5 +1,5 @@
-//! Work of the one daemon that holds the duty: loads of weights, scaling of services, usage reports and retired VMs; and
-//! the tasks by which all daemons report to the holder.
+//! Work of the one daemon that holds the duty: loads of weights, scaling of services, usage reports and retired VMs;
+//! and the tasks by which all daemons report to the holder.
 
 mod duty_task;
 mod load_duty;
--- a/crates/kernel/src/batch/sample_text.rs
+++ b/crates/kernel/src/batch/sample_text.rs
@@ -63,8 +63,8 @@
         true
     }
 
-    /// Returns the events that are in no checkpoint and marks them as saved; `None` if there are none. `item_index` is the
-    /// index of the item.
+    /// Returns the events that are in no checkpoint and marks them as saved; `None` if there are none.
+    /// `item_index` is the index of the item in its batch job.
     pub fn take_unsaved_part(&mut self, item_index: usize) -> Option<TextPart> {
         let last_event = self.last_event?;
         if self.unsaved_count() == 0 {
--- a/crates/kernel/src/lease_holder.rs
+++ b/crates/kernel/src/lease_holder.rs
@@ -41,7 +41,7 @@
     /// The lease is held, but orders of previous holders may still arrive until `settled_at`.
     Settling {
         /// Fencing number: the store revision of the grant, higher than those of previous holders.
-        fencing: u64,
+        fencing_number: u64,
         /// When the holder stops acting unless the lease is renewed.
         deadline: TimePoint,
         /// When no message of a previous holder can be in flight any more; `TimePoint(u64::MAX)` while one is not
@@ -51,7 +51,7 @@
     /// The lease is held and the daemon may act.
     Held {
         /// Fencing number: the store revision of the grant, higher than those of previous holders.
-        fencing: u64,
+        fencing_number: u64,
         /// When the holder stops acting unless the lease is renewed.
         deadline: TimePoint,
     },
@@ -66,7 +66,7 @@
     /// When the next renewal is due.
     renew_at: TimePoint,
     /// Highest fencing number granted to this process so far.
-    highest_fencing: u64,
+    highest_fencing_number: u64,
 }
 
 impl LeaseHolder {
@@ -74,7 +74,7 @@
     /// outdated fencing numbers, and the holder need not wait for previous ones.
     #[must_use]
     pub fn new(receiver_checks_fencing: bool) -> Self {
-        Self { state: LeaseState::Idle, receiver_checks_fencing, renew_at: TimePoint(0), highest_fencing: 0 }
+        Self { state: LeaseState::Idle, receiver_checks_fencing, renew_at: TimePoint(0), highest_fencing_number: 0 }
     }
 
     /// Time to live to request for the lease, in milliseconds.
@@ -90,37 +90,45 @@
     }
 
     /// Records a lease granted by a write that was sent at `requested_at`. A late answer for an older grant is ignored.
-    pub fn lease_acquired(&mut self, fencing: u64, requested_at: TimePoint, evidence: HolderEvidence, now: TimePoint) {
-        if fencing <= self.highest_fencing {
+    pub fn lease_acquired(
+        &mut self,
+        fencing_number: u64,
+        requested_at: TimePoint,
+        evidence: HolderEvidence,
+        now: TimePoint,
+    ) {
+        if fencing_number <= self.highest_fencing_number {
             return;
         }
-        self.highest_fencing = fencing;
+        self.highest_fencing_number = fencing_number;
         let deadline = requested_at.plus_ms(LEASE_TTL_MS - LEASE_GUARD_MS);
         self.renew_at = requested_at.plus_ms(RENEW_AFTER_MS);
         self.state = match evidence {
-            HolderEvidence::Clear => LeaseState::Held { fencing, deadline },
+            HolderEvidence::Clear => LeaseState::Held { fencing_number, deadline },
             HolderEvidence::Ended | HolderEvidence::Silent if self.receiver_checks_fencing => {
-                LeaseState::Held { fencing, deadline }
+                LeaseState::Held { fencing_number, deadline }
             }
             HolderEvidence::Ended => {
-                LeaseState::Settling { fencing, deadline, settled_at: now.plus_ms(LEASE_GUARD_MS) }
+                LeaseState::Settling { fencing_number, deadline, settled_at: now.plus_ms(LEASE_GUARD_MS) }
+            }
+            HolderEvidence::Silent => {
+                LeaseState::Settling { fencing_number, deadline, settled_at: TimePoint(u64::MAX) }
             }
-            HolderEvidence::Silent => LeaseState::Settling { fencing, deadline, settled_at: TimePoint(u64::MAX) },
         };
     }
 
     /// Applies new evidence on previous holders while the lease is settling.
     pub fn evidence_updated(&mut self, evidence: HolderEvidence, now: TimePoint) {
-        let LeaseState::Settling { fencing, deadline, settled_at } = self.state else { return };
+        let LeaseState::Settling { fencing_number, deadline, settled_at } = self.state else { return };
         let settled_at = match evidence {
             HolderEvidence::Clear => now,
             HolderEvidence::Ended => settled_at.min(now.plus_ms(LEASE_GUARD_MS)),
             HolderEvidence::Silent => settled_at,
         };
         self.state = if settled_at <= now {
-            LeaseState::Held { fencing, deadline }
+            LeaseState::Held { fencing_number, deadline }
         } else {
-            LeaseState::Settling { fencing, deadline, settled_at }
+            LeaseState::Settling { fencing_number, deadline, settled_at }
         };
     }
 
@@ -136,7 +144,11 @@
         let renewed_deadline = requested_at.plus_ms(LEASE_TTL_MS - LEASE_GUARD_MS);
         match &mut self.state {
             LeaseState::Idle => return,
-            LeaseState::Held { fencing, .. } | LeaseState::Settling { fencing, .. } if *fencing != renewed => return,
+            LeaseState::Held { fencing_number, .. } | LeaseState::Settling { fencing_number, .. }
+                if *fencing_number != renewed =>
+            {
+                return;
+            }
             LeaseState::Held { deadline, .. } | LeaseState::Settling { deadline, .. } => {
                 *deadline = (*deadline).max(renewed_deadline);
             }
@@ -148,7 +160,7 @@
     #[must_use]
     pub fn authority(&self, now: TimePoint) -> Option<(u64, TimePoint)> {
         match self.state {
-            LeaseState::Held { fencing, deadline } if now < deadline => Some((fencing, deadline)),
+            LeaseState::Held { fencing_number, deadline } if now < deadline => Some((fencing_number, deadline)),
             _ => None,
         }
     }
--- a/crates/kernel/tests/machines/duties.rs
+++ b/crates/kernel/tests/machines/duties.rs
@@ -65,8 +65,8 @@
 
 /// An answer of the service on its way to a daemon.
 enum Answer {
-    Acquired { daemon: usize, process: u32, fencing: u64, requested_at: TimePoint, previous: Vec<(usize, u32)> },
-    Renewed { daemon: usize, process: u32, fencing: u64, requested_at: TimePoint },
+    Acquired { daemon: usize, process: u32, fencing_number: u64, requested_at: TimePoint, previous: Vec<(usize, u32)> },
+    Renewed { daemon: usize, process: u32, fencing_number: u64, requested_at: TimePoint },
 }
 
 /// Model of the service, the daemons and the receiver of their orders.
@@ -118,8 +118,8 @@
     /// Deletes the previous holders, which have been proved to have ended, if `daemon` still holds the lease.
     fn delete_previous(&mut self, daemon: usize) {
         let process = self.daemons[daemon].process;
-        let fencing = self.daemons[daemon].holder.authority(self.now).map(|(fencing, _)| fencing);
-        let is_own = |lease: &Lease| lease.0 == daemon && Some(lease.2) == fencing && lease.3 > self.now;
+        let fencing_number = self.daemons[daemon].holder.authority(self.now).map(|(fencing_number, _)| fencing_number);
+        let is_own = |lease: &Lease| lease.0 == daemon && Some(lease.2) == fencing_number && lease.3 > self.now;
         if self.lease.as_ref().is_some_and(is_own) {
             self.previous = vec![(daemon, process)];
         }
@@ -139,7 +139,7 @@
         self.answers.push(Answer::Acquired {
             daemon,
             process,
-            fencing: self.revision,
+            fencing_number: self.revision,
             requested_at: self.now,
             previous,
         });
@@ -147,42 +147,42 @@
 
     fn renew(&mut self, daemon: usize) {
         let process = self.daemons[daemon].process;
-        let Some((holder, held_by, fencing, end)) = &mut self.lease else { return };
+        let Some((holder, held_by, fencing_number, end)) = &mut self.lease else { return };
         if *holder != daemon || *held_by != process || *end <= self.now {
             return;
         }
         *end = self.now.plus_ms(self.daemons[daemon].holder.ttl_ms());
-        let fencing = *fencing;
-        self.answers.push(Answer::Renewed { daemon, process, fencing, requested_at: self.now });
+        let fencing_number = *fencing_number;
+        self.answers.push(Answer::Renewed { daemon, process, fencing_number, requested_at: self.now });
     }
 
     fn deliver_answer(&mut self, index: usize) {
         match self.answers.remove(index) {
-            Answer::Acquired { daemon, process, fencing, requested_at, previous } => {
+            Answer::Acquired { daemon, process, fencing_number, requested_at, previous } => {
                 if self.daemons[daemon].process == process {
                     let evidence = self.evidence(daemon, &previous);
                     self.observed_holders[daemon] = previous;
-                    self.daemons[daemon].holder.lease_acquired(fencing, requested_at, evidence, self.now);
+                    self.daemons[daemon].holder.lease_acquired(fencing_number, requested_at, evidence, self.now);
                 }
             }
-            Answer::Renewed { daemon, process, fencing, requested_at } => {
+            Answer::Renewed { daemon, process, fencing_number, requested_at } => {
                 if self.daemons[daemon].process == process {
-                    self.daemons[daemon].holder.lease_renewed(fencing, requested_at);
+                    self.daemons[daemon].holder.lease_renewed(fencing_number, requested_at);
                 }
             }
         }
     }
 
     /// Receives an order. One that was sent immediately after the check (not `delayed`) must never be refused.
-    fn receive_order(&mut self, fencing: u64, delayed: bool) -> Result<(), String> {
+    fn receive_order(&mut self, fencing_number: u64, delayed: bool) -> Result<(), String> {
         let newest = self.received.iter().copied().max().unwrap_or(0);
-        if fencing < newest {
+        if fencing_number < newest {
             if self.checks_fencing && delayed {
                 return Ok(());
             }
-            return Err(format!("an order with fencing number {fencing} arrived after one with {newest}"));
+            return Err(format!("an order with fencing number {fencing_number} arrived after one with {newest}"));
         }
-        self.received.push(fencing);
+        self.received.push(fencing_number);
         Ok(())
     }
 
@@ -210,19 +210,19 @@
                 self.apply(&Command::UpdateEvidence { daemon })?;
                 self.apply(&Command::Check { daemon })?;
                 self.delete_previous(daemon.into());
-                if let Some(fencing) = self.daemons[usize::from(daemon)].checked.take() {
-                    self.receive_order(fencing, false)?;
+                if let Some(fencing_number) = self.daemons[usize::from(daemon)].checked.take() {
+                    self.receive_order(fencing_number, false)?;
                 }
             }
             Command::Check { daemon } => {
                 let now = self.now;
                 let daemon = &mut self.daemons[usize::from(daemon)];
                 daemon.holder.expire(now);
-                daemon.checked = daemon.holder.authority(now).map(|(fencing, _)| fencing);
+                daemon.checked = daemon.holder.authority(now).map(|(fencing_number, _)| fencing_number);
             }
             Command::Send { daemon } => {
-                if let Some(fencing) = self.daemons[usize::from(daemon)].checked.take() {
-                    self.receive_order(fencing, true)?;
+                if let Some(fencing_number) = self.daemons[usize::from(daemon)].checked.take() {
+                    self.receive_order(fencing_number, true)?;
                 }
             }
             Command::UpdateEvidence { daemon } => {
@@ -234,8 +234,8 @@
             Command::Crash { daemon } => {
                 let index = usize::from(daemon);
                 let ended = &mut self.daemons[index];
-                if let Some(fencing) = ended.checked.take() {
-                    self.in_flight.push((fencing, self.now.plus_ms(LEASE_GUARD_MS)));
+                if let Some(fencing_number) = ended.checked.take() {
+                    self.in_flight.push((fencing_number, self.now.plus_ms(LEASE_GUARD_MS)));
                 }
                 *ended =
                     Daemon { process: ended.process + 1, holder: LeaseHolder::new(self.checks_fencing), checked: None };
@@ -245,8 +245,8 @@
                 // Orders of dead processes arrive at the latest possible time.
                 let (arrived, waiting): (Vec<_>, Vec<_>) = self.in_flight.iter().partition(|(_, end)| *end <= self.now);
                 self.in_flight = waiting;
-                for (fencing, _) in arrived {
-                    self.receive_order(fencing, true)?;
+                for (fencing_number, _) in arrived {
+                    self.receive_order(fencing_number, true)?;
                 }
             }
         }
