--- a/crates/kernel/src/member_table.rs
+++ b/crates/kernel/src/member_table.rs
@@ -69,8 +69,8 @@
         Self { own_name, failure_domain, members: BTreeMap::new(), next_peer: 0 }
     }
 
-    /// Applies the entry that a peer sent about itself: in a request that was received at `seen_at`, or in the answer to
-    /// a request that this daemon sent at `seen_at`. Ignored if a newer incarnation has been seen.
+    /// Applies the entry that a peer sent about itself: in a request that was received at `seen_at`, or in the answer
+    /// to a request that this daemon sent at `seen_at`. Ignored if a newer incarnation has been seen.
     pub fn peer_seen(&mut self, entry: MemberEntry, seen_at: TimePoint) {
         if entry.name == self.own_name {
             return;
--- a/crates/kernel/tests/machines/batches.rs
+++ b/crates/kernel/tests/machines/batches.rs
@@ -57,18 +57,21 @@
 }
 
 /// Number of events in an item's complete text; only the longer texts reach the size for a checkpoint.
-fn text_length(index: usize) -> u64 {
-    index as u64 * 6 + 1
+fn text_length(item_index: usize) -> u64 {
+    item_index as u64 * 6 + 1
 }
 
 /// Data of event `number` of an item's text.
-fn event_data(index: usize, number: u64) -> String {
-    format!("{index}:{number}")
+fn event_data(item_index: usize, number: u64) -> String {
+    format!("{item_index}:{number}")
 }
 
 /// An item's complete text.
-fn complete_text(index: usize) -> String {
-    (FIRST_EVENT_NUMBER..=text_length(index)).map(|number| event_data(index, number)).collect::<Vec<_>>().join("\n")
+fn complete_text(item_index: usize) -> String {
+    (FIRST_EVENT_NUMBER..=text_length(item_index))
+        .map(|number| event_data(item_index, number))
+        .collect::<Vec<_>>()
+        .join("\n")
 }
 
 /// A run in progress at an upstream.
@@ -117,10 +120,10 @@
 
 /// Items of the job, all in one group. Every second one needs a score.
 fn specs() -> Vec<ItemSpec> {
-    let spec = |index: usize| ItemSpec {
+    let spec = |item_index: usize| ItemSpec {
         group: "g".into(),
-        expected_tokens: text_length(index),
-        needs_score: index.is_multiple_of(2),
+        expected_tokens: text_length(item_index),
+        needs_score: item_index.is_multiple_of(2),
     };
     (0..ITEMS).map(spec).collect()
 }
@@ -185,18 +188,18 @@
             return Ok(());
         }
         let position = usize::from(run) % self.runs.len();
-        let (index, number) =
+        let (item_index, number) =
             (self.runs[position].assignment.item_index, self.runs[position].next_event + u64::from(skip));
-        if number > text_length(index) {
+        if number > text_length(item_index) {
             return Ok(());
         }
-        let expected_number = FIRST_EVENT_NUMBER + self.oracle.event_versions[index].len() as u64;
-        let outcome = self.ledger.event_received(index, number, self.version, &event_data(index, number));
-        let event_versions = &mut self.oracle.event_versions[index];
+        let expected_number = FIRST_EVENT_NUMBER + self.oracle.event_versions[item_index].len() as u64;
+        let outcome = self.ledger.event_received(item_index, number, self.version, &event_data(item_index, number));
+        let event_versions = &mut self.oracle.event_versions[item_index];
         let is_next = number == expected_number;
         match outcome {
             EventOutcome::Accepted if !is_next => {
-                return Err(format!("event {number} of item {index} was accepted out of order"));
+                return Err(format!("event {number} of item {item_index} was accepted out of order"));
             }
             EventOutcome::Accepted if self.version < self.options.oldest_version => {
                 return Err(format!("an event of the outdated version {} was accepted", self.version));
@@ -208,11 +211,11 @@
             EventOutcome::Restart => {
                 event_versions.clear();
                 self.runs.remove(position);
-                self.ledger.run_ended(index, RunOutcome::Interrupted, self.now);
+                self.ledger.run_ended(item_index, RunOutcome::Interrupted, self.now);
             }
             EventOutcome::Mismatch => {
                 self.runs.remove(position);
-                self.ledger.run_ended(index, RunOutcome::Interrupted, self.now);
+                self.ledger.run_ended(item_index, RunOutcome::Interrupted, self.now);
             }
         }
         Ok(())
@@ -223,8 +226,8 @@
             return;
         }
         let position = usize::from(run) % self.runs.len();
-        let index = self.runs[position].assignment.item_index;
-        let is_complete = self.runs[position].next_event > text_length(index);
+        let item_index = self.runs[position].assignment.item_index;
+        let is_complete = self.runs[position].next_event > text_length(item_index);
         let outcome = match selector % 12 {
             _ if is_complete && !selector.is_multiple_of(8) => RunOutcome::Completed,
             0..=5 => RunOutcome::Interrupted,
@@ -233,27 +236,27 @@
             _ => RunOutcome::Unrunnable,
         };
         match outcome {
-            RunOutcome::Failed => self.oracle.run_failures[index] += 1,
+            RunOutcome::Failed => self.oracle.run_failures[item_index] += 1,
             RunOutcome::Unrunnable => {
-                self.oracle.unrunnable.insert(index);
+                self.oracle.unrunnable.insert(item_index);
             }
             _ => {}
         }
         self.runs.remove(position);
-        self.ledger.run_ended(index, outcome, self.now);
+        self.ledger.run_ended(item_index, outcome, self.now);
     }
 
     fn score(&mut self, selector: u8) {
-        while let Some(index) = self.ledger.start_next_scoring(self.now) {
+        while let Some(item_index) = self.ledger.start_next_scoring(self.now) {
             let outcome = match selector % 4 {
                 0 => {
-                    self.oracle.scorer_failures[index] += 1;
+                    self.oracle.scorer_failures[item_index] += 1;
                     ScoreOutcome::Failed
                 }
                 1 => ScoreOutcome::Interrupted,
-                _ => ScoreOutcome::Signed(format!("s{index}")),
+                _ => ScoreOutcome::Signed(format!("s{item_index}")),
             };
-            self.ledger.scoring_ended(index, outcome, SCORER_FAILURES_MAX, self.now);
+            self.ledger.scoring_ended(item_index, outcome, SCORER_FAILURES_MAX, self.now);
         }
     }
 
@@ -327,59 +330,59 @@
         let checkpoints: Vec<TextCheckpoint> =
             self.oracle.stored_checkpoints.values().map(|stored| stored.checkpoint.clone()).collect();
         self.ledger.replay_checkpoints(&checkpoints);
-        for index in (0..ITEMS).filter(|index| !listed.contains(index)) {
+        for item_index in (0..ITEMS).filter(|item_index| !listed.contains(item_index)) {
             let stored_versions =
-                self.oracle.stored_checkpoints.values().rev().find_map(|stored| stored.versions.get(&index));
-            self.oracle.event_versions[index] = stored_versions.cloned().unwrap_or_default();
-            self.oracle.run_failures[index] = 0;
-            self.oracle.scorer_failures[index] = 0;
+                self.oracle.stored_checkpoints.values().rev().find_map(|stored| stored.versions.get(&item_index));
+            self.oracle.event_versions[item_index] = stored_versions.cloned().unwrap_or_default();
+            self.oracle.run_failures[item_index] = 0;
+            self.oracle.scorer_failures[item_index] = 0;
         }
     }
 
     fn check_results(&self) -> Result<(), String> {
         let mut seen = BTreeSet::new();
         for result in &self.oracle.listed {
-            let index = result.item_index;
-            if !seen.insert(index) {
-                return Err(format!("item {index} is listed twice"));
+            let item_index = result.item_index;
+            if !seen.insert(item_index) {
+                return Err(format!("item {item_index} is listed twice"));
             }
             match result.state {
                 ItemState::Completed => self.check_completed(result)?,
-                ItemState::Terminated => self.check_terminated(index)?,
+                ItemState::Terminated => self.check_terminated(item_index)?,
             }
         }
         Ok(())
     }
 
     fn check_completed(&self, result: &ItemResult) -> Result<(), String> {
-        let index = result.item_index;
-        if result.text != complete_text(index) {
-            return Err(format!("item {index} is listed with the text {:?}", result.text));
+        let item_index = result.item_index;
+        if result.text != complete_text(item_index) {
+            return Err(format!("item {item_index} is listed with the text {:?}", result.text));
         }
-        let generated_by: BTreeSet<u64> = self.oracle.event_versions[index].iter().copied().collect();
+        let generated_by: BTreeSet<u64> = self.oracle.event_versions[item_index].iter().copied().collect();
         if result.versions != generated_by.iter().copied().collect::<Vec<_>>() {
             return Err(format!(
-                "item {index} lists the versions {:?} but was generated by {generated_by:?}",
+                "item {item_index} lists the versions {:?} but was generated by {generated_by:?}",
                 result.versions
             ));
         }
         if self.options.single_version && generated_by.len() != 1 {
-            return Err(format!("item {index} mixes the versions {generated_by:?}"));
+            return Err(format!("item {item_index} mixes the versions {generated_by:?}"));
         }
-        let needs_score = specs()[index].needs_score;
-        if result.score != needs_score.then(|| format!("s{index}")) {
-            return Err(format!("item {index} has the score {:?}", result.score));
+        let needs_score = specs()[item_index].needs_score;
+        if result.score != needs_score.then(|| format!("s{item_index}")) {
+            return Err(format!("item {item_index} has the score {:?}", result.score));
         }
         Ok(())
     }
 
-    fn check_terminated(&self, index: usize) -> Result<(), String> {
+    fn check_terminated(&self, item_index: usize) -> Result<(), String> {
         let oracle = &self.oracle;
-        let is_valid = oracle.unrunnable.contains(&index)
-            || oracle.run_failures[index] >= ATTEMPTS_MAX
-            || oracle.scorer_failures[index] >= SCORER_FAILURES_MAX
+        let is_valid = oracle.unrunnable.contains(&item_index)
+            || oracle.run_failures[item_index] >= ATTEMPTS_MAX
+            || oracle.scorer_failures[item_index] >= SCORER_FAILURES_MAX
             || self.now >= self.options.retention_ends_at;
-        if is_valid { Ok(()) } else { Err(format!("item {index} was terminated without a valid reason")) }
+        if is_valid { Ok(()) } else { Err(format!("item {item_index} was terminated without a valid reason")) }
     }
 }
 
@@ -496,10 +499,10 @@
     };
     let mut ledger = BatchLedger::new(options, specs.into(), &[]);
     while ledger.start_next_run(TimePoint(0)).is_some() {}
-    for (index, urgent) in [(0, false), (2, false), (1, false), (3, true)] {
-        ledger.event_received(index, FIRST_EVENT_NUMBER, 1, "x");
-        ledger.run_ended(index, RunOutcome::Completed, TimePoint(0));
-        assert_eq!(ledger.is_listing_urgent(), urgent, "after item {index}");
+    for (item_index, urgent) in [(0, false), (2, false), (1, false), (3, true)] {
+        ledger.event_received(item_index, FIRST_EVENT_NUMBER, 1, "x");
+        ledger.run_ended(item_index, RunOutcome::Completed, TimePoint(0));
+        assert_eq!(ledger.is_listing_urgent(), urgent, "after item {item_index}");
     }
     let first = ledger.next_chunk(1 << 20).unwrap().first_position;
     ledger.chunk_stored(first);
