--- a/crates/cli/tests/processes/configuration.rs
+++ b/crates/cli/tests/processes/configuration.rs
@@ -156,8 +156,8 @@
     site.daemons[2].process.freeze();
     let answer = site.withdraw_key(0, &key).await;
     assert_eq!(answer.status, 202, "{answer:?}");
-    let answer: ChangeResponse = answer.json();
-    assert!(!answer.accepted && answer.unconfirmed.iter().any(|name| **name == *site.daemons[2].name));
+    let response: ChangeResponse = answer.json();
+    assert!(!response.accepted && response.unconfirmed.iter().any(|name| **name == *site.daemons[2].name));
     // The daemon stays frozen until its configuration is older than three seconds, and must not be used unconfirmed.
     actix_rt::time::sleep(std::time::Duration::from_secs(3)).await;
     // The daemon resumes without a connection to the store. It must not accept the key before its peers have confirmed
--- a/crates/kernel/src/member_table.rs
+++ b/crates/kernel/src/member_table.rs
@@ -40,7 +40,8 @@
     /// Failure domain from the daemon's settings.
     pub failure_domain: SharedName,
     /// Address of the daemon's control listener, for calls from peers.
-    pub control: SharedName,
+    #[serde(rename = "control")]
+    pub control_address: SharedName,
     /// Liveness as this daemon sees it.
     pub state: MemberState,
     /// Time of the last exchange with the member, or of the report that added it, by this daemon's clock.
@@ -68,8 +69,8 @@
         Self { own_name, failure_domain, members: BTreeMap::new(), next_peer: 0 }
     }
 
-    /// Applies the entry that a peer sent about itself: in a request that was received at `seen_at`, or in the answer to
-    /// a request that this daemon sent at `seen_at`. Ignored if a newer incarnation has been seen.
+    /// Applies the entry that a peer sent about itself: in a request that was received at `seen_at`, or in the answer
+    /// to a request that this daemon sent at `seen_at`. Ignored if a newer incarnation has been seen.
     pub fn peer_seen(&mut self, entry: MemberEntry, seen_at: TimePoint) {
         if entry.name == self.own_name {
             return;
@@ -100,7 +101,7 @@
             name: name.clone(),
             incarnation: 0,
             failure_domain: "".into(),
-            control: "".into(),
+            control_address: "".into(),
             state: MemberState::Ended,
             heard_at: now,
         });
