--- a/crates/cli/tests/processes/path.rs
+++ b/crates/cli/tests/processes/path.rs
@@ -1,4 +1,4 @@
-//! Test of every kind of request, the duties and the command-line tool against one site of separate processes.
+//! Test of requests, training steps, duties and the command-line tool against one site of separate processes.
 
 use super::support::{DaemonSite, OPERATOR_KEY, SiteOptions, run_cli, wait_for};
 use pimentoslip_kernel::FetchCursor;
@@ -15,10 +15,10 @@
 standing_cents_per_hour = 100
 ";
 
-/// Guards against an interface that does not work between the released binaries, and against a key that reaches an
+/// Guards against an interface that does not work between separate processes, and against an API key that reaches an
 /// engine or a log.
 #[actix_rt::test]
-async fn every_kind_of_request_works_across_separate_processes() {
+async fn requests_duties_and_commands_work_across_separate_processes() {
     let options = SiteOptions::default();
     let base_config = options.base_config.clone() + ORDERED_SERVICE;
     let site = DaemonSite::start(SiteOptions { base_config, ..options }).await;
@@ -62,7 +62,8 @@
     check_command_line(&site);
 }
 
-/// Opens a step, fetches its samples from each daemon in turn and checks that each sample is received once.
+/// Publishes weights, opens a step, fetches its samples from each daemon in turn and checks that each sample is
+/// received once and names the initial or the published version.
 async fn check_step(site: &DaemonSite, key: &pimentoslip_kernel::KeySecret) {
     let publish = PublishRequest { service: "drafts".into(), version: 2 };
     let publish_answer = site.send(2, "POST", "/v1/weights", key, &[], &publish).await;
@@ -93,14 +94,14 @@
         };
         let answer = site.send(turn % 3, "POST", "/v1/steps/fetch", key, &[], &fetch).await;
         assert_eq!(answer.status, 200, "{answer:?}");
-        let answer: FetchResponse = answer.json();
-        for sample in &answer.samples {
+        let response: FetchResponse = answer.json();
+        for sample in &response.samples {
             assert!(!cursor.contains(sample.position), "sample {} was received twice", sample.position);
             assert_eq!(sample.segments[0].start, 0);
             cursor.insert(sample.position);
             versions.extend(sample.segments.iter().map(|segment| segment.version));
         }
-        if answer.complete {
+        if response.complete {
             break;
         }
     }
@@ -111,16 +112,16 @@
 /// Waits for the usage report of the organisation and checks that all reports parse.
 async fn check_usage_report(site: &DaemonSite) {
     let reports = wait_for("usage of the organisation is reported", || async {
-        let log: Vec<RecordedUsageReport> =
+        let reports: Vec<RecordedUsageReport> =
             site.http.get_json(&format!("http://{}/standin/reports", site.usage_address)).await?;
-        log.iter().any(|entry| entry.body.contains("velorio")).then_some(log)
+        reports.iter().any(|report| report.body.contains("velorio")).then_some(reports)
     });
     for report in reports.await {
         report.parse().expect("a report");
     }
 }
 
-/// Makes a VM available and waits until it is ordered and requests are routed to it.
+/// Makes a VM available and waits until an order has started it and daemon 0 lists it as an upstream.
 async fn check_order(site: &DaemonSite) {
     let spare = SpareUpstream {
         name: "cards-1".into(),
@@ -131,9 +132,9 @@
     };
     site.http.put_json(&format!("http://{}/standin/spares", site.orders_address), &spare).await;
     let new_order = wait_for("an order has started the VM", || async {
-        let log: Vec<RecordedOrder> =
+        let orders: Vec<RecordedOrder> =
             site.http.get_json(&format!("http://{}/standin/orders", site.orders_address)).await?;
-        log.into_iter().find(|entry| entry.vm.as_deref() == Some("cards-1"))
+        orders.into_iter().find(|order| order.vm.as_deref() == Some("cards-1"))
     });
     assert!(new_order.await.request.fencing > 0);
     wait_for("the daemon lists the new upstream", || async {
--- a/crates/cli/tests/processes/platform_duties.rs
+++ b/crates/cli/tests/processes/platform_duties.rs
@@ -1,12 +1,13 @@
 //! Tests of the duties on the users' platform (weight rollout, usage reports, scaling, VM retirement) and of planned
-//! stops: each duty has one holder at a time, which performs each action once.
+//! stops: each duty has one holder at a time, and its actions are not repeated with another outcome.
 
 use crate::support::{EdgeSite, job_item, job_submission, wait_for};
 use std::collections::BTreeMap;
 
-/// Guards against engines that miss or repeat a version, and against two edges that order loads at the same time.
+/// Guards against engines that are not ordered to load a version or are ordered twice, and against two edges that order
+/// loads at the same time.
 #[actix_rt::test]
-async fn each_weight_version_is_loaded_once_by_every_engine_under_a_single_holder() {
+async fn each_weight_version_is_ordered_once_at_every_engine_by_a_single_holder() {
     let site = EdgeSite::start(3).await;
     for version in 2..=3 {
         site.store.put("op/version/verse", &serde_json::json!({ "model": "verse", "version": version }));
@@ -19,17 +20,17 @@
         .await;
     }
     let orders: Vec<_> = site.engines.iter().flat_map(|engine| engine.weight_orders()).collect();
-    assert_eq!(orders.len(), 4, "each engine loads each version once: {orders:?}");
+    assert_eq!(orders.len(), 4, "each engine is ordered once to load each version: {orders:?}");
     assert!(orders.iter().all(|order| order["holder"] == orders[0]["holder"]));
     assert!(orders.iter().all(|order| order["fencingToken"] == orders[0]["fencingToken"]));
     assert!(
         orders.iter().all(|order| order["expected"].is_u64()),
-        "each order states the version accepted before, so that a late order has no effect"
+        "each order states the version that the engine is expected to have, so that a late order has no effect"
     );
 }
 
-/// Guards against usage that is lost, billed twice or reported with different counts when the holder of the reporting
-/// duty is killed.
+/// Guards against requests that are missing from the usage reports, and against usage windows that are reported with
+/// different counts after the holder of the reporting duty was killed.
 #[actix_rt::test]
 async fn usage_windows_are_reported_with_one_set_of_counts_after_the_holder_is_killed() {
     let mut site = EdgeSite::start(3).await;
@@ -73,7 +74,7 @@
     let site = EdgeSite::start(2).await;
     assert!(site.provider.scale_orders().is_empty(), "no VM is ordered without work");
     // Two engines of 8 slots are running; 30 items require four engines.
-    let items: Vec<_> = (0..30).map(|n| job_item(&format!("i{n}"), 200, false)).collect();
+    let items: Vec<_> = (0..30).map(|number| job_item(&format!("i{number}"), 200, false)).collect();
     assert_eq!(site.submit_job(0, "job", &job_submission(1, &items)).await.status, 202);
     let accepted_order = |site: &EdgeSite, spot: bool, desired: u64| {
         let matches = |order: &pimentoslip_standin::ScaleOrder| {
@@ -100,9 +101,10 @@
     assert_eq!(status, br#"{"state":"completed"}"#);
 }
 
-/// Guards against requests refused while an edge stops, and against an edge that does not start again after a stop.
+/// Guards against a request that is refused while an edge stops, after its readiness check has started to fail, and
+/// against an edge that does not serve after a restart.
 #[actix_rt::test]
-async fn a_stopping_edge_serves_until_it_exits_and_serves_again_after_a_restart() {
+async fn a_stopping_edge_still_serves_and_serves_again_after_a_restart() {
     let mut site = EdgeSite::start(2).await;
     site.edges[0].process.terminate();
     wait_for("the edge is not ready any more", || async { (site.readiness_status(0).await != 200).then_some(()) })
