--- a/crates/edge/src/run_edge.rs
+++ b/crates/edge/src/run_edge.rs
@@ -124,10 +124,7 @@
 
 /// Starts the public HTTP server, to which callers connect.
 fn serve_public(state: &Arc<EdgeState>) -> Result<ServerHandle> {
-    let address = state
-        .settings
-        .public_address
-        .context("the settings file has no address for callers; add `listenAddrs.frontend`")?;
+    let address = state.settings.public_address.context("the settings file has no address for callers; add one")?;
     let shared_state = state.clone();
     let server = HttpServer::new(move || {
         let parts = WorkerParts::new(shared_state.clone());
